--- a/src/ryewing/dispatch.py
+++ b/src/ryewing/dispatch.py
@@ -44,6 +44,8 @@
 """Messages a second and core that only make starts a little sooner: a tenth of the core."""
 REPORT_GAP_S = 0.5
 """The least time between two reports of a worker."""
+FAULTS_MAX = 2
+"""Sound jobs that may fail on a machine, none finishing there since, before it is set aside."""
 PROBE_AFTER = 1.6
 """Report intervals after which a silent machine is asked directly."""
 
@@ -125,11 +127,17 @@
                 self.stop_hold(held, 0.0, "unwanted", now)
             elif machine.warning_s is not None:
                 self._drain(held, machine, now)
-        if len(machine.faults) >= 2 and not machine.quarantined:
-            self._quarantine(machine)
+        if len(machine.faults) >= FAULTS_MAX and not machine.quarantined:
+            self._quarantine(machine, now)
 
-    def _quarantine(self, machine: Machine) -> None:
-        """Set a machine aside that failed tasks of several jobs; never many at once."""
+    def _quarantine(self, machine: Machine, now: Steady) -> None:
+        """Set a machine aside that failed tasks of several sound jobs; never many at once.
+
+        Found in a replay: a new leader did not know yet which jobs fail everywhere, and set sound
+        machines aside on which two of them had failed.
+        """
+        if sum(self.ctx.picture.sound(job, now) for job in machine.faults) < FAULTS_MAX:
+            return
         aside = sum(m.quarantined for m in self.ctx.picture.machines.values())
         if aside >= max(1, len(self.ctx.picture.machines) // 8):
             return
--- a/src/ryewing/intake.py
+++ b/src/ryewing/intake.py
@@ -69,6 +69,9 @@
             log.info("event=cancelled job=%s on_machines=%d", job.id, len(job.live))
         job.cancelled = True
         self.ctx.book.touch(job)
+        if not job.done_count:
+            # Its user calls off a job that never finished anything: the mistake may be its own.
+            self.ctx.picture.forgive(job)
         now = steady_now()
         for held in self.ctx.picture.holds_of(job):
             self.dispatch.stop_hold(held, 0.0, "cancelled", now)
--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader.py
@@ -19,6 +19,7 @@
 from .jobs import DONE_PREFIX, LIVE_PREFIX, read_record
 from .leadership import Leadership
 from .mesh import ImageHint
+from .picture import BACKOFF_MAX_S, BACKOFF_MIN_S
 from .placer import Placer
 from .policy import Policy
 from .renter import HIRE_PREFIX, Renter
@@ -90,7 +91,10 @@
 
     def image_hint(self) -> ImageHint:
         """Tell what a successor should know of the machines' images."""
-        return ImageHint(int(self.term), *self.ctx.picture.images())
+        failing: dict[str, float] = {
+            job.id: job.backoff_s for job in self.ctx.book if job.backoff_s
+        }
+        return ImageHint(int(self.term), *self.ctx.picture.images(), failing)
 
     def _on_record(self, key: str, data: msgspec.Raw, stamp: Stamp) -> None:
         self.intake.job_set(key, data, stamp)
@@ -235,6 +239,12 @@
         self.writer.to_record.update(MachineId(id_) for id_ in twice)
         if self._hint is not None:
             self.ctx.picture.recall_images(self._hint.images, self._hint.machines)
+            # Without it each new leader let whole batches of such jobs fail once more.
+            for name, delay_s in self._hint.failing.items():
+                failing = self.ctx.book.get(JobId(name))
+                if failing is not None and not failing.done_count:
+                    failing.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
+                    failing.backoff_until = now
         hires, _ = self.ctx.store.listing(HIRE_PREFIX)
         for entry in hires:
             hire = readable(entry.data, Hire, entry.k)
--- a/src/ryewing/mesh.py
+++ b/src/ryewing/mesh.py
@@ -47,7 +47,7 @@
     """A follower asks whether the leader can take more jobs."""
 
 
-class ImageHint(msgspec.Struct, tag="images"):
+class ImageHint(msgspec.Struct, tag="images", omit_defaults=True):
     """The leader tells which machines have which images, so that a successor need not learn it.
 
     A hint only: nothing rests on it but where tasks start without a fetch.
@@ -58,6 +58,8 @@
     """Name and size."""
     machines: dict[str, list[int]] = {}
     """By machine, places in `images`, the least recently used first."""
+    failing: dict[str, float] = {}
+    """Jobs that fail everywhere, and for how long each is left alone between two probes."""
 
 
 class RelayAsk(msgspec.Struct, tag="relay"):
--- a/src/ryewing/picture.py
+++ b/src/ryewing/picture.py
@@ -18,6 +18,7 @@
     NEVER_HEARD,
     NUDGES_MAX,
     Attempt,
+    JobId,
     MachineId,
     ReportVersion,
     Steady,
@@ -47,11 +48,15 @@
 PACE_WEIGHT, PACE_MAX, SLOW_PACE = 0.2, 3.0, 1.4
 FAILS_ANYWHERE = 3
 """A job that failed on so many machines is thought to fail on every one."""
+BACKOFF_MIN_S, BACKOFF_MAX_S = 2.0, 60.0
+"""How long a job that fails everywhere is left alone after its first probe, and at the most: below
+the 90 s for which no job may wait beside room for it."""
 RAN_WELL_S = 15.0
 """A replica that ran for so long did not fail at its start."""
 KEPT_MAX = 64
-REPLICA_AVOID_S = 120.0
-"""How long a machine where a replica ended early gets none of the job's."""
+AVOID_S = 75.0
+"""How long a machine where a task failed gets none of the job's: below the 90 s for which no job
+may wait beside room for it, since machines that fail tasks may recover."""
 WARM, FETCHED_NOW, COLD = range(3)
 STRETCH_WEIGHT, STRETCH_FROM_S, SHARED_STRETCH = 0.05, 5.0, 1.2
 """How fast it is learned whether fetches at once share a machine's rate, from which length on (a
@@ -96,8 +101,12 @@
 
 
 def ran_well(held: Hold, now: Steady) -> bool:
-    """Tell whether a task ran for a while; of one that was found running nothing else is known."""
-    return held.ran_from is not None and (not held.witnessed or now - held.ran_from >= RAN_WELL_S)
+    """Tell whether a task ran for a while; of a replica that was found running nothing else is
+    known."""
+    if held.ran_from is None:
+        return False
+    found_serving = not held.witnessed and held.job is not None and held.job.endless
+    return found_serving or now - held.ran_from >= RAN_WELL_S
 
 
 class Ended:
@@ -207,7 +216,8 @@
         """Images of the tasks that are here, so also of those being fetched."""
         self.fetches: dict[str, Fetch] = {}
         """Images seen to be fetched."""
-        self.faults: set[str] = set()
+        self.faults: set[JobId] = set()
+        """Jobs that failed here since a task last finished, and that may be sound themselves."""
         self.vcpus = flavour.vcpus
         self.cards = flavour.cards
         self.mem_gb = flavour.mem_gb
@@ -621,17 +631,20 @@
             return
         if done:
             machine.faults.clear()
+            job.failed_on.pop(machine.id, None)
             if not job.cancelled:
                 job.finish(task.number)
                 job.backoff_s = 0.0
             self.book.touch(job)
-        elif known and job.endless and piece.cause in ("done", "error"):
-            self._replica_ended(machine, job, piece.cause, well, now)
-        elif known:
-            self._failed(machine, job, piece.cause or "", now)
+        elif held is None or not known:
+            return
+        elif job.endless and piece.cause in ("done", "error"):
+            self._replica_ended(machine, job, piece.cause, well, held.planned_at, now)
+        else:
+            self._failed(machine, job, piece.cause or "", held.planned_at, now)
 
     def _replica_ended(
-        self, machine: Machine, job: Job, cause: str, well: bool, now: Steady
+        self, machine: Machine, job: Job, cause: str, well: bool, held_since: Steady, now: Steady
     ) -> None:
         """Judge the end of a replica: one that ran well for a while runs again at once, anywhere.
 
@@ -653,28 +666,82 @@
         if well:
             return
         job.failed_on[machine.id] = now
+        if job.backoff_s:
+            self._step(job, held_since, now)
+            return
         if cause == "error":
             machine.faults.add(job.id)
-        lately = {name for name, at in job.failed_on.items() if now - at < REPLICA_AVOID_S}
+        lately = {name for name, at in job.failed_on.items() if now - at < AVOID_S}
         elsewhere = set(job.live.values()) - lately
         if len(lately) >= max(FAILS_ANYWHERE, len(elsewhere) + 1) and not self.serves(job, now):
             self._blame(job, now)
 
     def serves(self, job: Job, now: Steady) -> bool:
-        """Tell whether a replica of the job has run well for a while."""
+        """Tell whether a task of the job runs well, and has for a while."""
         return any(held.phase == RUNNING and ran_well(held, now) for held in self.holds_of(job))
 
     def _blame(self, job: Job, now: Steady) -> None:
-        """The job is at fault, not the machines that it failed on."""
-        for name in job.failed_on:
-            other = self.machines.get(name)
-            if other is not None:
-                other.faults.discard(job.id)
-        job.backoff_s = min(60.0, max(2.0, job.backoff_s * 2))
+        """The job is at fault, not the machines that it failed on: back off, longer each time."""
+        self.forgive(job)
+        job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, job.backoff_s * 2))
         job.backoff_until = Steady(now + job.backoff_s)
-        log.warning("job=%s event=backed-off for_s=%g", job.id, job.backoff_s)
+        if not job.gang:
+            for held in self.holds_of(job):
+                if held.phase == PLANNED:
+                    self.drop(held, now)  # nothing was sent: it need not fail as well
+        log.warning(
+            "job=%s event=backed-off for_s=%g machines=%d",
+            job.id,
+            job.backoff_s,
+            len(job.failed_on),
+        )
+
+    def forgive(self, job: Job) -> None:
+        """Hold a job's failures against no machine: the job is known or likely to be at fault."""
+        for name in job.failed_on:
+            machine = self.machines.get(name)
+            if machine is not None:
+                machine.faults.discard(job.id)
+
+    def sound(self, job_id: JobId, now: Steady) -> bool:
+        """Tell whether a job's failures say something about machines.
 
-    def _failed(self, machine: Machine, job: Job, cause: str, now: Steady) -> None:
+        It succeeded elsewhere, or failed on a single one. A job that is not live any more was
+        completed, or else its failures were forgiven.
+        """
+        job = self.book.get(job_id)
+        if job is None or job.done_count:
+            return True
+        return not job.backoff_s and (len(job.failed_on) == 1 or self.serves(job, now))
+
+    def settle_failures(self, job: Job, now: Steady) -> bool:
+        """See whether a job that backed off runs well after all; if so, take the delay back."""
+        well = [h for h in self.holds_of(job) if h.phase == RUNNING and ran_well(h, now)]
+        if not well:
+            return False
+        job.backoff_s = 0.0
+        if job.endless:
+            job.failed_on.clear()
+        for held in well:
+            job.failed_on.pop(held.machine.id, None)
+        return True
+
+    def probing(self, job: Job) -> bool:
+        """Tell whether a task placed since the job last backed off has yet to show how it ends."""
+        return any(held.planned_at >= job.backoff_until for held in self.holds_of(job))
+
+    def _step(self, job: Job, held_since: Steady, now: Steady) -> None:
+        """A task of a job that backs off has failed too: one step for each probe.
+
+        Found in a replay: each of the tasks placed before the first backoff doubled it, so that it
+        stood at its maximum within half a second, and each was held against its machine anew.
+        """
+        if held_since >= job.backoff_until:
+            self._blame(job, now)
+
+    def _failed(
+        self, machine: Machine, job: Job, cause: str, held_since: Steady, now: Steady
+    ) -> None:
         """Judge a failure: by the job if it fails on several machines, else by the machine."""
         if cause in ("no_room", "in_use", "unknown"):
             # The worker knows better than our sums, or the job's description is not there yet:
@@ -684,12 +751,19 @@
             return
         if cause != "error":
             return
+        if machine.id not in job.failed_on and not job.backoff_s:
+            log.warning("job=%s machine=%s event=task-failed", job.id, machine.id)
         job.failed_on[machine.id] = now
+        if job.backoff_s:
+            self._step(job, held_since, now)
+            return
         machine.faults.add(job.id)
-        log.warning("job=%s machine=%s event=task-failed", job.id, machine.id)
-        elsewhere = set(job.live.values()) - job.failed_on.keys()
-        failing = len(job.failed_on) >= max(FAILS_ANYWHERE, len(elsewhere) + 1)
-        if failing and not job.done_count:
+        if job.done_count or len(job.failed_on) < FAILS_ANYWHERE:
+            return
+        elsewhere = {
+            held.machine.id for held in self.holds_of(job) if held.phase == RUNNING
+        } - job.failed_on.keys()
+        if len(job.failed_on) > len(elsewhere):
             # Not so if it finished tasks or runs on more machines than it failed on: among
             # hundreds, a large array meets several faulty ones at once, and each of them was
             # cleared of its fault by that.
--- a/src/ryewing/placement.py
+++ b/src/ryewing/placement.py
@@ -678,6 +678,8 @@
         else:
             fitting.sort(
                 key=lambda r: (
+                    # A job that backs off may go where it failed, but elsewhere it learns more.
+                    r.machine.id in job.failed_on,
                     r.machine.slow(),
                     r.fetch_rank(run, True) if mending else 0,
                     strands_cards(run, r.machine),
--- a/src/ryewing/placer.py
+++ b/src/ryewing/placer.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import logging
-import math
 import random
 import time
 
@@ -17,9 +16,9 @@
 from .dispatch import Dispatch
 from .jobs import Job, fits_flavour
 from .picture import (
+    AVOID_S,
     FETCHING,
     PLANNED,
-    REPLICA_AVOID_S,
     RUNNING,
     SAVING,
     WARM,
@@ -258,12 +257,8 @@
         if job.cancelled or job.unwritten or now < job.backoff_until:
             # A job's finished batch is written before the job is refilled.
             return False
-        if job.endless and job.backoff_s:
-            if self.ctx.picture.serves(job, now):
-                job.backoff_s = 0.0
-                job.failed_on.clear()
-            elif job.live:
-                return False  # one replica tells whether it still ends at once
+        if job.backoff_s and not self._probed(job, now):
+            return False
         if job.inherited and any(
             allows(job.run, m) and fits_flavour(job.run, m.flavour) for m in unheard
         ):
@@ -273,6 +268,17 @@
             return self._mend(job, now)
         return True
 
+    def _probed(self, job: Job, now: Steady) -> bool:
+        """Tell whether a job that backs off may be placed: one task shows whether it still fails.
+
+        Found in a replay: a task was placed in each pass until the first of them had failed.
+        """
+        if self.ctx.picture.settle_failures(job, now):
+            return True
+        if job.endless:
+            return not job.live
+        return job.gang or not self.ctx.picture.probing(job)
+
     def _mend(self, job: Job, now: Steady) -> bool:
         """See to a gang with some tasks missing; True if they may be replaced.
 
@@ -298,15 +304,13 @@
         """Tell whether a machine failed the job, and the job is not what is at fault.
 
         A job that fails everywhere tries again anywhere: it avoided each machine for good, and new
-        ones were rented for it until it was cancelled. A replica may fail on a sound machine once
-        in a while, and its job never ends.
+        ones were rented for it until it was cancelled. A machine may have recovered since, or have
+        been sound: a job that had failed on each one waited for ever beside room.
         """
-        if (
-            job.endless
-            and steady_now() - job.failed_on.get(machine.id, -math.inf) > REPLICA_AVOID_S
-        ):
+        if job.backoff_s:
             return False
-        return machine.id in job.failed_on and not job.backoff_s
+        failed_at = job.failed_on.get(machine.id)
+        return failed_at is not None and steady_now() - failed_at <= AVOID_S
 
     def _next_attempt(self) -> Attempt:
         self._attempts += 1
--- /dev/null
+++ b/tests/test_failures.py
@@ -0,0 +1,218 @@
+"""Failing tasks: whether the job or the machine is at fault, and what each costs meanwhile."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+import pytest
+from stage import Stage
+from standins import FakeWorker
+
+from ryewing.jobs import Job
+from ryewing.mesh import ImageHint
+from ryewing.picture import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S, RAN_WELL_S
+from ryewing.units import JobId, MachineId
+
+
+def workers_of(stage: Stage, count: int) -> list[FakeWorker]:
+    """Workers to which tasks may be given."""
+    workers = [stage.worker(f"i-{number:06d}") for number in range(count)]
+    stage.ready(*workers)
+    return workers
+
+
+def live_job(stage: Stage, ref: str, **changes: object) -> Job:
+    """A job that was accepted."""
+    found = stage.leader.ctx.book.get(stage.accept(ref, **changes))
+    assert found is not None
+    return found
+
+
+def fail_all(stage: Stage, workers: list[FakeWorker], cause: str = "error") -> None:
+    """Let workers fetch their starts, and everything on them end."""
+    for worker in workers * 2:
+        stage.exchange(worker)
+    for worker in workers:
+        worker.finish(cause)
+        stage.exchange(worker)
+
+
+def failed_job(stage: Stage, workers: list[FakeWorker], ref: str = "run-1") -> Job:
+    """A job whose whole first batch has failed."""
+    job = live_job(stage, ref, pieces=8 * len(workers) + 40)
+    stage.place()
+    fail_all(stage, workers)
+    assert job.backoff_s
+    return job
+
+
+def set_aside(stage: Stage) -> list[str]:
+    """Name the machines that are thought to be faulty."""
+    return [m.id for m in stage.leader.ctx.picture.machines.values() if m.quarantined]
+
+
+def test_a_whole_batch_that_fails_is_one_step(
+    stage: Stage, caplog: pytest.LogCaptureFixture
+) -> None:
+    """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
+    caplog.set_level(logging.INFO, logger="ryewing.picture")
+    workers = workers_of(stage, 5)
+    job = failed_job(stage, workers)
+    assert job.backoff_s == BACKOFF_MIN_S
+    lines = [record.getMessage() for record in caplog.records]
+    assert sum("event=backed-off" in line for line in lines) == 1
+    assert sum("event=task-failed" in line for line in lines) <= len(workers)
+    assert not any(m.faults for m in stage.leader.ctx.picture.machines.values())
+
+
+def test_what_was_not_sent_yet_need_not_fail_as_well(stage: Stage) -> None:
+    workers = workers_of(stage, 4)
+    job = live_job(stage, "run-1", pieces=100)
+    stage.place()
+    fail_all(stage, workers[:3])
+    assert job.backoff_s and not job.live
+    assert not stage.holds(workers[3].name)
+
+
+def test_one_probe_at_a_time_and_a_step_for_each(stage: Stage) -> None:
+    """A task was placed in every pass until the first of them had failed."""
+    workers = workers_of(stage, 4)
+    job = failed_job(stage, workers)
+    seen = [job.backoff_s]
+    for _ in range(7):
+        stage.later(job.backoff_s + 0.1)
+        for worker in workers:
+            stage.exchange(worker)
+        for _ in range(4):
+            stage.place()
+            for worker in workers:
+                stage.exchange(worker)
+        assert len(job.live) == 1
+        fail_all(stage, workers)
+        seen.append(job.backoff_s)
+    assert seen == [2.0, 4.0, 8.0, 16.0, 32.0, BACKOFF_MAX_S, BACKOFF_MAX_S, BACKOFF_MAX_S]
+
+
+@pytest.mark.parametrize("ends", [True, False])
+def test_a_probe_that_does_well_widens_the_job(stage: Stage, ends: bool) -> None:
+    """It ends with success, or runs for longer than what fails at its start."""
+    workers = workers_of(stage, 3)
+    job = failed_job(stage, workers)
+    stage.later(job.backoff_s + 0.1)
+    for worker in workers:
+        stage.exchange(worker)
+    stage.place()
+    for worker in workers * 2:
+        stage.exchange(worker)
+    assert len(job.live) == 1
+    if ends:
+        for worker in workers:
+            worker.finish("done")
+    else:
+        stage.later(RAN_WELL_S + 0.1)
+    for worker in workers:
+        stage.exchange(worker)
+    stage.write()
+    stage.place()
+    assert not job.backoff_s
+    assert len(job.live) > 1
+
+
+def test_a_machine_that_has_recovered_is_used_again(stage: Stage) -> None:
+    """A job that had failed on every machine, and finished tasks on each, waited for ever."""
+    workers = workers_of(stage, 2)
+    job = live_job(stage, "run-1", pieces=60)
+    job.finish(59)
+    stage.leader.ctx.book.touch(job)
+    stage.write()
+    stage.place()
+    assert len(set(job.live.values())) == 2
+    fail_all(stage, workers)
+    stage.place()
+    assert not job.live and not job.backoff_s
+    stage.later(AVOID_S + 0.1)
+    for worker in workers:
+        stage.exchange(worker)
+    stage.place()
+    assert job.live and AVOID_S < 90.0
+
+
+def test_a_probe_goes_where_the_job_has_not_failed(stage: Stage) -> None:
+    """A sound job that met several faulty machines finds out sooner."""
+    workers = workers_of(stage, 4)
+    job = live_job(stage, "run-1", pieces=60)
+    stage.place()
+    fail_all(stage, workers[:3])
+    assert job.backoff_s
+    stage.later(job.backoff_s + 0.1)
+    for worker in workers:
+        stage.exchange(worker)
+    stage.place()
+    assert [worker.name for worker in workers if stage.holds(worker.name)] == [workers[3].name]
+
+
+def test_a_sound_job_that_meets_one_faulty_machine_goes_on(stage: Stage) -> None:
+    workers = workers_of(stage, 4)
+    job = live_job(stage, "run-1", pieces=60)
+    stage.place()
+    fail_all(stage, workers[:1])
+    stage.place()
+    assert not job.backoff_s
+    for worker in workers * 2:
+        stage.exchange(worker)
+    assert sum(len(stage.holds(worker.name)) for worker in workers[1:]) == 24
+    assert not stage.holds(workers[0].name)
+
+
+@pytest.mark.parametrize("sound", [True, False])
+def test_jobs_that_fail_everywhere_set_no_machine_aside(stage: Stage, sound: bool) -> None:
+    """Found in inc-f5fb: a new leader set eleven sound machines aside within two seconds."""
+    workers = workers_of(stage, 9)
+    jobs = [live_job(stage, f"run-{n}", pieces=24, vcpus=1.0) for n in (1, 2)]
+    stage.place()
+    for worker in workers * 2:
+        stage.exchange(worker)
+    if sound:
+        for job in jobs:
+            job.finish(23)
+    on_both = [w for w in workers if len({key[0].split("/")[0] for key in w.pieces}) == 2]
+    assert on_both
+    for worker in workers[:2] if sound else workers:
+        worker.finish("error")
+        stage.exchange(worker)
+    assert bool(set_aside(stage)) is sound
+
+
+def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(stage: Stage) -> None:
+    workers = workers_of(stage, 2)
+    job = live_job(stage, "run-1", pieces=8)
+    stage.place()
+    fail_all(stage, workers[:1])
+    machine = stage.leader.ctx.picture.machines[MachineId(workers[0].name)]
+    assert machine.faults == {job.id}
+    stage.leader.take_cancel(job.id)
+    assert not machine.faults
+
+
+def test_a_successor_is_told_which_jobs_fail_everywhere(stage: Stage) -> None:
+    """Found in replays: each new leader let a whole batch of such jobs fail once more."""
+    workers = workers_of(stage, 4)
+    job = failed_job(stage, workers)
+    sound = live_job(stage, "run-2", pieces=2)
+    sound.finish(0)
+    stage.leader.ctx.book.touch(sound)
+    stage.write()
+    told = stage.leader.image_hint()
+    assert told.failing == {job.id: BACKOFF_MIN_S}
+    told.failing[sound.id] = 60.0  # it has finished something since
+    told.failing["run-999"] = 60.0  # gone meanwhile
+    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageHint)
+    leader = stage.new_leader(6, again)
+    assert not leader.ctx.book.jobs[sound.id].backoff_s
+    stage.ready(*workers)
+    stage.place()
+    inherited = leader.ctx.book.jobs[JobId("run-1")]
+    assert len(inherited.live) == 1
+    fail_all(stage, workers)
+    assert inherited.backoff_s == 2 * BACKOFF_MIN_S
--- a/tests/test_pure.py
+++ b/tests/test_pure.py
@@ -721,7 +721,7 @@
     """Found in inc-9466: 32 tasks of other jobs followed 16 failed ones onto a faulty machine."""
     world = World()
     suspect = world.machine("i-1")
-    suspect.faults.add("run-9")
+    suspect.faults.add(JobId("run-9"))
     one = world.job("run-1", pieces=8)
     assert spread_of(world.plan(one)) == {"i-1": 1}
     world.put(one, suspect, 1)
