--- a/src/ryewing/mesh.py
+++ b/src/ryewing/mesh.py
@@ -22,6 +22,10 @@
 log = logging.getLogger("ryewing.mesh")
 FRAME_MAX = 4 * 1024 * 1024
 IDLE_S = 60.0
+KEPT_CONNECTIONS = 4
+ASKS_AT_ONCE = 32
+"""Asks to one controller that may wait for their answers: each takes a socket and a greenlet, and
+one that is silent answers none, while users ask many times as often."""
 
 
 class PollJob(msgspec.Struct, tag="poll"):
@@ -132,10 +136,22 @@
     def __init__(self, address: Address) -> None:
         self._address = address
         self._idle: deque[socket.socket] = deque()
+        self.under_way = 0
+        """Asks that wait for their answer."""
 
     def ask(self, ask: Ask, deadline_s: float) -> Answer:
         """Ask, and wait for the answer; raise PeerSilent without one."""
+        if self.under_way >= ASKS_AT_ONCE:
+            raise PeerSilent("too many asks under way")
+        self.under_way += 1
+        try:
+            return self._exchange(ask, deadline_s)
+        finally:
+            self.under_way -= 1
+
+    def _exchange(self, ask: Ask, deadline_s: float) -> Answer:
         sock: socket.socket | None = self._idle.pop() if self._idle else None
+        done = False
         try:
             with gevent.Timeout(deadline_s, TimeoutError("deadline")):
                 if sock is None:
@@ -144,19 +160,21 @@
                     sock.connect(self._address)
                 _write_frame(sock, ask)
                 answer = _answer_decoder.decode(_read_frame(sock))
+                done = True
+                return answer
         except (OSError, EOFError, msgspec.DecodeError) as error:
-            if sock is not None:
-                sock.close()
+            # The kept connections share the fate of this one: each would cost a deadline more.
+            self._close_idle()
             raise PeerSilent(f"{type(error).__name__}: {error}") from None
-        except BaseException:
-            if sock is not None:
+        finally:
+            if sock is not None and done and len(self._idle) < KEPT_CONNECTIONS:
+                self._idle.append(sock)
+            elif sock is not None:
                 sock.close()
-            raise
-        if len(self._idle) < 4:
-            self._idle.append(sock)
-        else:
-            sock.close()
-        return answer
+
+    def _close_idle(self) -> None:
+        while self._idle:
+            self._idle.pop().close()
 
 
 class MeshServer:
--- /dev/null
+++ b/tests/test_mesh.py
@@ -0,0 +1,79 @@
+"""The connections between controllers: a peer that is silent, and one that is back."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import gevent
+import pytest
+from gevent import socket
+
+from ryewing.mesh import ASKS_AT_ONCE, Ack, Ask, JobState, MeshServer, Peer, PeerSilent, PollJob
+from ryewing.settings import Address
+
+SOON_S = 0.3
+PATIENT_S = 30.0
+
+
+@pytest.fixture
+def silent() -> Iterator[Address]:
+    """A controller whose process stands still: connections are made, nothing is read."""
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(1024)
+    yield listener.getsockname()
+    listener.close()
+
+
+def answering(address: Address = ("127.0.0.1", 0)) -> MeshServer:
+    """A controller that answers every poll."""
+
+    def handle(ask: Ask) -> JobState | Ack:
+        return JobState("running") if isinstance(ask, PollJob) else Ack(True)
+
+    server = MeshServer(address, handle, 100)
+    server.start()
+    return server
+
+
+def test_asks_to_a_silent_peer_are_bounded(silent: Address) -> None:
+    """Each takes a socket and a greenlet until its deadline."""
+    peer = Peer(silent)
+    outcomes: list[str] = []
+
+    def ask() -> None:
+        try:
+            peer.ask(PollJob("run-1"), PATIENT_S)
+        except PeerSilent as error:
+            outcomes.append(str(error))
+
+    asks = [gevent.spawn(ask) for _ in range(10 * ASKS_AT_ONCE)]
+    for _ in range(5):
+        gevent.sleep(0)
+    assert peer.under_way == ASKS_AT_ONCE
+    assert len(outcomes) == 9 * ASKS_AT_ONCE  # told at once, so that the store can be read
+    gevent.killall(asks)
+    assert peer.under_way == 0
+
+
+def test_a_peer_that_is_back_is_asked_over_a_new_connection() -> None:
+    """Every kept connection would cost one more deadline."""
+    server = answering()
+    address: Address = server._server.address
+    peer = Peer(address)
+    together = [gevent.spawn(peer.ask, PollJob("run-1"), PATIENT_S) for _ in range(4)]
+    gevent.joinall(together, raise_error=True)
+    assert len(peer._idle) == 4
+    server.stop()  # as a process that ends
+    server = answering(address)
+    with pytest.raises(PeerSilent):
+        peer.ask(PollJob("run-1"), PATIENT_S)
+    assert peer.ask(PollJob("run-1"), PATIENT_S) == JobState("running")
+    server.stop()
+
+
+def test_a_deadline_leaves_nothing_behind(silent: Address) -> None:
+    peer = Peer(silent)
+    with pytest.raises(PeerSilent):
+        peer.ask(PollJob("run-1"), SOON_S)
+    assert peer.under_way == 0 and not peer._idle
