--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -213,6 +213,12 @@
         """It can't reach any controller; direct commands reach it."""
         self.deaf = False
         """Its reports arrive; answers and direct commands are lost."""
+        self.holds_up = False
+        """Direct commands get no answer, and are carried out when `catch_up` is called."""
+        self._held_up: list[tuple[Token, int, list[Order]]] = []
+        self.answer_s = 0.0
+        """How long the answer to a report is on its way."""
+        self._answer: tuple[float, Callable[[], None]] | None = None
         self.addr = self.report().addr
 
     def execute(self, mandate: int, orders: list[Order]) -> bool:
@@ -227,12 +233,15 @@
         now = self._cluster.clock()
         if self.hangs:
             return
+        if self._answer is not None and now >= self._answer[0]:
+            arrive, self._answer = self._answer[1], None
+            arrive()
         if now > self.lease_from + self._cluster.settings.params.workers.lease_s:
             self.tenure += 1
             self.tick = 0
             self.pieces.clear()
             self.lease_from = now
-        if now >= self.next_report:
+        if now >= self.next_report and self._answer is None:
             self.next_report = now + self._cluster.settings.params.workers.report_s
             self.report_now()
 
@@ -247,6 +256,17 @@
         status, answer = cluster.report(self.node, sent)
         if self.deaf:
             return sent
+        if self.answer_s:
+            tenure = self.tenure
+            self._answer = (
+                sent_at + self.answer_s,
+                lambda: self._heed(sent_at, status, answer) if tenure == self.tenure else None,
+            )
+        else:
+            self._heed(sent_at, status, answer)
+        return sent
+
+    def _heed(self, sent_at: float, status: int, answer: Any) -> None:
         if status == 200:
             response = msgspec.convert(answer, type=dict[str, Any])
             orders = msgspec.convert(response["orders"], type=list[Order])
@@ -259,7 +279,17 @@
             self.next_report = sent_at + STEP_S
         else:
             self._next()
-        return sent
+
+    def hold_up(self, token: Token, tenure: int, orders: list[Order]) -> None:
+        """A direct command is on its way for longer than its sender waits."""
+        self._held_up.append((token, tenure, copy.deepcopy(orders)))
+
+    def catch_up(self) -> None:
+        """Carry out the direct commands that were held up, if token and session still match."""
+        held_up, self._held_up = self._held_up, []
+        for token, tenure, orders in held_up:
+            if token >= self.mandate and tenure == self.tenure:
+                self.execute(token, orders)
 
     def _next(self) -> None:
         self.node = NAMES[(NAMES.index(self.node) + 1) % len(NAMES)]
@@ -280,6 +310,9 @@
         [worker] = found
         if worker.hangs or worker.deaf or self._here in worker.unreachable:
             raise WorkerSilent("deadline")
+        if worker.holds_up:
+            worker.hold_up(token, tenure, orders)
+            raise WorkerSilent("deadline")
         if token >= worker.mandate and tenure == worker.tenure:
             worker.execute(token, orders)
         return worker.report()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -309,7 +309,11 @@
         """End everything that runs here."""
         for key, piece in self.pieces.items():
             if piece.status != "ended":
-                self.pieces[key] = ReportedPiece(piece.piece, piece.attempt, "ended", cause)
+                self.end_task(key, cause)
+
+    def end_task(self, key: tuple[str, int], cause: str = "done") -> None:
+        """End one task."""
+        self.pieces[key] = ReportedPiece(*key, "ended", cause)
 
 
 def leadership(term: int = 5, authority: Authority | None = None) -> Leadership:
