--- a/src/ryewing/node.py
+++ b/src/ryewing/node.py
@@ -9,8 +9,9 @@
 import gevent
 
 from . import __version__, catalogue
-from .api import Api, ApiServer, Finals
+from .api import Api, Finals
 from .budget import Budget
+from .http_server import HttpServer
 from .jobs import CANCELLED, DONE
 from .leader import CUT, UNFOLLOWED, Leader
 from .leadership import (
@@ -93,7 +94,7 @@
         self._peers = {m.node: Peer(parse_address(m.address)) for m in settings.members}
         self._relay_budget = Budget(0.2 * limits.rps, 0.2 * limits.rps)
         sockets = settings.params.resources.fd_limit
-        self._api = ApiServer(
+        self._api = HttpServer(
             parse_address(settings.api_addr), Api(self), max(16, int(API_SHARE * sockets))
         )
         self._mesh = MeshServer(
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -10,7 +10,8 @@
 import pytest
 from standins import CPU, GPU, FakeStore, policy, run, settings, submission
 
-from ryewing.api import HEADER_BYTES, HEADERS_MAX, Api, Finals, RequestHeaders
+from ryewing.api import Api, Finals
+from ryewing.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
 from ryewing.jobs import JobRecord, final_key, live_key
 from ryewing.store import Put
 from ryewing.units import JobId
@@ -246,8 +247,8 @@
         (b"Content-Length: 12\r\nContent-Length: 13\r\n", True, None),
         (b"no colon\r\n", True, None),
         (b"Bad : 1\r\n", True, None),
-        (b"A: " + b"x" * HEADER_BYTES + b"\r\n", True, None),
-        (b"".join(b"H%d: 1\r\n" % n for n in range(HEADERS_MAX)), True, None),
+        (b"A: " + b"x" * MAX_HEADER_BYTES + b"\r\n", True, None),
+        (b"".join(b"H%d: 1\r\n" % n for n in range(MAX_HEADERS)), True, None),
         (b"", False, None),
     ],
 )
