--- a/src/ryewing/wire.py
+++ b/src/ryewing/wire.py
@@ -1,7 +1,8 @@
 """msgspec structs of every body that crosses the service's outside border.
 
-The protocol's own field names (`mandate`, `pieces`, `loaner`, ...) appear here and in the
-clients that fill these structs; inside, the domain words are used.
+The attributes have the usual names of the field; the protocol's own names (`mandate`, `pieces`,
+`loaner`, ...) are only the keys of the JSON, given to each struct as `rename`. The glossary in
+`docs/design.md` sets both beside each other.
 """
 
 from __future__ import annotations
@@ -13,215 +14,284 @@
 
 BODY_LIMIT = 64 * 1024
 MAX_TASKS = 100_000
-RANKS = ("production", "urgent", "standard", "idle")
+PRIORITIES = ("production", "urgent", "standard", "idle")
 """From the most to the least important."""
 BATCH, GROUP, DAEMON = SHAPES = ("batch", "group", "daemon")
 """Tasks that run to completion, tasks that run all at once, and tasks (replicas) that run until the
 job is cancelled."""
 
 
-class Run(msgspec.Struct, omit_defaults=True):
+_JOB_SPEC_KEYS = {
+    "id": "ref",
+    "job_class": "jobclass",
+    "team": "owner",
+    "priority": "rank",
+    "task_count": "pieces",
+    "cpus": "vcpus",
+    "gpus": "cards",
+    "memory_gb": "mem_gb",
+    "image": "bundle",
+    "estimated_s": "guess_s",
+    "checkpoint_s": "savepoint_s",
+    "save_s": "flush_s",
+    "machine_types": "flavours",
+    "zone": "site",
+    "same_zone": "together",
+    "spot": "loaner",
+    "deadline_s": "due_s",
+}
+
+
+class JobSpec(msgspec.Struct, omit_defaults=True, rename=_JOB_SPEC_KEYS):
     """A job as its user submits it."""
 
-    ref: str
-    jobclass: str
-    owner: str
+    id: str
+    job_class: str
+    team: str
     shape: str
-    rank: str
-    pieces: int
-    vcpus: float
-    cards: float
-    mem_gb: float
-    bundle: str
+    priority: str
+    task_count: int
+    cpus: float
+    gpus: float
+    memory_gb: float
+    image: str
     image_gb: float
-    guess_s: float
-    savepoint_s: float
-    flush_s: float
-    flavours: list[str] | None = None
-    site: str | None = None
-    together: bool = False
+    estimated_s: float
+    checkpoint_s: float
+    save_s: float
+    machine_types: list[str] | None = None
+    zone: str | None = None
+    same_zone: bool = False
     spread: bool = False
-    loaner: bool = False
-    due_s: float | None = None
+    spot: bool = False
+    deadline_s: float | None = None
 
 
-class ReportedPiece(msgspec.Struct):
+class ReportedTask(msgspec.Struct, rename={"task_id": "piece", "attempt": "try"}):
     """One task attempt as its worker sees it."""
 
-    piece: str
-    attempt: int = msgspec.field(name="try")
+    task_id: str
+    attempt: int
     status: str
     cause: str | None = None
     saved: bool = False
 
 
-class Report(msgspec.Struct):
+_REPORT_KEYS = {
+    "machine": "host",
+    "session": "tenure",
+    "sequence": "tick",
+    "token": "mandate",
+    "machine_type": "flavour",
+    "zone": "site",
+    "address": "addr",
+    "spot": "loaner",
+    "notice_s": "warning_s",
+    "tasks": "pieces",
+}
+
+
+class Report(msgspec.Struct, rename=_REPORT_KEYS):
     """What a worker reports; also the body of `/orders` and `/show`."""
 
-    host: str
-    tenure: int
-    tick: int
-    mandate: int
-    flavour: str
-    site: str
-    addr: str = ""
-    loaner: bool = False
-    warning_s: float | None = None
-    pieces: list[ReportedPiece] = []
+    machine: str
+    session: int
+    sequence: int
+    token: int
+    machine_type: str
+    zone: str
+    address: str = ""
+    spot: bool = False
+    notice_s: float | None = None
+    tasks: list[ReportedTask] = []
+
+
+_COMMAND_KEYS = {"task_id": "piece", "attempt": "try", "grace_s": "mercy_s"}
 
 
-class Order(msgspec.Struct, omit_defaults=True):
+class Command(msgspec.Struct, omit_defaults=True, rename=_COMMAND_KEYS):
     """One command for a worker."""
 
     verb: str
-    piece: str
-    attempt: int = msgspec.field(name="try")
-    mercy_s: float | None = None
+    task_id: str
+    attempt: int
+    grace_s: float | None = None
 
 
-class ReportAnswer(msgspec.Struct):
+class ReportAnswer(msgspec.Struct, rename={"token": "mandate", "commands": "orders"}):
     """The 200 to a report."""
 
-    mandate: int
-    orders: list[Order]
+    token: int
+    commands: list[Command]
 
 
-class Orders(msgspec.Struct):
+_DIRECT_COMMANDS_KEYS = {"token": "mandate", "session": "tenure", "commands": "orders"}
+
+
+class DirectCommands(msgspec.Struct, rename=_DIRECT_COMMANDS_KEYS):
     """The body of a direct command."""
 
-    mandate: int
-    tenure: int
-    orders: list[Order]
+    token: int
+    session: int
+    commands: list[Command]
 
 
-class RunStatus(msgspec.Struct, omit_defaults=True):
+class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "ref"}):
     """What a user is told of a job."""
 
-    ref: str
+    id: str
     status: str
     done: int | None = None
     running: int | None = None
 
 
-class Flavour(msgspec.Struct, frozen=True):
+_MACHINE_TYPE_KEYS = {
+    "name": "sku",
+    "cpus": "vcpus",
+    "memory_gb": "mem_gb",
+    "zones": "sites",
+    "gpus": "cards",
+    "cache_gb": "local_gb",
+    "boot_s": "ready_s",
+}
+
+
+class MachineType(msgspec.Struct, frozen=True, rename=_MACHINE_TYPE_KEYS):
     """A machine type of the cloud."""
 
-    sku: str
-    vcpus: float
-    mem_gb: float
+    name: str
+    cpus: float
+    memory_gb: float
     price: float
-    sites: tuple[str, ...]
-    cards: float = 0.0
+    zones: tuple[str, ...]
+    gpus: float = 0.0
     spot_price: float | None = None
-    local_gb: float = 0.0
+    cache_gb: float = 0.0
     fetch_gb_per_s: float = 1.0
-    ready_s: float = 30.0
+    boot_s: float = 30.0
 
 
-class FlavourList(msgspec.Struct):
+class MachineTypeList(msgspec.Struct, rename={"machine_types": "flavours"}):
     """The answer of `/machine_types`; also how the types are kept in the store."""
 
-    flavours: list[Flavour]
+    machine_types: list[MachineType]
+
 
+_RENTAL_KEYS = {
+    "id": "hire",
+    "machine_type": "flavour",
+    "zone": "site",
+    "spot": "loaner",
+    "count": "how_many",
+}
 
-class Hire(msgspec.Struct):
-    """A request for machines. Its name is never used for another one."""
 
-    hire: str
-    flavour: str
-    site: str
-    loaner: bool
-    how_many: int
+class RentalRequest(msgspec.Struct, rename=_RENTAL_KEYS):
+    """A request for machines. Its id is never used for another one."""
 
+    id: str
+    machine_type: str
+    zone: str
+    spot: bool
+    count: int
 
-class Hosts(msgspec.Struct):
+
+class MachineNames(msgspec.Struct, rename={"machines": "hosts"}):
     """Names of machines, rented or to be released."""
 
-    hosts: list[str]
+    machines: list[str]
+
 
+_LISTED_MACHINE_KEYS = {
+    "id": "ref",
+    "machine_type": "flavour",
+    "zone": "site",
+    "address": "addr",
+    "spot": "loaner",
+}
 
-class ListedHost(msgspec.Struct):
+
+class ListedMachine(msgspec.Struct, rename=_LISTED_MACHINE_KEYS):
     """One line of the cloud's machine list."""
 
-    ref: str
-    flavour: str
-    site: str
+    id: str
+    machine_type: str
+    zone: str
     status: str
-    addr: str = ""
-    loaner: bool = False
+    address: str = ""
+    spot: bool = False
     age_s: float = 0.0
 
 
-class HostPage(msgspec.Struct):
+class MachinePage(msgspec.Struct, rename={"machines": "hosts"}):
     """One page of the machine list."""
 
-    hosts: list[ListedHost]
+    machines: list[ListedMachine]
     has_next: bool = False
 
 
-class Entry(msgspec.Struct):
+class Entry(msgspec.Struct, rename={"key": "k", "key_version": "stamp"}):
     """One key of the store."""
 
-    k: str
+    key: str
     data: msgspec.Raw
-    stamp: int
+    key_version: int
 
 
-class EntryPage(msgspec.Struct):
+class EntryPage(msgspec.Struct, rename={"entries": "pairs", "revision": "epoch"}):
     """One page of a listing."""
 
-    pairs: list[Entry]
-    epoch: int
+    entries: list[Entry]
+    revision: int
     has_next: bool = False
 
 
-class Change(msgspec.Struct):
+class Change(msgspec.Struct, rename={"key_version": "stamp"}):
     """One change from a watch: a `set` with data, or a `remove`."""
 
-    stamp: int
+    key_version: int
     set: str | None = None
     remove: str | None = None
     data: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class ChangeLog(msgspec.Struct):
+class ChangeLog(msgspec.Struct, rename={"revision": "epoch"}):
     """The answer of a watch."""
 
-    epoch: int
+    revision: int
     log: list[Change] = []
 
 
-class TxnAnswer(msgspec.Struct):
+class TxnAnswer(msgspec.Struct, rename={"revision": "epoch"}):
     """The answer of a transaction."""
 
-    epoch: int = 0
+    revision: int = 0
     failed: list[str] = []
 
 
-class HoldAnswer(msgspec.Struct):
+class LeaseGranted(msgspec.Struct, rename={"lease": "tenancy"}):
     """The answer to a request for a lease of the store."""
 
-    tenancy: int
+    lease: int
 
 
 class Malformed(ValueError):
     """A body that no retry can make right."""
 
 
-class _Given(msgspec.Struct):
-    """The fields of a submission that a stored job may lack."""
+class _RequiredFlags(msgspec.Struct, rename=_JOB_SPEC_KEYS):
+    """The fields of a submission that a stored job leaves out where they are false.
 
-    together: bool | msgspec.UnsetType = msgspec.UNSET
-    spread: bool | msgspec.UnsetType = msgspec.UNSET
-    loaner: bool | msgspec.UnsetType = msgspec.UNSET
+    A user has to say them: only what may be null may be omitted. Jobs without them were accepted.
+    """
 
+    same_zone: bool | msgspec.UnsetType = msgspec.UNSET
+    spread: bool | msgspec.UnsetType = msgspec.UNSET
+    spot: bool | msgspec.UnsetType = msgspec.UNSET
 
-STORED_WITHOUT = _Given.__struct_fields__
-"""False is left out of what is stored, but a user has to say it: only what may be null may be
-omitted. Jobs without these fields were accepted."""
 
-_run_decoder = msgspec.json.Decoder(Run)
-_given_decoder = msgspec.json.Decoder(_Given)
+_job_spec_decoder = msgspec.json.Decoder(JobSpec)
+_required_flags_decoder = msgspec.json.Decoder(_RequiredFlags)
 _report_decoder = msgspec.json.Decoder(Report)
 
 
@@ -236,32 +306,47 @@
     return value
 
 
-def read_run(body: bytes) -> Run:
-    """Decode and check a submission; raise Malformed with the field's name."""
+def read_job_spec(body: bytes) -> JobSpec:
+    """Decode and check a submission; raise Malformed with the protocol's name of the field."""
     try:
-        run = _run_decoder.decode(body)
-        given = _given_decoder.decode(body)
+        spec = _job_spec_decoder.decode(body)
+        flags = _required_flags_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise Malformed(str(error)) from None
-    for name in STORED_WITHOUT:
-        if getattr(given, name) is msgspec.UNSET:
-            raise Malformed(f"{name}: missing")
-    if run.shape not in SHAPES:
+    for field in msgspec.structs.fields(flags):
+        if getattr(flags, field.name) is msgspec.UNSET:
+            raise Malformed(f"{field.encode_name}: missing")
+    if spec.shape not in SHAPES:
         raise Malformed(f"shape: must be one of {', '.join(SHAPES)}")
-    if run.rank not in RANKS:
-        raise Malformed(f"rank: must be one of {', '.join(RANKS)}")
-    if not 1 <= run.pieces <= MAX_TASKS:
+    if spec.priority not in PRIORITIES:
+        raise Malformed(f"rank: must be one of {', '.join(PRIORITIES)}")
+    if not 1 <= spec.task_count <= MAX_TASKS:
         raise Malformed(f"pieces: must be from 1 to {MAX_TASKS}")
-    for name in ("vcpus", "cards", "mem_gb", "image_gb", "guess_s", "savepoint_s", "flush_s"):
-        value = getattr(run, name)
-        if not math.isfinite(value) or value < 0:
-            raise Malformed(f"{name}: must be a finite number, 0 or more")
-    if run.due_s is not None and (not math.isfinite(run.due_s) or run.due_s < 0):
-        raise Malformed("due_s: must be a finite number, 0 or more")
-    for name in ("jobclass", "owner", "bundle"):
-        if not getattr(run, name):
-            raise Malformed(f"{name}: must not be empty")
-    return run
+    _check_amounts(spec)
+    for name in ("job_class", "team", "image"):
+        if not getattr(spec, name):
+            raise Malformed(f"{_JOB_SPEC_KEYS[name]}: must not be empty")
+    return spec
+
+
+_AMOUNTS = (
+    "cpus",
+    "gpus",
+    "memory_gb",
+    "image_gb",
+    "estimated_s",
+    "checkpoint_s",
+    "save_s",
+    "deadline_s",
+)
+
+
+def _check_amounts(spec: JobSpec) -> None:
+    for name in _AMOUNTS:
+        value = getattr(spec, name)
+        if value is not None and (not math.isfinite(value) or value < 0):
+            key = _JOB_SPEC_KEYS.get(name, name)
+            raise Malformed(f"{key}: must be a finite number, 0 or more")
 
 
 def read_report(body: bytes) -> Report:
--- a/src/ryewing/workers.py
+++ b/src/ryewing/workers.py
@@ -15,7 +15,7 @@
 from .settings import parse_address
 from .transport import HttpClient, Unreachable
 from .units import Token
-from .wire import Malformed, Order, Orders, Report, read_report
+from .wire import Command, DirectCommands, Malformed, Report, read_report
 
 DEADLINE_S = 2.0
 KEPT_SHARE = 0.07
@@ -33,25 +33,25 @@
         self._keep = max(8, int(KEPT_SHARE * sockets))
         self._clients: OrderedDict[str, HttpClient] = OrderedDict()
 
-    def _client(self, addr: str) -> HttpClient:
-        client = self._clients.pop(addr, None)
+    def _client(self, address: str) -> HttpClient:
+        client = self._clients.pop(address, None)
         if client is None:
-            client = HttpClient(parse_address(addr), 1)
-        self._clients[addr] = client
+            client = HttpClient(parse_address(address), 1)
+        self._clients[address] = client
         if len(self._clients) > self._keep:
             self._clients.popitem(last=False)[1].close()
         return client
 
-    def send(self, addr: str, token: Token, tenure: int, orders: Sequence[Order]) -> Report:
+    def send(self, address: str, token: Token, session: int, commands: Sequence[Command]) -> Report:
         """Send commands; return the worker's report, which tells if they were taken.
 
         An empty list is the handshake: a worker that takes it refuses older terms from then on.
         """
-        if any(order.verb == "start" for order in orders):
+        if any(command.verb == "start" for command in commands):
             raise ValueError("starts ride in report responses only")
-        body = msgspec.json.encode(Orders(int(token), tenure, list(orders)))
+        body = msgspec.json.encode(DirectCommands(int(token), session, list(commands)))
         try:
-            client = self._client(addr)
+            client = self._client(address)
             reply = client.request("POST", "/orders", body, DEADLINE_S)
         except (Unreachable, ValueError) as error:
             raise WorkerSilent(str(error)) from None
@@ -62,8 +62,8 @@
         except Malformed as error:
             raise WorkerSilent(str(error)) from None
 
-    def forget(self, addr: str) -> None:
+    def forget(self, address: str) -> None:
         """Drop what is kept for an address whose machine is gone."""
-        client = self._clients.pop(addr, None)
+        client = self._clients.pop(address, None)
         if client is not None:
             client.close()
--- a/src/ryewing/writer.py
+++ b/src/ryewing/writer.py
@@ -30,7 +30,7 @@
 from .picture import Machine
 from .store import Put, Rejected, Remove, StoreDown, readable
 from .term import TermContext
-from .units import Epoch, JobId, MachineId, Stamp, Steady, steady_now
+from .units import JobId, KeyVersion, MachineId, Revision, Steady, steady_now
 
 log = logging.getLogger("ryewing.writer")
 
@@ -44,13 +44,21 @@
 """What a change of a single small key counts."""
 
 
-class MachineRecord(msgspec.Struct):
+_MACHINE_RECORD_KEYS = {
+    "machine_type": "flavour",
+    "zone": "site",
+    "spot": "loaner",
+    "address": "addr",
+}
+
+
+class MachineRecord(msgspec.Struct, rename=_MACHINE_RECORD_KEYS):
     """One machine, in a value of `m/<n>`."""
 
-    flavour: str
-    site: str
-    loaner: bool = False
-    addr: str = ""
+    machine_type: str
+    zone: str
+    spot: bool = False
+    address: str = ""
     heard: bool = False
     """Written before the machine's first task: without it, it can't have any."""
 
@@ -64,8 +72,8 @@
         self,
         ops: Sequence[Put | Remove],
         key: str,
-        conditions: dict[str, Stamp],
-        done: Callable[[Epoch], None],
+        conditions: dict[str, KeyVersion],
+        done: Callable[[Revision], None],
         conflict: Callable[[str], None] | None = None,
         size: int = SMALL,
         refused: Callable[[], bool] = lambda: False,
@@ -88,7 +96,7 @@
         self,
         ctx: TermContext,
         on_final: Callable[[JobId, str], None],
-        on_record: Callable[[str, msgspec.Raw, Stamp], None],
+        on_record: Callable[[str, msgspec.Raw, KeyVersion], None],
     ) -> None:
         self.ctx = ctx
         # No notice comes of limits that fall: what is written keeps to the stricter ones.
@@ -141,7 +149,7 @@
             # heard by its predecessor, and wrote that they never were.
             heard = machine.heard_at is not None or machine.recorded
             record = MachineRecord(
-                machine.flavour.sku, machine.site, machine.loaner, machine.addr, heard
+                machine.machine_type.name, machine.zone, machine.spot, machine.address, heard
             )
             number = self.machines.put(name, record)
             recorded.setdefault(number, []).append((machine, heard))
@@ -187,8 +195,8 @@
     def _packed(self, packed: Packed, number: int, done: Callable[[], None]) -> _Write:
         change = packed.change(number, self._ops_max, TXN_BYTES)
 
-        def written(epoch: Epoch) -> None:
-            packed.written(change, epoch)
+        def written(revision: Revision) -> None:
+            packed.written(change, revision)
             if number in change.versions:
                 done()
 
@@ -209,7 +217,7 @@
         return _Write(
             [Put(final_key(job.id), {"status": status}), Remove(live_key(job.id))],
             live_key(job.id),
-            {live_key(job.id): job.stamp},
+            {live_key(job.id): job.key_version},
             lambda _epoch: self._finalised(job, status),
             lambda _key: self._reconcile(job),
         )
@@ -221,7 +229,7 @@
         if not wanted:
             return False
         chosen: list[_Write] = []
-        conditions: dict[str, Stamp] = {}
+        conditions: dict[str, KeyVersion] = {}
         ops: list[Put | Remove] = []
         size = 0
         for write in wanted:
@@ -251,7 +259,7 @@
             raise
         if result.ok:
             for write in chosen:
-                write.done(result.epoch)
+                write.done(result.revision)
         elif self.ctx.leadership.lost_by(result):
             self.ctx.lose("fenced")
             return False
@@ -284,18 +292,18 @@
         if not chosen[0].refused():
             self._aside[chosen[0].key] = Steady(now + ASIDE_S)
 
-    def _forget(self, key: str) -> Callable[[Epoch], None]:
+    def _forget(self, key: str) -> Callable[[Revision], None]:
         return lambda _epoch: self.to_forget.pop(key, None)
 
     def _reconcile(self, job: Job) -> None:
         """A final write met another version: a cancel won, or an earlier try was applied."""
         entry = self.ctx.store.get(live_key(job.id))
         if entry is not None:
-            self._on_record(entry.k, entry.data, Stamp(entry.stamp))
+            self._on_record(entry.key, entry.data, KeyVersion(entry.key_version))
             return
         final = self.ctx.store.get(final_key(job.id))
         if final is not None:
-            record = readable(final.data, FinalRecord, final.k)
+            record = readable(final.data, FinalRecord, final.key)
             if record is not None:
                 self._finalised(job, record.status)
 
@@ -324,7 +332,7 @@
             self.finishes.drop(done_name(job.id, chunk))
         self._on_final(job.id, status)
         self.settled(job)
-        log.info("event=final job=%s status=%s tasks=%d", job.id, status, job.run.pieces)
+        log.info("event=final job=%s status=%s tasks=%d", job.id, status, job.spec.task_count)
 
 
 def _nothing() -> None:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -23,7 +23,7 @@
     FakeCloud,
     FakeStore,
     FakeWorker,
-    run,
+    job_spec,
     settings,
     submission,
 )
@@ -38,8 +38,8 @@
 from ryewing.policy import defaults
 from ryewing.settings import Settings
 from ryewing.store import Put, Remove, StoreDown, TxnResult
-from ryewing.units import Epoch, MachineId, Stamp, Token, is_job_id, parse_task
-from ryewing.wire import Change, ChangeLog, Entry, FlavourList, Order, Report
+from ryewing.units import KeyVersion, MachineId, Revision, Token, is_job_id, parse_task
+from ryewing.wire import Change, ChangeLog, Command, Entry, MachineTypeList, Report
 from ryewing.workers import WorkerSilent
 
 STEP_S = 0.25
@@ -67,9 +67,9 @@
 
     def plant(self, key: str, data: bytes, lease: int | None = None) -> None:
         """Put something there that no controller wrote."""
-        self.epoch += 1
-        self.data[key] = (data, self.epoch, lease)
-        self.log.append(Change(self.epoch, set=key, data=msgspec.Raw(data)))
+        self.revision += 1
+        self.data[key] = (data, self.revision, lease)
+        self.log.append(Change(self.revision, set=key, data=msgspec.Raw(data)))
 
     def tend(self) -> None:
         """End the leases whose time is over."""
@@ -94,13 +94,13 @@
         """Its watches alone hang; all else is answered."""
         self.during_watch: Callable[[], None] | None = None
         """Called while a watch is under way, after the store has answered it."""
-        self.stale_watch: Epoch | None = None
+        self.stale_watch: Revision | None = None
         """Its watches show nothing newer than this: answers that were long on their way."""
         self.answer_lost = False
         """Transactions are carried out, their answers don't arrive."""
         self.late = False
         """Transactions get no answer now and are carried out when `catch_up` is called."""
-        self._held: list[tuple[dict[str, Stamp], list[Put | Remove]]] = []
+        self._held: list[tuple[dict[str, KeyVersion], list[Put | Remove]]] = []
         self.after_txn: Callable[[], None] | None = None
         """Called when a transaction has been carried out, before its answer arrives."""
         self.before_answer: Callable[[str], None] | None = None
@@ -116,7 +116,7 @@
         self._interrupt(key)
         return found
 
-    def listing(self, prefix: str) -> tuple[list[Entry], Epoch]:
+    def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
         self._check()
         found = self._store.listing(prefix)
         self._interrupt(prefix)
@@ -129,7 +129,7 @@
             if self.before_answer is None:
                 self.before_answer = hook
 
-    def txn(self, conditions: dict[str, Stamp], writes: list[Put | Remove]) -> TxnResult:
+    def txn(self, conditions: dict[str, KeyVersion], writes: list[Put | Remove]) -> TxnResult:
         self._check()
         if self.late:
             self._held.append((dict(conditions), copy.deepcopy(list(writes))))
@@ -161,7 +161,7 @@
         self._check()
         self._store.expire(lease)
 
-    def watch(self, prefix: str, since: Epoch, wait_s: float) -> ChangeLog:
+    def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
         self._check()
         if self.mute_watch:
             raise StoreDown("deadline")
@@ -171,8 +171,8 @@
             meanwhile()
         if self.stale_watch is not None:
             until = self.stale_watch
-            log = [change for change in found.log if change.stamp <= until]
-            return ChangeLog(max(since, min(found.epoch, until)), log)
+            log = [change for change in found.log if change.key_version <= until]
+            return ChangeLog(int(max(since, min(found.revision, until))), log)
         return found
 
 
@@ -215,16 +215,16 @@
         """Its reports arrive; answers and direct commands are lost."""
         self.holds_up = False
         """Direct commands get no answer, and are carried out when `catch_up` is called."""
-        self._held_up: list[tuple[Token, int, list[Order]]] = []
+        self._held_up: list[tuple[Token, int, list[Command]]] = []
         self.answer_s = 0.0
         """How long the answer to a report is on its way."""
         self._answer: tuple[float, Callable[[], None]] | None = None
-        self.addr = self.report().addr
+        self.address = self.report().address
 
-    def execute(self, mandate: int, orders: list[Order]) -> bool:
-        before = set(self.pieces)
-        done = super().execute(mandate, orders)
-        for key in set(self.pieces) - before:
+    def execute(self, token: int, commands: list[Command]) -> bool:
+        before = set(self.tasks)
+        done = super().execute(token, commands)
+        for key in set(self.tasks) - before:
             self._cluster.referee.started(self, key)
         return done
 
@@ -237,9 +237,9 @@
             arrive, self._answer = self._answer[1], None
             arrive()
         if now > self.lease_from + self._cluster.settings.params.workers.lease_s:
-            self.tenure += 1
-            self.tick = 0
-            self.pieces.clear()
+            self.session += 1
+            self.sequence = 0
+            self.tasks.clear()
             self.lease_from = now
         if now >= self.next_report and self._answer is None:
             self.next_report = now + self._cluster.settings.params.workers.report_s
@@ -257,10 +257,10 @@
         if self.deaf:
             return sent
         if self.answer_s:
-            tenure = self.tenure
+            session = self.session
             self._answer = (
                 sent_at + self.answer_s,
-                lambda: self._heed(sent_at, status, answer) if tenure == self.tenure else None,
+                lambda: self._heed(sent_at, status, answer) if session == self.session else None,
             )
         else:
             self._heed(sent_at, status, answer)
@@ -269,10 +269,10 @@
     def _heed(self, sent_at: float, status: int, answer: Any) -> None:
         if status == 200:
             response = msgspec.convert(answer, type=dict[str, Any])
-            orders = msgspec.convert(response["orders"], type=list[Order])
-            if self.execute(response["mandate"], orders):
+            commands = msgspec.convert(response["orders"], type=list[Command])
+            if self.execute(response["mandate"], commands):
                 self.lease_from = sent_at
-                if orders:
+                if commands:
                     self.next_report = min(self.next_report, sent_at + 0.5)
         elif status == 421 and answer.get("foreman") in NAMES:
             self.node = answer["foreman"]
@@ -280,16 +280,16 @@
         else:
             self._next()
 
-    def hold_up(self, token: Token, tenure: int, orders: list[Order]) -> None:
+    def hold_up(self, token: Token, session: int, commands: list[Command]) -> None:
         """A direct command is on its way for longer than its sender waits."""
-        self._held_up.append((token, tenure, copy.deepcopy(orders)))
+        self._held_up.append((token, session, copy.deepcopy(commands)))
 
     def catch_up(self) -> None:
         """Carry out the direct commands that were held up, if token and session still match."""
         held_up, self._held_up = self._held_up, []
-        for token, tenure, orders in held_up:
-            if token >= self.mandate and tenure == self.tenure:
-                self.execute(token, orders)
+        for token, session, commands in held_up:
+            if token >= self.token and session == self.session:
+                self.execute(token, commands)
 
     def _next(self) -> None:
         self.node = NAMES[(NAMES.index(self.node) + 1) % len(NAMES)]
@@ -303,21 +303,21 @@
         self._cluster = cluster
         self._here = here
 
-    def send(self, addr: str, token: Token, tenure: int, orders: list[Order]) -> Report:
-        found = [w for w in self._cluster.workers.values() if w.addr == addr]
+    def send(self, address: str, token: Token, session: int, commands: list[Command]) -> Report:
+        found = [w for w in self._cluster.workers.values() if w.address == address]
         if not found:
             raise WorkerSilent("deadline")
         [worker] = found
         if worker.hangs or worker.deaf or self._here in worker.unreachable:
             raise WorkerSilent("deadline")
         if worker.holds_up:
-            worker.hold_up(token, tenure, orders)
+            worker.hold_up(token, session, commands)
             raise WorkerSilent("deadline")
-        if token >= worker.mandate and tenure == worker.tenure:
-            worker.execute(token, orders)
+        if token >= worker.token and session == worker.session:
+            worker.execute(token, commands)
         return worker.report()
 
-    def forget(self, addr: str) -> None:
+    def forget(self, address: str) -> None:
         """Nothing is kept here."""
 
 
@@ -351,7 +351,9 @@
             self.final.setdefault(job, state)
         if state == CANCELLED:
             self.told_cancelled.setdefault(job, self._cluster.clock())
-        if state == DONE and self.ended_done.get(job, set()) != set(range(self.runs[job].pieces)):
+        if state == DONE and self.ended_done.get(job, set()) != set(
+            range(self.runs[job].task_count)
+        ):
             self._break("not_done", f"{node}: {job}")
 
     def started(self, worker: TimedWorker, key: tuple[str, int]) -> None:
@@ -361,9 +363,9 @@
         if task.job in self.told_cancelled:
             self._break("ran_cancelled", f"{worker.name} starts {key[0]}")
         for other in self._cluster.workers.values():
-            for (piece, attempt), found in other.pieces.items():
+            for (reported, attempt), found in other.tasks.items():
                 if (
-                    piece == key[0]
+                    reported == key[0]
                     and found.status != "ended"
                     and (other, attempt)
                     != (
@@ -379,8 +381,8 @@
         cancel_s = cluster.settings.params.workers.cancel_s
         used: Counter[str] = Counter()
         for worker in cluster.workers.values():
-            for (piece, _attempt), found in worker.pieces.items():
-                task = parse_task(piece)
+            for (reported, _attempt), found in worker.tasks.items():
+                task = parse_task(reported)
                 assert task is not None
                 if found.status == "ended":
                     if found.cause == DONE:
@@ -388,9 +390,9 @@
                     continue
                 told = self.told_cancelled.get(task.job)
                 if told is not None and cluster.clock() > told + cancel_s:
-                    self._break("ran_cancelled", f"{piece} on {worker.name}")
+                    self._break("ran_cancelled", f"{reported} on {worker.name}")
                 wanted = self.runs[task.job]
-                used[wanted.owner] += wanted.cards
+                used[wanted.team] += wanted.gpus
         for team in cluster.settings.params.teams:
             if team.gpus_max and used[team.name] > team.gpus_max:
                 self._break("quota", f"{team.name}: {used[team.name]} cards")
@@ -419,7 +421,7 @@
         """Limits of the store, other than in the settings, for controllers booted from now on."""
         self.after_load: Callable[[], None] | None = None
         """Called when a new leader has read the store, before anything else."""
-        types = msgspec.to_builtins(FlavourList([CPU, GPU]))
+        types = msgspec.to_builtins(MachineTypeList([CPU, GPU]))
         self.store.txn({}, [Put("flavours", types)])
         for name in NAMES:
             self.boot(name)
@@ -493,7 +495,7 @@
         if self.after_load is not None:
             self.after_load()
         for machine in leader.ctx.picture.machines.values():
-            if machine.addr:
+            if machine.address:
                 leader.dispatch.send_soon(machine)
         return True
 
@@ -561,9 +563,9 @@
 
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
         """A user submits a job, or repeats its submission."""
-        wanted = run(ref, **{"pieces": 1, **changes})
+        wanted = job_spec(ref, **{"task_count": 1, **changes})
         self.referee.runs.setdefault(ref, wanted)
-        body = msgspec.json.encode(submission(ref, **{"pieces": 1, **changes}))
+        body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
         return self._told(node, ref, "POST", "/v2/runs", body)
 
     def poll(self, node: str, ref: str = "run-1") -> int:
@@ -627,23 +629,23 @@
         for job in leader.ctx.book:
             if job.shortfall <= 0 or job.backoff_s:
                 continue
-            need = job.run
-            limit = leader.ctx.teams[need.owner].gpus_max
+            need = job.spec
+            limit = leader.ctx.teams[need.team].gpus_max
             used = sum(
-                leader.ctx.book.jobs[task.job].run.cards
+                leader.ctx.book.jobs[task.job].spec.gpus
                 for worker in self.workers.values()
-                for task in (parse_task(piece) for piece, _ in worker.pieces)
+                for task in (parse_task(reported) for reported, _ in worker.tasks)
                 if task is not None and task.job in leader.ctx.book.jobs
             )
-            if limit and used + need.cards > limit:
+            if limit and used + need.gpus > limit:
                 continue
             for machine in leader.ctx.picture.machines.values():
                 if (
                     machine.id in self.workers
-                    and self.workers[machine.id].pieces == {}
-                    and need.vcpus <= machine.flavour.vcpus
-                    and need.cards <= machine.flavour.cards
-                    and (need.site is None or need.site == machine.site)
+                    and self.workers[machine.id].tasks == {}
+                    and need.cpus <= machine.machine_type.cpus
+                    and need.gpus <= machine.machine_type.gpus
+                    and (need.zone is None or need.zone == machine.zone)
                 ):
                     found.append(f"{job.id} beside {machine.id}")
         return found
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -40,17 +40,17 @@
 from ryewing.jobs import JobRecord, live_key  # noqa: E402
 from ryewing.store import LeaseLost, Put, Rejected, Remove  # noqa: E402
 from ryewing.transport import HttpClient, Unreachable  # noqa: E402
-from ryewing.units import Epoch, JobId, Stamp  # noqa: E402
+from ryewing.units import JobId, KeyVersion, Revision  # noqa: E402
 from ryewing.wire import (  # noqa: E402
     DAEMON,
-    FlavourList,
-    Hire,
-    HostPage,
-    Hosts,
-    ListedHost,
-    Orders,
+    DirectCommands,
+    ListedMachine,
+    MachineNames,
+    MachinePage,
+    MachineTypeList,
+    RentalRequest,
     ReportAnswer,
-    ReportedPiece,
+    ReportedTask,
 )
 
 Handler = Any
@@ -149,25 +149,25 @@
                 for w in ask["writes"]
             ]
             try:
-                result = store.txn({c["k"]: Stamp(c["stamp"]) for c in ask["if"]}, writes)
+                result = store.txn({c["k"]: KeyVersion(c["stamp"]) for c in ask["if"]}, writes)
             except LeaseLost:
                 return 400, {"error": "no such lease"}
             except Rejected as error:
                 return 400, {"error": str(error)}
-            answer = {"epoch": result.epoch, "failed": sorted(result.failed)}
+            answer = {"epoch": result.revision, "failed": sorted(result.failed)}
             return (200 if result.ok else 409), answer
         if path == "/changes":
             for _ in range(int(query.get("wait_ms", "0")) // 20 + 1):
-                changes = store.watch(query["starts"], Epoch(int(query["since"])), 0.0)
+                changes = store.watch(query["starts"], Revision(int(query["since"])), 0.0)
                 if changes.log:
                     break
                 gevent.sleep(0.02)
             return 200, changes
         if path == "/store":
-            pairs, epoch = store.listing(query.get("starts", ""))
-            return 200, {"pairs": pairs, "has_next": False, "epoch": epoch}
+            pairs, revision = store.listing(query.get("starts", ""))
+            return 200, {"pairs": pairs, "has_next": False, "epoch": revision}
         entry = store.get(path.removeprefix("/store/"))
-        return (200, entry) if entry is not None else (404, {"epoch": store.epoch})
+        return (200, entry) if entry is not None else (404, {"epoch": store.revision})
 
     # -- the cloud --------------------------------------------------------------------------
 
@@ -176,49 +176,51 @@
     ) -> tuple[int, Any]:
         """Answer as the cloud."""
         if path == "/machine_types":
-            return 200, FlavourList(self.cloud.flavours())
+            return 200, MachineTypeList(self.cloud.machine_types())
         if path == "/machines" and method == "POST":
-            hire = msgspec.json.decode(body, type=Hire)
-            known = hire.hire in self.cloud.answers
+            request = msgspec.json.decode(body, type=RentalRequest)
+            known = request.id in self.cloud.answers
             try:
-                names = self.cloud.rent(hire)
+                names = self.cloud.rent(request)
             except NoCapacity:
                 return 503, {"error": "no capacity"}
             for name in () if known else names:
-                worker = FakeWorker(str(name), hire.flavour, hire.site, hire.loaner)
+                worker = FakeWorker(str(name), request.machine_type, request.zone, request.spot)
                 gevent.spawn(self.work, worker)
-            return 200, Hosts([str(name) for name in names])
+            return 200, MachineNames([str(name) for name in names])
         if path == "/trouble/end":
             for worker in self.live.values():
-                for key, piece in worker.pieces.items():
-                    if piece.piece == query["piece"] and piece.status == "running":
-                        worker.pieces[key] = ReportedPiece(*key, "ended", query["cause"])
+                for key, reported in worker.tasks.items():
+                    if reported.task_id == query["piece"] and reported.status == "running":
+                        worker.tasks[key] = ReportedTask(*key, "ended", query["cause"])
             return 200, {}
         if path == "/trouble/lose":
             return 200, {"lost": self.live.pop(query["host"], None) is not None}
         if path == "/machines/release":
-            for gone in msgspec.json.decode(body, type=Hosts).hosts:
+            for gone in msgspec.json.decode(body, type=MachineNames).machines:
                 self.live.pop(gone, None)
             return 200, {}
-        listed = [ListedHost(w.name, w.flavour, w.site, "running") for w in self.live.values()]
-        return 200, HostPage(listed)
+        listed = [
+            ListedMachine(w.name, w.machine_type, w.zone, "running") for w in self.live.values()
+        ]
+        return 200, MachinePage(listed)
 
     # -- the workers ------------------------------------------------------------------------
 
     def _run(self, worker: FakeWorker, key: tuple[str, int]) -> None:
         entry = self.store.get(live_key(JobId(key[0].split("/")[0])))
         if entry is not None:
-            if msgspec.json.decode(entry.data, type=JobRecord).run.shape == DAEMON:
+            if msgspec.json.decode(entry.data, type=JobRecord).spec.shape == DAEMON:
                 return
-            gevent.sleep(msgspec.json.decode(entry.data, type=JobRecord).run.guess_s)
-        piece = worker.pieces.get(key)
-        if piece is not None and piece.status == "running":
-            worker.pieces[key] = ReportedPiece(piece.piece, piece.attempt, "ended", "done")
-
-    def _obey(self, worker: FakeWorker, mandate: int, orders: list[Any]) -> None:
-        before = set(worker.pieces)
-        worker.execute(mandate, orders)
-        for key in set(worker.pieces) - before:
+            gevent.sleep(msgspec.json.decode(entry.data, type=JobRecord).spec.estimated_s)
+        reported = worker.tasks.get(key)
+        if reported is not None and reported.status == "running":
+            worker.tasks[key] = ReportedTask(reported.task_id, reported.attempt, "ended", "done")
+
+    def _obey(self, worker: FakeWorker, token: int, commands: list[Any]) -> None:
+        before = set(worker.tasks)
+        worker.execute(token, commands)
+        for key in set(worker.tasks) - before:
             gevent.spawn(self._run, worker, key)
 
     def work(self, worker: FakeWorker) -> None:
@@ -229,15 +231,15 @@
 
         def report() -> Any:
             message = worker.report()
-            message.addr = f"127.0.0.1:{port}"
+            message.address = f"127.0.0.1:{port}"
             return message
 
         def commands(method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, Any]:
             if path == "/orders":
-                ask = msgspec.json.decode(body, type=Orders)
-                if ask.mandate < worker.mandate or ask.tenure != worker.tenure:
+                ask = msgspec.json.decode(body, type=DirectCommands)
+                if ask.token < worker.token or ask.session != worker.session:
                     return 409, report()
-                self._obey(worker, ask.mandate, ask.orders)
+                self._obey(worker, ask.token, ask.commands)
             return 200, report()
 
         server = serve(port, commands)
@@ -252,7 +254,7 @@
                 reply = None
             if reply is not None and reply.status == 200:
                 answer = msgspec.json.decode(reply.body, type=ReportAnswer)
-                self._obey(worker, answer.mandate, answer.orders)
+                self._obey(worker, answer.token, answer.commands)
             elif reply is not None and reply.status == 421:
                 at = msgspec.json.decode(reply.body).get("foreman") or at
                 continue
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import msgspec
-from standins import Clock, FakeCloud, FakeStore, FakeWorker, leadership, policy, run, settings
+from standins import Clock, FakeCloud, FakeStore, FakeWorker, job_spec, leadership, policy, settings
 
 from ryewing.jobs import JobRecord, live_key
 from ryewing.leader import Leader
@@ -13,8 +13,8 @@
 from ryewing.mesh import ImageHint
 from ryewing.settings import NextLimits
 from ryewing.store import Put
-from ryewing.units import JobId, MachineId, Stamp, Token
-from ryewing.wire import Order, Report
+from ryewing.units import JobId, KeyVersion, MachineId, Token
+from ryewing.wire import Command, Report
 
 
 class DirectWorkers:
@@ -22,16 +22,16 @@
 
     def __init__(self, workers: dict[str, FakeWorker]) -> None:
         self.workers = workers
-        self.sent: list[Order] = []
+        self.sent: list[Command] = []
 
-    def send(self, addr: str, term: Token, tenure: int, orders: list[Order]) -> Report:
-        worker = next(w for w in self.workers.values() if w.report().addr == addr)
-        if term >= worker.mandate and tenure == worker.tenure:
-            worker.execute(term, orders)
-            self.sent.extend(orders)
+    def send(self, address: str, term: Token, session: int, commands: list[Command]) -> Report:
+        worker = next(w for w in self.workers.values() if w.report().address == address)
+        if term >= worker.token and session == worker.session:
+            worker.execute(term, commands)
+            self.sent.extend(commands)
         return worker.report()
 
-    def forget(self, addr: str) -> None:
+    def forget(self, address: str) -> None:
         """Nothing is kept here."""
 
 
@@ -55,7 +55,7 @@
         authority.confirm(self.clock())
         won = leadership(term, authority)
         result = self.store.txn({}, [Put(TERM_KEY, {"term": term})])
-        won.term_stamp = Stamp(result.epoch)
+        won.term_key_version = KeyVersion(result.revision)
         leader = Leader(
             self.settings,
             policy(),
@@ -68,7 +68,7 @@
         )
         leader.renter.cloud = self.cloud  # type: ignore[assignment]
         leader.dispatch.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
-        leader.ctx.take_flavours(self.cloud.flavours())
+        leader.ctx.set_machine_types(self.cloud.machine_types())
         leader.dispatch.send_soon = lambda machine: None  # type: ignore[method-assign]
         leader._load()
         leader.ctx.loaded.set()
@@ -94,11 +94,11 @@
             self.leader.ctx.authority.follow(self.clock())
 
     def accept(self, ref: str = "run-1", **changes: Any) -> JobId:
-        record = JobRecord(run(ref, **changes), 0.0)
+        record = JobRecord(job_spec(ref, **changes), 0.0)
         result = self.store.txn({}, [Put(live_key(JobId(ref)), record)])
         entry = self.store.get(live_key(JobId(ref)))
         assert entry is not None
-        self.leader.intake.job_set(entry.k, entry.data, Stamp(result.epoch))
+        self.leader.intake.job_set(entry.key, entry.data, KeyVersion(result.revision))
         return JobId(ref)
 
     def worker(self, name: str = "i-000001", **kind: Any) -> FakeWorker:
@@ -106,12 +106,12 @@
         self.workers[name] = worker
         return worker
 
-    def exchange(self, worker: FakeWorker) -> list[Order]:
+    def exchange(self, worker: FakeWorker) -> list[Command]:
         """One report and its answer, executed."""
         answer = self.leader.on_report(worker.report())
         assert answer is not None
-        worker.execute(answer.mandate, answer.orders)
-        return answer.orders
+        worker.execute(answer.token, answer.commands)
+        return answer.commands
 
     def write(self) -> None:
         while self.leader.writer.write_once():
@@ -153,9 +153,9 @@
         return {str(task): held.phase for task, held in machine.holds.items()}
 
 
-def starts(orders: list[Order]) -> list[str]:
-    return sorted(order.piece for order in orders if order.verb == "start")
+def starts(commands: list[Command]) -> list[str]:
+    return sorted(command.task_id for command in commands if command.verb == "start")
 
 
-def verbs(orders: list[Order]) -> list[str]:
-    return sorted(order.verb for order in orders)
+def verbs(commands: list[Command]) -> list[str]:
+    return sorted(command.verb for command in commands)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,18 +16,18 @@
 from ryewing.policy import Policy, defaults
 from ryewing.settings import Settings
 from ryewing.store import Compacted, LeaseLost, Put, Rejected, Remove, StoreDown, TxnResult
-from ryewing.units import Epoch, MachineId, Stamp, Steady, Term
+from ryewing.units import KeyVersion, MachineId, Revision, Steady, Term
 from ryewing.wire import (
     Change,
     ChangeLog,
+    Command,
     Entry,
-    Flavour,
-    Hire,
-    ListedHost,
-    Order,
+    JobSpec,
+    ListedMachine,
+    MachineType,
+    RentalRequest,
     Report,
-    ReportedPiece,
-    Run,
+    ReportedTask,
 )
 
 RAW_SETTINGS: dict[str, Any] = {
@@ -66,8 +66,8 @@
     },
 }
 
-CPU = Flavour("c32", 32.0, 128.0, 2.0, ("a", "b", "c"), 0.0, 0.7, 50.0, 0.2, 20.0)
-GPU = Flavour("g4", 24.0, 192.0, 8.0, ("a", "b", "c"), 4.0, 3.0, 100.0, 0.2, 40.0)
+CPU = MachineType("c32", 32.0, 128.0, 2.0, ("a", "b", "c"), 0.0, 0.7, 50.0, 0.2, 20.0)
+GPU = MachineType("g4", 24.0, 192.0, 8.0, ("a", "b", "c"), 4.0, 3.0, 100.0, 0.2, 40.0)
 
 
 def settings() -> Settings:
@@ -80,37 +80,43 @@
     return defaults(settings())
 
 
-def run(ref: str = "run-1", **changes: Any) -> Run:
+def job_spec(ref: str = "run-1", **changes: Any) -> JobSpec:
     """Make a submission: an array of four small tasks, unless changed."""
     fields: dict[str, Any] = {
-        "ref": ref,
-        "jobclass": "scan",
-        "owner": "red",
+        "id": ref,
+        "job_class": "scan",
+        "team": "red",
         "shape": "batch",
-        "rank": "standard",
-        "pieces": 4,
-        "vcpus": 4.0,
-        "cards": 0.0,
-        "mem_gb": 8.0,
-        "bundle": "img-1",
+        "priority": "standard",
+        "task_count": 4,
+        "cpus": 4.0,
+        "gpus": 0.0,
+        "memory_gb": 8.0,
+        "image": "img-1",
         "image_gb": 0.0,
-        "guess_s": 30.0,
-        "savepoint_s": 0.0,
-        "flush_s": 0.0,
+        "estimated_s": 30.0,
+        "checkpoint_s": 0.0,
+        "save_s": 0.0,
     }
     fields.update(changes)
-    return Run(**fields)
+    return JobSpec(**fields)
+
+
+def protocol_keys(changes: dict[str, Any]) -> dict[str, Any]:
+    """Name the fields of a submission as its JSON does; what isn't known keeps its name."""
+    keys = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
+    return {keys.get(name, name): value for name, value in changes.items()}
 
 
 def submission(ref: str = "run-1", **changes: Any) -> dict[str, Any]:
     """Give the body by which a user submits it, with what a stored job leaves out."""
     left_out = {"together": False, "spread": False, "loaner": False}
-    return {**left_out, **msgspec.to_builtins(run(ref, **changes))}
+    return {**left_out, **msgspec.to_builtins(job_spec(ref, **changes))}
 
 
 def job(ref: str = "run-1", at: float = 0.0, **changes: Any) -> Job:
     """Make a live job."""
-    return Job(JobRecord(run(ref, **changes), at), Stamp(1))
+    return Job(JobRecord(job_spec(ref, **changes), at), KeyVersion(1))
 
 
 class Clock:
@@ -131,7 +137,7 @@
         self.rejected: list[str] = []
         """What was refused for being too large, or too many changes at once."""
         self.data: dict[str, tuple[bytes, int, int | None]] = {}
-        self.epoch = 0
+        self.revision = 0
         self.log: list[Change] = []
         self.leases: set[int] = set()
         self.down = False
@@ -150,19 +156,19 @@
         self._check()
         if key not in self.data:
             return None
-        data, stamp, _ = self.data[key]
-        return Entry(key, msgspec.Raw(data), stamp)
+        data, key_version, _ = self.data[key]
+        return Entry(key, msgspec.Raw(data), key_version)
 
-    def listing(self, prefix: str) -> tuple[list[Entry], Epoch]:
+    def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
         self._check()
         found = [
-            Entry(key, msgspec.Raw(value), stamp)
-            for key, (value, stamp, _) in sorted(self.data.items())
+            Entry(key, msgspec.Raw(value), key_version)
+            for key, (value, key_version, _) in sorted(self.data.items())
             if key.startswith(prefix)
         ]
-        return found, Epoch(self.epoch)
+        return found, Revision(self.revision)
 
-    def txn(self, conditions: dict[str, Stamp], writes: list[Put | Remove]) -> TxnResult:
+    def txn(self, conditions: dict[str, KeyVersion], writes: list[Put | Remove]) -> TxnResult:
         self._check()
         writes = list(writes)
         if len(writes) > self.limits.txn_ops:
@@ -176,25 +182,25 @@
         self.writes += len(writes)
         failed = {
             key
-            for key, stamp in conditions.items()
-            if (self.data[key][1] if key in self.data else 0) != stamp
+            for key, key_version in conditions.items()
+            if (self.data[key][1] if key in self.data else 0) != key_version
         }
         if failed:
-            return TxnResult(False, Epoch(self.epoch), frozenset(failed))
+            return TxnResult(False, Revision(self.revision), frozenset(failed))
         for write in writes:
             if isinstance(write, Put) and write.lease and write.lease not in self.leases:
                 raise LeaseLost(str(write.lease))
-        self.epoch += 1
+        self.revision += 1
         for write in writes:
             if isinstance(write, Put):
                 value = msgspec.json.encode(write.value)
-                self.data[write.key] = (value, self.epoch, write.lease)
-                self.log.append(Change(self.epoch, set=write.key, data=msgspec.Raw(value)))
+                self.data[write.key] = (value, self.revision, write.lease)
+                self.log.append(Change(self.revision, set=write.key, data=msgspec.Raw(value)))
             elif self.data.pop(write.key, None) is not None:
-                self.log.append(Change(self.epoch, remove=write.key))
+                self.log.append(Change(self.revision, remove=write.key))
         if self.lose_answers:
             raise StoreDown("the answer was lost")
-        return TxnResult(True, Epoch(self.epoch), frozenset())
+        return TxnResult(True, Revision(self.revision), frozenset())
 
     def grant(self, ttl_s: float) -> int:
         self._check()
@@ -212,19 +218,19 @@
         self.leases.discard(lease)
         for key in [k for k, v in self.data.items() if v[2] == lease]:
             del self.data[key]
-            self.epoch += 1
-            self.log.append(Change(self.epoch, remove=key))
+            self.revision += 1
+            self.log.append(Change(self.revision, remove=key))
 
-    def watch(self, prefix: str, since: Epoch, wait_s: float) -> ChangeLog:
+    def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
         self._check()
         if since < 0:
             raise Compacted
         log = [
             change
             for change in self.log
-            if change.stamp > since and (change.set or change.remove or "").startswith(prefix)
+            if change.key_version > since and (change.set or change.remove or "").startswith(prefix)
         ]
-        return ChangeLog(self.epoch, log)
+        return ChangeLog(self.revision, log)
 
 
 class FakeCloud:
@@ -232,92 +238,96 @@
 
     def __init__(self) -> None:
         self.capacity = 100
-        self.requests: list[Hire] = []
+        self.requests: list[RentalRequest] = []
         self.answers: dict[str, list[MachineId]] = {}
         self.released: list[MachineId] = []
-        self.listed: list[ListedHost] = []
+        self.listed: list[ListedMachine] = []
 
-    def flavours(self) -> list[Flavour]:
+    def machine_types(self) -> list[MachineType]:
         return [CPU, GPU]
 
-    def rent(self, hire: Hire) -> list[MachineId]:
-        self.requests.append(hire)
-        if hire.hire in self.answers:
-            return self.answers[hire.hire]
-        count = min(hire.how_many, self.capacity)
+    def rent(self, request: RentalRequest) -> list[MachineId]:
+        self.requests.append(request)
+        if request.id in self.answers:
+            return self.answers[request.id]
+        count = min(request.count, self.capacity)
         if not count:
             raise NoCapacity
         self.capacity -= count
         at = sum(len(names) for names in self.answers.values())
         names = [MachineId(f"i-{at + n:06d}") for n in range(count)]
-        self.answers[hire.hire] = names
+        self.answers[request.id] = names
         return names
 
     def release(self, machines: list[MachineId]) -> None:
         self.released.extend(machines)
 
-    def machines(self) -> list[ListedHost]:
+    def machines(self) -> list[ListedMachine]:
         return self.listed
 
 
 class FakeWorker:
     """A worker: executes commands as the protocol says, without time passing by itself."""
 
-    def __init__(self, name: str, flavour: str = "c32", site: str = "a", loaner: bool = False):
+    def __init__(self, name: str, machine_type: str = "c32", zone: str = "a", spot: bool = False):
         self.name = name
-        self.flavour = flavour
-        self.site = site
-        self.loaner = loaner
-        self.mandate = 0
-        self.tenure = 1
-        self.tick = 0
-        self.warning_s: float | None = None
-        self.pieces: dict[tuple[str, int], ReportedPiece] = {}
+        self.machine_type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.token = 0
+        self.session = 1
+        self.sequence = 0
+        self.notice_s: float | None = None
+        self.tasks: dict[tuple[str, int], ReportedTask] = {}
 
     def report(self) -> Report:
-        self.tick += 1
+        self.sequence += 1
         return Report(
             self.name,
-            self.tenure,
-            self.tick,
-            self.mandate,
-            self.flavour,
-            self.site,
+            self.session,
+            self.sequence,
+            self.token,
+            self.machine_type,
+            self.zone,
             f"10.1.0.{int(self.name[2:]) + 1}:9000",
-            self.loaner,
-            self.warning_s,
-            list(self.pieces.values()),
+            self.spot,
+            self.notice_s,
+            list(self.tasks.values()),
         )
 
-    def execute(self, mandate: int, orders: list[Order]) -> bool:
+    def execute(self, token: int, commands: list[Command]) -> bool:
         """Execute a response's commands; False if the token is too low."""
-        if mandate < self.mandate:
+        if token < self.token:
             return False
-        self.mandate = mandate
-        for order in orders:
-            key = (order.piece, order.attempt)
-            if order.verb == "start":
-                self.pieces.setdefault(key, ReportedPiece(order.piece, order.attempt, "running"))
-            elif order.verb == "halt" and key in self.pieces:
-                if self.pieces[key].status != "ended":
-                    self.pieces[key] = ReportedPiece(order.piece, order.attempt, "ended", "stopped")
-            elif order.verb == "clear":
-                self.pieces.pop(key, None)
+        self.token = token
+        for command in commands:
+            key = (command.task_id, command.attempt)
+            if command.verb == "start":
+                self.tasks.setdefault(
+                    key, ReportedTask(command.task_id, command.attempt, "running")
+                )
+            elif command.verb == "halt" and key in self.tasks:
+                if self.tasks[key].status != "ended":
+                    self.tasks[key] = ReportedTask(
+                        command.task_id, command.attempt, "ended", "stopped"
+                    )
+            elif command.verb == "clear":
+                self.tasks.pop(key, None)
         return True
 
     def finish(self, cause: str = "done") -> None:
         """End everything that runs here."""
-        for key, piece in self.pieces.items():
-            if piece.status != "ended":
+        for key, reported in self.tasks.items():
+            if reported.status != "ended":
                 self.end_task(key, cause)
 
     def end_task(self, key: tuple[str, int], cause: str = "done") -> None:
         """End one task."""
-        self.pieces[key] = ReportedPiece(*key, "ended", cause)
+        self.tasks[key] = ReportedTask(*key, "ended", cause)
 
 
 def leadership(term: int = 5, authority: Authority | None = None) -> Leadership:
     """Make a won term whose lease was confirmed just now."""
     if authority is None:
         authority = Authority(3.0, 15.0)
-    return Leadership(Term(term), Stamp(0), 1, authority)
+    return Leadership(Term(term), KeyVersion(0), 1, authority)
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -8,23 +8,23 @@
 
 import msgspec
 import pytest
-from standins import CPU, GPU, FakeStore, policy, run, settings, submission
+from standins import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 from ryewing.api import Api, Finals
 from ryewing.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
 from ryewing.jobs import JobRecord, final_key, live_key
 from ryewing.store import Put
 from ryewing.units import JobId
-from ryewing.wire import RunStatus
+from ryewing.wire import JobStatus
 
 
 class FakeLeader:
     """A leader that knows some jobs' states."""
 
     def __init__(self) -> None:
-        self.states: dict[str, RunStatus] = {}
+        self.states: dict[str, JobStatus] = {}
 
-    def poll(self, job: JobId) -> RunStatus | None:
+    def poll(self, job: JobId) -> JobStatus | None:
         return self.states.get(job)
 
     def on_report(self, _report: Any) -> None:
@@ -40,19 +40,19 @@
         self.finals = Finals(kept=3)
         self.leader: FakeLeader | None = None
         self.teams = {team.name: team for team in settings().params.teams}
-        self.flavours = {"c32": CPU, "g4": GPU}
+        self.machine_types = {"c32": CPU, "g4": GPU}
         self.leader_knows = True
         self.is_full = False
         self.follows: str | None = "n-1"
-        self.remote: dict[str, RunStatus] = {}
+        self.remote: dict[str, JobStatus] = {}
 
     def healthy(self) -> bool:
         return True
 
-    def known_flavours(self) -> dict[str, Any]:
-        return self.flavours
+    def known_machine_types(self) -> dict[str, Any]:
+        return self.machine_types
 
-    def ask_leader(self, job: JobId) -> RunStatus | None:
+    def ask_leader(self, job: JobId) -> JobStatus | None:
         return self.remote.get(job)
 
     def tell_cancel(self, _job: JobId) -> bool:
@@ -89,11 +89,11 @@
         return int(seen[0].split()[0]), msgspec.json.decode(answer)
 
     def submit(self, **changes: Any) -> tuple[int, Any]:
-        body = {**submission(), **changes}
+        body = {**submission(), **protocol_keys(changes)}
         return self("POST", "/v2/runs", msgspec.json.encode(body))
 
     def live(self, ref: str = "run-1", cancelled: bool = False) -> None:
-        record = JobRecord(run(ref), 0.0, cancelled)
+        record = JobRecord(job_spec(ref), 0.0, cancelled)
         self.node.store.txn({}, [Put(live_key(JobId(ref)), record)])
 
     def final(self, ref: str, status: str) -> None:
@@ -149,13 +149,13 @@
 NEEDS = ("vcpus", "cards", "mem_gb")
 
 
-@pytest.mark.parametrize("field", [*submission(flavours=["c32"], site="a", due_s=9.0)])
+@pytest.mark.parametrize("field", [*submission(machine_types=["c32"], zone="a", deadline_s=9.0)])
 def test_every_field_by_itself(client: Client, field: str) -> None:
     """Left out, null, of a wrong type, negative, huge: refused for good, and never accepted.
 
     Jobs that lacked `together`, `spread` or `loaner` were accepted.
     """
-    good = submission(flavours=["c32"], site="a", due_s=9.0)
+    good = submission(machine_types=["c32"], zone="a", deadline_s=9.0)
     left_out = {name: value for name, value in good.items() if name != field}
     wrong: list[Any] = [{}, -1, "x", [1], 10**400]
     if field in TEXTS:
@@ -189,7 +189,7 @@
         assert client.submit(**{field: None}) == (200, {"ref": "run-1", "status": "queued"})
 
 
-@pytest.mark.parametrize("changes", [{}, {"pieces": 0}, {"owner": "nobody"}])
+@pytest.mark.parametrize("changes", [{}, {"task_count": 0}, {"team": "nobody"}])
 @pytest.mark.parametrize("state", ["queued", "cancelled", "done"])
 @pytest.mark.parametrize("full", [False, True])
 def test_a_known_job_is_known_before_any_other_judgement(
@@ -229,7 +229,7 @@
 
 
 def test_machine_types_not_known_yet(client: Client) -> None:
-    client.node.flavours = {}
+    client.node.machine_types = {}
     assert client.submit()[0] == 503
 
 
@@ -269,7 +269,7 @@
 def test_polls_prefer_the_leader_and_fall_back_to_the_store(client: Client) -> None:
     client.live()
     assert client("GET", "/v2/runs/run-1")[1]["status"] == "queued"
-    client.node.remote["run-1"] = RunStatus("run-1", "running", 1, 3)
+    client.node.remote["run-1"] = JobStatus("run-1", "running", 1, 3)
     assert client("GET", "/v2/runs/run-1")[1] == {
         "ref": "run-1",
         "status": "running",
@@ -303,7 +303,7 @@
     if who == "leader":
         node.leader = FakeLeader()  # its lease is gone, or the final write is under way
     if who == "follower" and told == "queued":
-        node.remote[JobId("run-1")] = RunStatus("run-1", "queued")
+        node.remote[JobId("run-1")] = JobStatus("run-1", "queued")
     if who == "nobody":
         node.follows = None
     node.store.down = True
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -40,7 +40,7 @@
 
 def failed_job(stage: Stage, workers: list[FakeWorker], ref: str = "run-1") -> Job:
     """A job whose whole first batch has failed."""
-    job = live_job(stage, ref, pieces=8 * len(workers) + 40)
+    job = live_job(stage, ref, task_count=8 * len(workers) + 40)
     stage.place()
     fail_all(stage, workers)
     assert job.backoff_s
@@ -68,7 +68,7 @@
 
 def test_what_was_not_sent_yet_need_not_fail_as_well(stage: Stage) -> None:
     workers = workers_of(stage, 4)
-    job = live_job(stage, "run-1", pieces=100)
+    job = live_job(stage, "run-1", task_count=100)
     stage.place()
     fail_all(stage, workers[:3])
     assert job.backoff_s and not job.live
@@ -122,7 +122,7 @@
 def test_a_machine_that_has_recovered_is_used_again(stage: Stage) -> None:
     """A job that had failed on every machine, and finished tasks on each, waited for ever."""
     workers = workers_of(stage, 2)
-    job = live_job(stage, "run-1", pieces=60)
+    job = live_job(stage, "run-1", task_count=60)
     job.finish(59)
     stage.leader.ctx.book.touch(job)
     stage.write()
@@ -141,7 +141,7 @@
 def test_a_probe_goes_where_the_job_has_not_failed(stage: Stage) -> None:
     """A sound job that met several faulty machines finds out sooner."""
     workers = workers_of(stage, 4)
-    job = live_job(stage, "run-1", pieces=60)
+    job = live_job(stage, "run-1", task_count=60)
     stage.place()
     fail_all(stage, workers[:3])
     assert job.backoff_s
@@ -154,7 +154,7 @@
 
 def test_a_sound_job_that_meets_one_faulty_machine_goes_on(stage: Stage) -> None:
     workers = workers_of(stage, 4)
-    job = live_job(stage, "run-1", pieces=60)
+    job = live_job(stage, "run-1", task_count=60)
     stage.place()
     fail_all(stage, workers[:1])
     stage.place()
@@ -169,14 +169,14 @@
 def test_jobs_that_fail_everywhere_set_no_machine_aside(stage: Stage, sound: bool) -> None:
     """Found in inc-f5fb: a new leader set eleven sound machines aside within two seconds."""
     workers = workers_of(stage, 9)
-    jobs = [live_job(stage, f"run-{n}", pieces=24, vcpus=1.0) for n in (1, 2)]
+    jobs = [live_job(stage, f"run-{n}", task_count=24, cpus=1.0) for n in (1, 2)]
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
     if sound:
         for job in jobs:
             job.finish(23)
-    on_both = [w for w in workers if len({key[0].split("/")[0] for key in w.pieces}) == 2]
+    on_both = [w for w in workers if len({key[0].split("/")[0] for key in w.tasks}) == 2]
     assert on_both
     for worker in workers[:2] if sound else workers:
         worker.finish("error")
@@ -186,7 +186,7 @@
 
 def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(stage: Stage) -> None:
     workers = workers_of(stage, 2)
-    job = live_job(stage, "run-1", pieces=8)
+    job = live_job(stage, "run-1", task_count=8)
     stage.place()
     fail_all(stage, workers[:1])
     machine = stage.leader.ctx.picture.machines[MachineId(workers[0].name)]
@@ -199,7 +199,7 @@
     """Found in replays: each new leader let a whole batch of such jobs fail once more."""
     workers = workers_of(stage, 4)
     job = failed_job(stage, workers)
-    sound = live_job(stage, "run-2", pieces=2)
+    sound = live_job(stage, "run-2", task_count=2)
     sound.finish(0)
     stage.leader.ctx.book.touch(sound)
     stage.write()
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from standins import CPU, run, settings
+from standins import CPU, job_spec, settings
 
 from ryewing import placement, queueing
 from ryewing.jobs import Book, Job, JobRecord
@@ -18,7 +18,7 @@
 from ryewing.rooms import Quota, Room
 from ryewing.settings import Team
 from ryewing.stops import Stops
-from ryewing.units import Attempt, MachineId, Stamp, Steady, TaskId, Term, WallTime, Zone
+from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
 
 STEP_S = 5.0
 BOUND_S = 240.0
@@ -44,15 +44,15 @@
 
     def accept(self, **changes: Any) -> Job:
         self.count += 1
-        record = JobRecord(run(f"run-{self.count}", **changes), self.now)
-        return self.book.put(record, Stamp(1))
+        record = JobRecord(job_spec(f"run-{self.count}", **changes), self.now)
+        return self.book.put(record, KeyVersion(1))
 
     def end_tasks(self) -> None:
         for machine in self.picture.machines.values():
             for held in list(machine.holds.values()):
                 job = held.job
                 assert job is not None and held.ran_from is not None
-                if self.now - held.ran_from >= job.run.guess_s:
+                if self.now - held.ran_from >= job.spec.estimated_s:
                     self.picture.drop(held, Steady(self.now), finished=True)
                     job.finish(held.task.number)
                     job.unwritten.clear()
@@ -66,8 +66,8 @@
         for _ in range(max(0, self.waiting - small)):
             self.accept(**self.small)
         jobs = [self.book.jobs[name] for name in sorted(self.book.waiting)]
-        total = sum(m.flavour.vcpus for m in self.picture.machines.values())
-        free = sum(m.vcpus for m in self.picture.machines.values())
+        total = sum(m.machine_type.cpus for m in self.picture.machines.values())
+        free = sum(m.cpus for m in self.picture.machines.values())
         supply = queueing.Supply(total, free)
         now = WallTime(self.now)
         ordered = queueing.order(jobs, settings().params.objectives, supply, supply, now)
@@ -81,28 +81,32 @@
         for held in stopped:
             self.picture.drop(held, Steady(self.now))
         for batch in plan.batches:
-            self.began.setdefault(batch.job.id, self.now - batch.job.at)
+            self.began.setdefault(batch.job.id, self.now - batch.job.accepted_at)
             for machine, count in batch.parts:
                 for number in batch.job.take(count):
                     task = TaskId(batch.job.id, number)
                     self.picture.hold(machine, task, Attempt(1), RUNNING, Steady(self.now))
 
 
-ONE = {"shape": "group", "rank": "urgent", "pieces": 1, "vcpus": 30.0, "guess_s": 60.0}
-PAIR = {**ONE, "pieces": 2, "together": True}
-ARRAY = {"rank": "standard", "pieces": 8, "vcpus": 4.0, "guess_s": 30.0}
+ONE = {"shape": "group", "priority": "urgent", "task_count": 1, "cpus": 30.0, "estimated_s": 60.0}
+PAIR = {**ONE, "task_count": 2, "same_zone": True}
+ARRAY = {"priority": "standard", "task_count": 8, "cpus": 4.0, "estimated_s": 30.0}
 
 
 @pytest.mark.parametrize(
     ("small", "waiting", "large"),
     [
-        (ONE, 4, {**ONE, "pieces": 6, "together": True}),  # small gangs take each machine freed
-        (PAIR, 4, {**ONE, "pieces": 6, "together": True}),
-        (PAIR, 4, {**ONE, "pieces": 9}),  # from both zones
-        ({**ARRAY, "rank": "urgent"}, 6, {**ONE, "pieces": 6, "together": True}),
-        (ARRAY, 30, {**ARRAY, "pieces": 2000}),  # put off by the order, as it can't be on time
-        (ARRAY, 30, {**ARRAY, "owner": "blue", "rank": "idle"}),  # lesser rank, another team
-        (ARRAY, 30, {**ARRAY, "rank": "idle", "pieces": 2000, "jobclass": "other"}),
+        (
+            ONE,
+            4,
+            {**ONE, "task_count": 6, "same_zone": True},
+        ),  # small gangs take each machine freed
+        (PAIR, 4, {**ONE, "task_count": 6, "same_zone": True}),
+        (PAIR, 4, {**ONE, "task_count": 9}),  # from both zones
+        ({**ARRAY, "priority": "urgent"}, 6, {**ONE, "task_count": 6, "same_zone": True}),
+        (ARRAY, 30, {**ARRAY, "task_count": 2000}),  # put off by the order, as it can't be on time
+        (ARRAY, 30, {**ARRAY, "team": "blue", "priority": "idle"}),  # lesser rank, another team
+        (ARRAY, 30, {**ARRAY, "priority": "idle", "task_count": 2000, "job_class": "other"}),
     ],
 )
 def test_the_largest_begin_within_four_minutes(
@@ -112,7 +116,7 @@
     for _ in range(12):
         stream.step()
     one = stream.accept(**large)
-    while one.id not in stream.began and stream.now - one.at < 4 * BOUND_S:
+    while one.id not in stream.began and stream.now - one.accepted_at < 4 * BOUND_S:
         stream.step()
     assert stream.began.get(one.id, 4 * BOUND_S) <= BOUND_S
 
@@ -123,12 +127,12 @@
     stream = Stream(12, small, 4)
     for _ in range(12):
         stream.step()
-    stream.accept(**{**ONE, "pieces": 6, "together": True})
-    quick = {**ARRAY, "guess_s": 5.0}
+    stream.accept(**{**ONE, "task_count": 6, "same_zone": True})
+    quick = {**ARRAY, "estimated_s": 5.0}
     used = []
     for _ in range(40):
         stream.accept(**quick)
         stream.step()
-        free = sum(m.vcpus for m in stream.picture.machines.values())
-        used.append(1 - free / (12 * CPU.vcpus))
+        free = sum(m.cpus for m in stream.picture.machines.values())
+        used.append(1 - free / (12 * CPU.cpus))
     assert sum(used) / len(used) > 0.8
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -15,10 +15,10 @@
 from ryewing.leadership import campaign, read_view
 from ryewing.mesh import ImageHint
 from ryewing.picture import COLD, GATHERING, PLANNED, RUNNING, SENT, WARM
-from ryewing.renter import HIRE_PREFIX
+from ryewing.renter import REQUEST_PREFIX
 from ryewing.store import Put, StoreDown
-from ryewing.units import MachineId, NodeName, Stamp, Term, token_of
-from ryewing.wire import ListedHost, ReportedPiece
+from ryewing.units import KeyVersion, MachineId, NodeName, Term, token_of
+from ryewing.wire import ListedMachine, ReportedTask
 from ryewing.writer import MACHINE_PREFIX, MachineRecord
 
 
@@ -37,7 +37,7 @@
     assert stage.store.get(final_key(job)) is not None
     assert stage.finals == {job: "done"}
     assert verbs(stage.exchange(worker)) == ["clear"] * 4
-    assert not worker.pieces
+    assert not worker.tasks
 
 
 def test_starts_need_handshake_record_and_lease(stage: Stage) -> None:
@@ -59,9 +59,9 @@
     for take_away, give_back in guards:
         take_away()
         report = worker.report()
-        report.mandate = 0 if not machine.handshaken else report.mandate
+        report.token = 0 if not machine.handshaken else report.token
         answer = stage.leader.on_report(report)
-        assert answer is not None and not starts(answer.orders)
+        assert answer is not None and not starts(answer.commands)
         give_back()
     assert len(starts(stage.exchange(worker))) == 4
 
@@ -80,17 +80,17 @@
 
 def test_a_report_with_a_later_token_ends_the_term(stage: Stage) -> None:
     worker = stage.worker()
-    worker.mandate = token_of(Term(6))
+    worker.token = token_of(Term(6))
     assert stage.leader.on_report(worker.report()) is None
     assert stage.lost == ["overruled"]
 
 
 def test_only_a_later_report_settles_an_assumed_start(stage: Stage) -> None:
     worker = stage.ready_worker()
-    stage.accept(pieces=1)
+    stage.accept(task_count=1)
     stage.place()
     answer = stage.leader.on_report(worker.report())  # this answer is lost on its way
-    assert answer is not None and len(starts(answer.orders)) == 1
+    assert answer is not None and len(starts(answer.commands)) == 1
     machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)  # the body of /orders does not show the task
     assert list(stage.holds().values()) == [SENT]
@@ -104,28 +104,28 @@
     worker = stage.ready_worker()
     asked: list[str] = []
     stage.leader.dispatch.send_soon = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
-    stage.accept(pieces=2)
+    stage.accept(task_count=2)
     stage.place()
     assert asked == [worker.name]
     machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)
-    assert worker.mandate == token_of(Term(5), 1)
+    assert worker.token == token_of(Term(5), 1)
     assert len(starts(stage.exchange(worker))) == 2  # a lower token would be dropped
-    stage.accept("run-2", pieces=1)
+    stage.accept("run-2", task_count=1)
     stage.place()
     assert asked == [worker.name]  # a start is on its way, and half a lease is not over
     stage.new_leader(6)
     answer = stage.leader.on_report(worker.report())
-    assert answer is not None and answer.mandate > worker.mandate
+    assert answer is not None and answer.token > worker.token
 
 
 def test_a_new_session_seen_in_an_orders_body_voids_an_assumed_start(stage: Stage) -> None:
     """The worker drops responses to reports of an earlier session."""
     worker = stage.ready_worker()
-    stage.accept(pieces=1)
+    stage.accept(task_count=1)
     stage.place()
     assert stage.leader.on_report(worker.report()) is not None  # lost on its way
-    worker.tenure += 1
+    worker.session += 1
     stage.leader.dispatch.send(stage.leader.ctx.picture.machines[MachineId(worker.name)])
     assert stage.holds() == {}
 
@@ -134,47 +134,47 @@
     worker = stage.ready_worker()
     late = worker.report()
     stage.exchange(worker)
-    stage.accept(pieces=1)
+    stage.accept(task_count=1)
     stage.place()
     answer = stage.leader.on_report(late)
-    assert answer is not None and not starts(answer.orders)
+    assert answer is not None and not starts(answer.commands)
     assert list(stage.holds().values()) == [PLANNED]
 
 
 def test_a_new_session_has_forgotten_everything(stage: Stage) -> None:
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=1)
+    stage.begin(worker, task_count=1)
     stage.exchange(worker)
     assert list(stage.holds().values()) == [RUNNING]
-    worker.tenure += 1
-    worker.tick = 0
-    worker.pieces.clear()
+    worker.session += 1
+    worker.sequence = 0
+    worker.tasks.clear()
     stage.exchange(worker)
     assert stage.holds() == {}
 
 
 def test_attempts_are_never_repeated_after_a_takeover(stage: Stage) -> None:
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=1)
-    [(_, first)] = worker.pieces
+    stage.begin(worker, task_count=1)
+    [(_, first)] = worker.tasks
     stage.new_leader(6)
-    worker.pieces.clear()
+    worker.tasks.clear()
     stage.ready(worker)
     stage.place()
     stage.exchange(worker)
-    [(_, second)] = worker.pieces
+    [(_, second)] = worker.tasks
     assert second > first
 
 
 def test_a_successor_rebuilds_from_reports(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=3)
+    job = stage.begin(worker, task_count=3)
     stage.exchange(worker)
     stage.new_leader(6)
     assert not stage.leader.placer.ready_to_place()  # a recorded machine has not been heard
     machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)  # the handshake
-    assert machine.handshaken and worker.mandate == token_of(Term(6))
+    assert machine.handshaken and worker.token == token_of(Term(6))
     assert stage.leader.placer.ready_to_place()
     stage.leader.placer.run_pass()
     found = stage.leader.ctx.book.get(job)
@@ -183,20 +183,20 @@
 
 @pytest.mark.parametrize(
     ("changes", "free_s"),
-    [({}, None), ({"flavours": ["g4"]}, 0.0)],
+    [({}, None), ({"machine_types": ["g4"]}, 0.0)],
 )
 def test_what_an_unheard_machine_may_hold_stays_blocked(
     stage: Stage, changes: dict[str, Any], free_s: float | None
 ) -> None:
-    silent, heard = stage.worker("i-000001"), stage.worker("i-000002", flavour="g4")
+    silent, heard = stage.worker("i-000001"), stage.worker("i-000002", machine_type="g4")
     stage.ready(silent, heard)
-    stage.accept("run-1", pieces=1, **changes)
+    stage.accept("run-1", task_count=1, **changes)
     stage.new_leader(6)
     stage.exchange(heard)
     stage.exchange(heard)
     stage.later(policy().gather_s)
     stage.exchange(heard)
-    new = stage.accept("run-2", pieces=1, flavours=["g4"])
+    new = stage.accept("run-2", task_count=1, machine_types=["g4"])
     stage.place()
     placed = set(stage.holds("i-000002"))
     assert f"{new}/0" in placed  # accepted after the take-over: nobody can hold it
@@ -217,7 +217,7 @@
 def test_a_confirmed_release_unblocks_at_once(stage: Stage) -> None:
     silent, heard = stage.worker("i-000001"), stage.worker("i-000002")
     stage.ready(silent, heard)
-    stage.accept("run-1", pieces=1)
+    stage.accept("run-1", task_count=1)
     stage.new_leader(6)
     stage.exchange(heard)
     stage.exchange(heard)
@@ -232,7 +232,7 @@
 
 def test_a_late_transaction_of_an_earlier_term_dies(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=1)
+    job = stage.begin(worker, task_count=1)
     old = stage.leader
     stage.end(worker)
     stage.new_leader(6)
@@ -244,13 +244,16 @@
 @pytest.mark.parametrize("cancel_first", [True, False])
 def test_cancel_and_done_cannot_both_win(stage: Stage, cancel_first: bool) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=1)
+    job = stage.begin(worker, task_count=1)
     stage.end(worker)
     entry = stage.store.get(live_key(job))
     assert entry is not None
     record = msgspec.json.decode(entry.data, type=JobRecord)
     record.cancelled = True
-    cancel: tuple[Any, Any] = ({live_key(job): Stamp(entry.stamp)}, [Put(live_key(job), record)])
+    cancel: tuple[Any, Any] = (
+        {live_key(job): KeyVersion(entry.key_version)},
+        [Put(live_key(job), record)],
+    )
     if cancel_first:
         assert stage.store.txn(*cancel).ok  # written by another node, not seen here yet
         stage.write()
@@ -263,7 +266,7 @@
 
 def test_a_lost_answer_to_the_final_write_is_found_out(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=1)
+    job = stage.begin(worker, task_count=1)
     stage.end(worker)
     stage.store.lose_answers = True
     with pytest.raises(StoreDown):
@@ -284,7 +287,7 @@
 
 def test_a_cancel_halts_and_never_starts_again(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=12)
+    job = stage.begin(worker, task_count=12)
     assert stage.leader.take_cancel(job)
     entry = stage.store.get(live_key(job))
     assert entry is not None
@@ -293,7 +296,7 @@
     stage.store.txn({}, [Put(live_key(job), record)])
     entry = stage.store.get(live_key(job))
     assert entry is not None
-    stage.leader.intake.job_set(entry.k, entry.data, Stamp(entry.stamp))
+    stage.leader.intake.job_set(entry.key, entry.data, KeyVersion(entry.key_version))
     assert verbs(stage.exchange(worker)) == ["halt"] * 8
     stage.exchange(worker)
     stage.place()
@@ -304,33 +307,33 @@
 
 def test_a_task_of_no_live_job_is_halted(stage: Stage) -> None:
     worker = stage.ready_worker()
-    worker.pieces[("run-77/0", 3)] = ReportedPiece("run-77/0", 3, "running")
+    worker.tasks[("run-77/0", 3)] = ReportedTask("run-77/0", 3, "running")
     assert verbs(stage.exchange(worker)) == ["halt"]
 
 
 def test_a_gang_starts_whole_and_is_replaced_under_one_attempt(stage: Stage) -> None:
     workers = [stage.worker(f"i-{n:06d}") for n in range(1, 4)]
     stage.ready(*workers)
-    job = stage.accept(pieces=2, shape="group", vcpus=30.0)
+    job = stage.accept(task_count=2, shape="group", cpus=30.0)
     stage.place()
     for worker in workers:
         stage.exchange(worker)
-        for key, piece in worker.pieces.items():
-            worker.pieces[key] = ReportedPiece(piece.piece, piece.attempt, GATHERING)
-    attempts = {attempt for worker in workers for _, attempt in worker.pieces}
+        for key, reported in worker.tasks.items():
+            worker.tasks[key] = ReportedTask(reported.task_id, reported.attempt, GATHERING)
+    attempts = {attempt for worker in workers for _, attempt in worker.tasks}
     assert len(attempts) == 1
     for worker in workers:
         stage.exchange(worker)
-    lost = next(worker for worker in workers if worker.pieces)
-    lost.pieces.clear()
-    lost.tenure += 1
+    lost = next(worker for worker in workers if worker.tasks)
+    lost.tasks.clear()
+    lost.session += 1
     stage.exchange(lost)
     stage.place()
     for worker in workers:
         stage.exchange(worker)
-    held = {attempt for worker in workers for _, attempt in worker.pieces}
+    held = {attempt for worker in workers for _, attempt in worker.tasks}
     assert held == attempts
-    assert sum(len(worker.pieces) for worker in workers) == 2
+    assert sum(len(worker.tasks) for worker in workers) == 2
     found = stage.leader.ctx.book.get(job)
     assert found is not None and found.shortfall == 0
 
@@ -338,14 +341,14 @@
 def test_a_gang_that_ran_and_lost_a_task_is_cleared_before_its_next_attempt(stage: Stage) -> None:
     workers = [stage.worker(f"i-{n:06d}") for n in range(1, 4)]
     stage.ready(*workers)
-    stage.accept(pieces=2, shape="group", vcpus=30.0)
+    stage.accept(task_count=2, shape="group", cpus=30.0)
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
-    lost, left = [worker for worker in workers if worker.pieces]
-    old = {attempt for _, attempt in left.pieces}
-    lost.pieces.clear()
-    lost.tenure += 1
+    lost, left = [worker for worker in workers if worker.tasks]
+    old = {attempt for _, attempt in left.tasks}
+    lost.tasks.clear()
+    lost.session += 1
     stage.exchange(lost)
     stage.place()
     for worker in workers:
@@ -355,20 +358,20 @@
     stage.place()
     for worker in workers:
         stage.exchange(worker)
-    new = {attempt for worker in workers for _, attempt in worker.pieces}
+    new = {attempt for worker in workers for _, attempt in worker.tasks}
     assert len(new) == 1 and new != old
 
 
 def test_a_notice_drains_and_refills_elsewhere(stage: Stage) -> None:
-    spot, other = stage.worker("i-000001", loaner=True), stage.worker("i-000002")
+    spot, other = stage.worker("i-000001", spot=True), stage.worker("i-000002")
     stage.ready(spot)
-    stage.accept(pieces=1, loaner=True, savepoint_s=10.0, flush_s=4.0, guess_s=500.0)
+    stage.accept(task_count=1, spot=True, checkpoint_s=10.0, save_s=4.0, estimated_s=500.0)
     stage.place()
     stage.exchange(spot)
     stage.exchange(spot)
-    spot.warning_s = 10.0
+    spot.notice_s = 10.0
     [halt] = stage.exchange(spot)
-    assert halt.verb == "halt" and halt.mercy_s == 4.0
+    assert halt.verb == "halt" and halt.grace_s == 4.0
     stage.ready(other)
     stage.exchange(spot)
     stage.place()
@@ -377,7 +380,7 @@
 
 def test_a_job_is_refilled_only_after_its_finishes_are_written(stage: Stage) -> None:
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=12)
+    stage.begin(worker, task_count=12)
     stage.exchange(worker)
     stage.end(worker)
     stage.place()
@@ -389,7 +392,7 @@
 
 def test_finished_tasks_are_not_run_again_by_a_successor(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=12)
+    job = stage.begin(worker, task_count=12)
     stage.end(worker)
     stage.write()
     stage.new_leader(6)
@@ -406,33 +409,33 @@
 
 
 def test_a_successor_repeats_a_recorded_wish_under_its_name(stage: Stage) -> None:
-    stage.accept(pieces=8)
-    stage.leader.renter.hire = lambda hire: None  # type: ignore[method-assign]  # dies before asking
+    stage.accept(task_count=8)
+    stage.leader.renter.id = lambda request: None  # type: ignore[method-assign]  # dies before asking
     rent(stage)
-    assert len(stage.store.listing(HIRE_PREFIX)[0]) == 1
+    assert len(stage.store.listing(REQUEST_PREFIX)[0]) == 1
     assert not stage.cloud.requests
     stage.new_leader(6)
-    for hire in list(stage.leader.renter.pending_hires.values()):
-        stage.leader.renter.hire(hire)
+    for request in list(stage.leader.renter.pending_requests.values()):
+        stage.leader.renter.id(request)
     rent(stage)  # what is booting counts
     assert len(stage.cloud.requests) == 1
     stage.write()
-    assert stage.store.listing(HIRE_PREFIX)[0] == []
+    assert stage.store.listing(REQUEST_PREFIX)[0] == []
     assert len(stage.store.listing(MACHINE_PREFIX)[0]) == 1
 
 
 def test_names_of_requests_differ_between_terms(stage: Stage) -> None:
-    stage.accept(pieces=8)
+    stage.accept(task_count=8)
     rent(stage)
     stage.new_leader(6)
-    stage.accept("run-2", pieces=50)
+    stage.accept("run-2", task_count=50)
     rent(stage)
-    names = [hire.hire for hire in stage.cloud.requests]
+    names = [request.id for request in stage.cloud.requests]
     assert len(names) == len(set(names)) >= 2
 
 
 def test_an_unanswered_request_is_repeated_not_renewed(stage: Stage) -> None:
-    stage.accept(pieces=8)
+    stage.accept(task_count=8)
 
     def no_answer(_hire: Any) -> Any:
         raise CloudDown("timeout")
@@ -441,14 +444,14 @@
     with pytest.raises(CloudDown):
         rent(stage)
     stage.cloud.rent = real  # type: ignore[method-assign]
-    [pending] = stage.leader.renter.pending_hires.values()
-    stage.leader.renter.hire(pending)
-    assert [hire.hire for hire in stage.cloud.requests] == [pending.hire]
+    [pending] = stage.leader.renter.pending_requests.values()
+    stage.leader.renter.id(pending)
+    assert [request.id for request in stage.cloud.requests] == [pending.id]
 
 
 def test_nothing_is_rented_without_the_lease(stage: Stage) -> None:
-    stage.accept(pieces=8)
-    rent_wish = stage.leader.renter.pending_hires
+    stage.accept(task_count=8)
+    rent_wish = stage.leader.renter.pending_requests
     stage.place()
     stage.later(3.1, renewed=False)
     stage.leader.renter.rent()
@@ -458,7 +461,7 @@
 
 def test_a_booting_machine_keeps_a_successor_from_nothing(stage: Stage) -> None:
     """Found on a rolling restart: each new leader waited for machines that had never reported."""
-    stage.accept(pieces=8)
+    stage.accept(task_count=8)
     rent(stage)
     stage.write()
     stage.new_leader(6)
@@ -497,13 +500,13 @@
     """Lists are old: a new leader took up machines that were gone, and counted them as booting."""
     worker = stage.worker()
     for shown in lists:
-        host = ListedHost(worker.name, "c32", "a", "running", "", False, 5.0)
+        host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
         stage.cloud.listed = [host] if shown else []
         stage.leader.renter._list()
         if heard:
             stage.exchange(worker)
     assert (MachineId(worker.name) in stage.leader.ctx.picture.machines) is known
-    stage.accept(pieces=8)
+    stage.accept(task_count=8)
     stage.place()
     stage.leader.renter.rent()
     assert bool(stage.cloud.requests) is not known
@@ -585,7 +588,7 @@
 def test_a_machine_that_fails_several_jobs_is_set_aside(stage: Stage) -> None:
     worker = stage.ready_worker()
     for n in (1, 2):
-        stage.begin(worker, f"run-{n}", pieces=1)
+        stage.begin(worker, f"run-{n}", task_count=1)
     stage.exchange(worker)
     worker.finish("error")
     stage.exchange(worker)
@@ -595,7 +598,7 @@
 def test_a_job_that_fails_everywhere_backs_off(stage: Stage) -> None:
     workers = [stage.worker(f"i-{n:06d}") for n in range(3)]
     stage.ready(*workers)
-    job = stage.accept(pieces=24)
+    job = stage.accept(task_count=24)
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
@@ -626,7 +629,7 @@
     """Among hundreds of machines it met three at once, and cleared each of its fault."""
     workers = [stage.worker(f"i-{n:06d}") for n in range(faulty + others)]
     stage.ready(*workers)
-    found = stage.leader.ctx.book.get(stage.accept(pieces=8 * len(workers)))
+    found = stage.leader.ctx.book.get(stage.accept(task_count=8 * len(workers)))
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
@@ -641,7 +644,7 @@
 def test_a_successor_is_told_which_machines_have_which_images(stage: Stage) -> None:
     """Found with rolling restarts: each leader fetched anew, or waited for the few it knew warm."""
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=1, bundle="img-7", image_gb=2.0)
+    stage.begin(worker, task_count=1, image="img-7", image_gb=2.0)
     stage.exchange(worker)
     told = stage.leader.image_hint()
     told.machines["i-000999"] = [0]  # gone meanwhile
@@ -671,9 +674,9 @@
 
 
 def test_machine_records_carry_what_a_successor_needs(stage: Stage) -> None:
-    worker = stage.worker(loaner=True, site="b")
+    worker = stage.worker(spot=True, zone="b")
     stage.ready(worker)
     [entry] = stage.store.listing(MACHINE_PREFIX)[0]
     records = msgspec.json.decode(entry.data, type=dict[str, MachineRecord])
-    address = worker.report().addr
+    address = worker.report().address
     assert records == {worker.name: MachineRecord("c32", "b", True, address, True)}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,17 +8,17 @@
 import msgspec
 import pytest
 from stage import Stage
-from standins import CPU, FakeStore, run, settings
+from standins import CPU, FakeStore, job_spec, settings
 from test_api import Client
 
 from ryewing import catalogue
 from ryewing.jobs import DONE_PREFIX, JobRecord, final_key, live_key
 from ryewing.packed import Packed
-from ryewing.renter import HIRE_PREFIX
+from ryewing.renter import REQUEST_PREFIX
 from ryewing.settings import BadSettings, load
 from ryewing.store import Put, Rejected, StoreDown
-from ryewing.units import JobId, MachineId, Stamp
-from ryewing.wire import Entry, Flavour, Hire
+from ryewing.units import JobId, KeyVersion, MachineId
+from ryewing.wire import Entry, MachineType, RentalRequest
 from ryewing.writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
 
 
@@ -100,7 +100,7 @@
         change = packed.change(number, ops_max, 48 * 1024)
         result = store.txn(change.conditions, list(change.ops))
         assert result.ok
-        packed.written(change, result.epoch)
+        packed.written(change, result.revision)
     return stop_after
 
 
@@ -146,8 +146,8 @@
 
 def test_what_is_said_twice_is_put_together(stage: Stage) -> None:
     """A predecessor of the earlier version went on with one copy, and then with the other."""
-    job = stage.accept("run-1", pieces=16)
-    stage.accept("run-2", pieces=16)
+    job = stage.accept("run-1", task_count=16)
+    stage.accept("run-2", task_count=16)
     stage.store.txn(
         {},
         [
@@ -213,12 +213,12 @@
     store, records = wide_store(MACHINE_PREFIX, 8.0, 120)
     packed = Packed(MACHINE_PREFIX, 2.0)
     packed.load(store.listing(MACHINE_PREFIX)[0])
-    sent: list[tuple[dict[str, Stamp], list[Put]]] = []
+    sent: list[tuple[dict[str, KeyVersion], list[Put]]] = []
     while (number := next(packed.changed(), None)) is not None:
         change = packed.change(number, 4, 48 * 1024)
         sent.append((dict(change.conditions), list(change.ops)))
         result = store.txn(change.conditions, list(change.ops))
-        packed.written(change, result.epoch)
+        packed.written(change, result.revision)
     for name in list(records)[:60]:
         packed.drop(name)  # whole values are emptied
     apply(packed, store, 4)
@@ -232,7 +232,7 @@
     """Played: after the fall no finish was written any more, since each write was refused."""
     workers = [stage.worker(f"i-{n:06d}") for n in range(120)]
     stage.ready(*workers)
-    jobs = [stage.accept(f"run-{n}", pieces=40, vcpus=1.0, mem_gb=1.0) for n in range(60)]
+    jobs = [stage.accept(f"run-{n}", task_count=40, cpus=1.0, memory_gb=1.0) for n in range(60)]
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
@@ -263,7 +263,7 @@
     """A 400 was taken for an outage, and the same transaction was tried for ever."""
     stage.may_reject = True
     sizes = [8192, 4] if culprit_first else [4, 8192]
-    large, small = (stage.accept(f"run-{n}", pieces=pieces) for n, pieces in enumerate(sizes))
+    large, small = (stage.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
     if not culprit_first:
         large, small = small, large
     stage.narrow(value_kb=1.0)
@@ -290,13 +290,13 @@
     workers = [stage.worker(f"i-{n:06d}") for n in range(40)]
     stage.ready(*workers)
     stage.narrow(**limits)
-    jobs = [stage.accept(f"run-{n}", pieces=4, vcpus=1.0, mem_gb=1.0) for n in range(30)]
+    jobs = [stage.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
     stage.place()
     for worker in workers:
         stage.exchange(worker)
     for n, worker in enumerate(workers):
-        worker.flavour = worker.flavour
-        stage.leader.ctx.picture.machines[MachineId(worker.name)].addr = f"10.2.0.{n}:9000"
+        worker.machine_type = worker.machine_type
+        stage.leader.ctx.picture.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
         stage.leader.writer.to_record.add(MachineId(worker.name))
         stage.end(worker)
     stage.write()
@@ -308,7 +308,7 @@
 
 def wide_job(client: Client, ref: str) -> JobRecord:
     """A job accepted under wide limits, whose record is larger than is taken now."""
-    record = JobRecord(run(ref, bundle="img-" + "x" * 3000), 0.0)
+    record = JobRecord(job_spec(ref, image="img-" + "x" * 3000), 0.0)
     client.node.store.txn({}, [Put(live_key(JobId(ref)), record)])
     client.node.store.limits = msgspec.structs.replace(
         client.node.store.limits, value_kb=2.0, txn_ops=4
@@ -320,7 +320,7 @@
     """Its record could be read but not written back whole; a repeat of it was 'too large'."""
     client = Client()
     record = wide_job(client, "run-7")
-    again = msgspec.to_builtins(record.run)
+    again = msgspec.to_builtins(record.spec)
     assert client("POST", "/v2/runs", msgspec.json.encode(again))[0] == 200
     assert client("POST", "/v2/runs/run-7/cancel") == (
         200,
@@ -329,7 +329,7 @@
     entry = client.node.store.get(live_key(JobId("run-7")))
     assert entry is not None
     kept = msgspec.json.decode(entry.data, type=JobRecord)
-    assert kept.cancelled and kept.run.owner == "red" and kept.run.vcpus == record.run.vcpus
+    assert kept.cancelled and kept.spec.team == "red" and kept.spec.cpus == record.spec.cpus
     assert not client.node.store.rejected
 
 
@@ -351,15 +351,15 @@
 def test_a_job_whose_finishes_cannot_be_kept_is_refused() -> None:
     client = Client()
     client.node.store.limits = msgspec.structs.replace(client.node.store.limits, value_kb=1.0)
-    assert client.submit(pieces=8192)[0] == 400
-    assert client.submit(pieces=5000)[0] == 201
-    assert client.submit(ref="run-2", pieces=8192, shape="daemon", vcpus=0.001)[0] == 201
+    assert client.submit(task_count=8192)[0] == 400
+    assert client.submit(task_count=5000)[0] == 201
+    assert client.submit(ref="run-2", task_count=8192, shape="daemon", cpus=0.001)[0] == 201
 
 
 def test_a_store_that_takes_less_than_announced_is_no_outage() -> None:
     """The answer was 503, and the user came back for a minute; a cancel never came through."""
     client = Client()
-    known = JobRecord(run("run-1", bundle="img-" + "x" * 3000), 0.0)
+    known = JobRecord(job_spec("run-1", image="img-" + "x" * 3000), 0.0)
     client.node.store.txn({}, [Put(live_key(JobId("run-1")), known)])
     wide = client.node.store.limits
     client.node.store.limits = narrow = msgspec.structs.replace(wide, value_kb=2.0)
@@ -374,14 +374,14 @@
 
     client.node.store.txn = told_otherwise  # type: ignore[method-assign]
     client.node.store.limits = wide
-    assert client.submit(ref="run-2", bundle="img-" + "x" * 3000)[0] == 400
-    assert client.submit(bundle="img-" + "x" * 3000)[0] == 200
+    assert client.submit(ref="run-2", image="img-" + "x" * 3000)[0] == 400
+    assert client.submit(image="img-" + "x" * 3000)[0] == 200
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 200
 
 
 def test_a_final_state_is_written_for_a_job_with_a_wide_record(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.accept("run-1", bundle="img-" + "x" * 3000)
+    job = stage.accept("run-1", image="img-" + "x" * 3000)
     stage.announce(value_kb=2.0, txn_ops=4)
     stage.new_leader(6)
     stage.narrow(value_kb=2.0, txn_ops=4)
@@ -396,8 +396,8 @@
 # -- machine types ------------------------------------------------------------------------------
 
 
-def many_types(count: int) -> list[Flavour]:
-    return [msgspec.structs.replace(CPU, sku=f"c{n}") for n in range(count)]
+def many_types(count: int) -> list[MachineType]:
+    return [msgspec.structs.replace(CPU, name=f"c{n}") for n in range(count)]
 
 
 @pytest.mark.parametrize(
@@ -411,10 +411,10 @@
     catalogue.write(store, {}, many_types(count))  # type: ignore[arg-type]
     assert (len(store.listing(catalogue.KEY)[0]) > 1) == parted
     read = catalogue.read(store)  # type: ignore[arg-type]
-    assert sorted(f.sku for f in read) == sorted(f.sku for f in many_types(count))
+    assert sorted(f.name for f in read) == sorted(f.name for f in many_types(count))
     store.limits = msgspec.structs.replace(store.limits, value_kb=8.0)
     catalogue.write(store, {}, many_types(3))  # type: ignore[arg-type]
-    assert [entry.k for entry in store.listing(catalogue.KEY)[0]] == [catalogue.KEY]
+    assert [entry.key for entry in store.listing(catalogue.KEY)[0]] == [catalogue.KEY]
 
 
 def test_while_types_are_parted_a_reader_finds_them_all() -> None:
@@ -437,23 +437,25 @@
     """They were noted as known before the write: after an outage no follower learned them."""
     stage.store.down = True
     with pytest.raises(StoreDown):
-        stage.leader.renter._read_flavours()
+        stage.leader.renter._read_machine_types()
     stage.store.down = False
-    stage.leader.renter._read_flavours()
+    stage.leader.renter._read_machine_types()
     assert stage.store.get(catalogue.KEY) is not None
     before = stage.store.writes
-    stage.leader.renter._read_flavours()
+    stage.leader.renter._read_machine_types()
     assert stage.store.writes == before
 
 
 def test_a_repeated_wish_does_not_say_that_its_machines_were_never_heard(stage: Stage) -> None:
     """A successor repeats the wish, and wrote 'not heard' over what its predecessor had written."""
-    names = stage.cloud.rent(Hire("r-5-1", "c32", "a", False, 1))
-    stage.store.txn({}, [Put(HIRE_PREFIX + "r-5-1", Hire("r-5-1", "c32", "a", False, 1))])
+    names = stage.cloud.rent(RentalRequest("r-5-1", "c32", "a", False, 1))
+    stage.store.txn(
+        {}, [Put(REQUEST_PREFIX + "r-5-1", RentalRequest("r-5-1", "c32", "a", False, 1))]
+    )
     stage.ready(stage.worker(names[0]))
     stage.new_leader(6)
-    for hire in list(stage.leader.renter.pending_hires.values()):
-        stage.leader.renter.hire(hire)
+    for request in list(stage.leader.renter.pending_requests.values()):
+        stage.leader.renter.id(request)
     stage.write()
     said = as_production_reads(stage.store, MACHINE_PREFIX)[names[0]]
     assert [record["heard"] for record in said] == [True]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,12 +13,12 @@
 import msgspec
 import pytest
 from cluster import NAMES, Cluster, TimedWorker
-from standins import run
+from standins import job_spec
 
 from ryewing.jobs import JobRecord
 from ryewing.store import Put
-from ryewing.units import Epoch
-from ryewing.wire import ReportedPiece
+from ryewing.units import Revision
+from ryewing.wire import ReportedTask
 
 Course = Callable[[Cluster], None]
 
@@ -37,7 +37,7 @@
     worker = serving(cluster)
     cluster.submit(NAMES[0], ref)
     cluster.run(8.0)
-    assert [piece for piece, _ in worker.pieces] == [f"{ref}/0"]
+    assert [reported for reported, _ in worker.tasks] == [f"{ref}/0"]
     return worker
 
 
@@ -51,11 +51,11 @@
     assert cluster.referee.final == {"run-1": "done"}
     cluster.submit("n-1", "run-2")
     cluster.run(4.0)
-    assert worker.pieces
+    assert worker.tasks
     assert cluster.cancel("n-2", "run-2") == 200
     cluster.ask_all("run-2")
     assert cluster.verdict() == []
-    assert not worker.pieces
+    assert not worker.tasks
 
 
 # -- a cancellation, and who knows of it ----------------------------------------------------------
@@ -64,7 +64,7 @@
 def cancelled_while_the_next_leader_reads(cluster: Cluster) -> None:
     """A new leader has read the jobs but not yet the rest when the cancel is told to it."""
     running(cluster)
-    cluster.submit("n-0", "run-2", vcpus=30.0)
+    cluster.submit("n-0", "run-2", cpus=30.0)
     cluster.run(1.0)
     cluster.dead.add("n-0")
 
@@ -94,9 +94,9 @@
     """The leader's watch lags: it hears of the cancel before it hears of the job."""
     serving(cluster)
     link = cluster.links["n-0"]
-    link.stale_watch = Epoch(cluster.store.epoch)
+    link.stale_watch = Revision(cluster.store.revision)
     cluster.submit("n-1")
-    accepted = Epoch(cluster.store.epoch)
+    accepted = Revision(cluster.store.revision)
     cluster.cancel("n-2")
     link.stale_watch = accepted  # an answer that was made between the two
     cluster.run(1.0)
@@ -142,7 +142,7 @@
             break
         cluster.run(1.0)
     assert cluster.referee.final == {"run-1": "cancelled"}, "never answered"
-    assert worker.pieces
+    assert worker.tasks
     cluster.ask_all()
 
 
@@ -193,7 +193,7 @@
     assert cluster.submit("n-1") == 201
     cluster.run(30.0)
     assert cluster.leader_name != "n-0"
-    assert cluster.workers["i-000001"].pieces
+    assert cluster.workers["i-000001"].tasks
 
 
 def cancelled_by_a_clock_that_is_ahead(cluster: Cluster) -> None:
@@ -225,7 +225,7 @@
     """One controller's work changes hands twice while users cancel."""
     running(cluster)
     for number in range(2, 8):
-        cluster.submit("n-1", f"run-{number}", vcpus=2.0)
+        cluster.submit("n-1", f"run-{number}", cpus=2.0)
     cluster.run(4.0)
     for number, name in ((2, "n-0"), (3, "n-1"), (4, "n-2")):
         cluster.cancel(name, f"run-{number}")
@@ -340,9 +340,9 @@
     def course(cluster: Cluster) -> None:
         serving(cluster, machines=3)
         for number in range(1, 7):
-            cluster.submit("n-1", f"run-{number}", vcpus=16.0)
+            cluster.submit("n-1", f"run-{number}", cpus=16.0)
         cluster.run(8.0)
-        assert sum(len(w.pieces) for w in cluster.workers.values()) == 6
+        assert sum(len(w.tasks) for w in cluster.workers.values()) == 6
         cluster.links[who].refused = True
         if apart:
             cluster.cut |= {frozenset((who, other)) for other in NAMES if other != who}
@@ -395,7 +395,7 @@
     cluster.run(9.0)
     worker.hangs = False
     cluster.run(40.0)
-    assert not worker.pieces
+    assert not worker.tasks
 
 
 # -- changes of leader ----------------------------------------------------------------------------
@@ -407,13 +407,13 @@
     old = copy.deepcopy(first.report_now())
     second = cluster.worker("i-000002")
     cluster.run(6.0)
-    first.tenure += 1
-    first.tick = 0
-    first.pieces.clear()
+    first.session += 1
+    first.sequence = 0
+    first.tasks.clear()
     first.hangs = True
     cluster.run(1.0)
     cluster.run(24.0)
-    assert second.pieces and not first.pieces
+    assert second.tasks and not first.tasks
     first.hangs = False
     cluster.run(6.0)
     cluster.dead.add("n-0")
@@ -436,9 +436,9 @@
     del cluster.workers[first.name]
     second = cluster.worker("i-000002")
     cluster.run(30.0)
-    assert second.pieces  # released as silent, or its lease was over
-    second.pieces.clear()
-    second.tenure += 1
+    assert second.tasks  # released as silent, or its lease was over
+    second.tasks.clear()
+    second.session += 1
     cluster.dead.add("n-0")
     while not any(n.leader for name, n in cluster.nodes.items() if name != "n-0"):
         cluster.run(0.25)
@@ -446,7 +446,7 @@
         for _ in range(3):
             cluster.report(name, copy.deepcopy(old))
     cluster.run(8.0)
-    assert second.pieces, "the job waits for a machine that is gone"
+    assert second.tasks, "the job waits for a machine that is gone"
     leader = cluster.nodes[cluster.leader_name].leader
     assert leader is not None and first.name not in leader.ctx.picture.machines
     assert not any(
@@ -476,7 +476,7 @@
     """In two minutes, also inside an outage; each is back within a second."""
     serving(cluster, machines=2)
     for number in range(1, 9):
-        cluster.submit("n-1", f"run-{number}", vcpus=16.0)
+        cluster.submit("n-1", f"run-{number}", cpus=16.0)
     for at in range(10):
         name = cluster.leader_name
         cluster.store.down = at in (3, 4)
@@ -496,11 +496,11 @@
     worker = running(cluster)
     cluster.dead |= set(NAMES)
     cluster.run(25.0)
-    assert not worker.pieces
+    assert not worker.tasks
     for name in NAMES:
         cluster.boot(name)
     cluster.run(45.0)
-    assert worker.pieces
+    assert worker.tasks
 
 
 def new_machines_while_writes_lag(cluster: Cluster) -> None:
@@ -512,10 +512,10 @@
     cluster.submit("n-1")
     new = cluster.worker("i-000002")
     cluster.run(6.0)
-    assert not new.pieces, "a start without a record"
+    assert not new.tasks, "a start without a record"
     link.catch_up()
     cluster.run(4.0)
-    assert new.pieces
+    assert new.tasks
     new.unreachable |= {"n-1", "n-2"}
     cluster.cloud_down = True
     cluster.dead.add("n-0")
@@ -526,15 +526,15 @@
 def limits_while_leaders_change(cluster: Cluster) -> None:
     """A team is at its limit; its jobs are cancelled on machines that can't be asked."""
     for number in range(1, 5):
-        cluster.worker(f"i-{number:06d}", flavour="g4")
+        cluster.worker(f"i-{number:06d}", machine_type="g4")
     cluster.run(4.0)
     for number in range(1, 3):
-        cluster.submit("n-1", f"run-{number}", cards=4.0, vcpus=1.0)
+        cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(10.0)
-    held = [worker for worker in cluster.workers.values() if worker.pieces]
+    held = [worker for worker in cluster.workers.values() if worker.tasks]
     assert len(held) == 2
     for number in range(3, 6):
-        cluster.submit("n-1", f"run-{number}", cards=4.0, vcpus=1.0)
+        cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(2.0)
     held[0].hangs = True
     held[1].unreachable |= set(NAMES)
@@ -543,7 +543,7 @@
     cluster.cloud_down = True
     cluster.dead.add("n-0")
     cluster.run(6.0)
-    cluster.submit("n-1", "run-6", cards=4.0, vcpus=1.0)
+    cluster.submit("n-1", "run-6", gpus=4.0, cpus=1.0)
     cluster.run(9.0)
     held[0].hangs = False
     cluster.run(35.0)
@@ -553,7 +553,7 @@
     """Mute and deaf ones, cancels, and a change of leader."""
     serving(cluster, machines=4)
     for number in range(1, 5):
-        cluster.submit("n-1", f"run-{number}", vcpus=20.0)
+        cluster.submit("n-1", f"run-{number}", cpus=20.0)
     cluster.run(8.0)
     workers = list(cluster.workers.values())
     workers[0].mute = workers[1].deaf = True
@@ -569,9 +569,9 @@
     """A finish is told before, another one after a change of leader."""
     first = serving(cluster, machines=2)
     second = cluster.workers["i-000002"]
-    cluster.submit("n-1", pieces=2, vcpus=30.0)
+    cluster.submit("n-1", task_count=2, cpus=30.0)
     cluster.run(6.0)
-    assert first.pieces and second.pieces
+    assert first.tasks and second.tasks
     cluster.end(first)
     cluster.run(3.0)
     cluster.dead.add("n-0")
@@ -613,17 +613,17 @@
 def one_zone_loses_machines(cluster: Cluster) -> None:
     """An array bound to a zone; the machines there go one after the other."""
     for number in range(1, 4):
-        cluster.worker(f"i-{number:06d}", site="b")
-    cluster.worker("i-000004", site="a")
+        cluster.worker(f"i-{number:06d}", zone="b")
+    cluster.worker("i-000004", zone="a")
     cluster.run(4.0)
-    cluster.submit("n-1", pieces=6, vcpus=10.0, site="b")
+    cluster.submit("n-1", task_count=6, cpus=10.0, zone="b")
     cluster.run(6.0)
     del cluster.workers["i-000001"]
     cluster.run(10.0)
     cluster.workers["i-000002"].hangs = True
     cluster.dead.add("n-0")
     cluster.run(30.0)
-    assert not cluster.workers["i-000004"].pieces
+    assert not cluster.workers["i-000004"].tasks
 
 
 COURSES: list[Course] = [
@@ -692,13 +692,13 @@
     """It reads as a record, and is not one of ours."""
     serving(cluster)
     senseless: list[dict[str, Any]] = [
-        {"rank": "vip"},
-        {"pieces": 0},
-        {"pieces": 10**9},
+        {"priority": "vip"},
+        {"task_count": 0},
+        {"task_count": 10**9},
         {"ref": "run-77"},
     ]
     for number, changes in enumerate(senseless, 1):
-        record = JobRecord(run(**{"ref": f"run-{number}", **changes}), 0.0)
+        record = JobRecord(job_spec(**{"ref": f"run-{number}", **changes}), 0.0)
         cluster.store.plant(f"j/run-{number}", msgspec.json.encode(record))
     cluster.run(2.0)
     leader = cluster.nodes["n-0"].leader
@@ -731,17 +731,17 @@
     ended: dict[str, float] = {}
     for number in range(1, 241):
         ref = f"run-{number}"
-        assert cluster.submit(NAMES[number % 3], ref, vcpus=0.25, mem_gb=0.5) == 201
+        assert cluster.submit(NAMES[number % 3], ref, cpus=0.25, memory_gb=0.5) == 201
         cluster.run(0.25)
         if number % 4 == 0:
             assert cluster.cancel(NAMES[number % 3], f"run-{number - 2}") == 200
         for worker in cluster.workers.values():
-            for (piece, attempt), found in worker.pieces.items():
-                since = begun.setdefault(piece, cluster.clock())
+            for (reported, attempt), found in worker.tasks.items():
+                since = begun.setdefault(reported, cluster.clock())
                 if found.status == "running" and cluster.clock() >= since + 4.0:
-                    over = ReportedPiece(piece, attempt, "ended", "done")
-                    worker.pieces[piece, attempt] = over
-                    ended.setdefault(piece.split("/")[0], cluster.clock())
+                    over = ReportedTask(reported, attempt, "ended", "done")
+                    worker.tasks[reported, attempt] = over
+                    ended.setdefault(reported.split("/")[0], cluster.clock())
                     worker.next_report = min(worker.next_report, cluster.clock() + 0.5)
         cluster.referee.look()
         for job, at in list(ended.items()):
--- a/tests/test_pure.py
+++ b/tests/test_pure.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from standins import CPU, GPU, RAW_SETTINGS, job, policy, run, settings, submission
+from standins import CPU, GPU, RAW_SETTINGS, job, job_spec, policy, settings, submission
 
 from ryewing import placement, preemption, queueing
 from ryewing.budget import Budget
@@ -18,17 +18,17 @@
 from ryewing.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
 from ryewing.picture import RUNNING, Hold, Machine, Picture
 from ryewing.policy import BadPolicy, load
-from ryewing.rooms import NO_CARDS, Quota, Room
+from ryewing.rooms import NO_RESERVE, Quota, Room
 from ryewing.settings import BadSettings, Settings, Team
 from ryewing.settings import load as load_settings
 from ryewing.stops import RESEND_S, Stops
 from ryewing.units import (
     Attempt,
-    Epoch,
     JobId,
+    KeyVersion,
     MachineId,
     NodeName,
-    Stamp,
+    Revision,
     Steady,
     TaskId,
     Term,
@@ -38,7 +38,7 @@
     is_job_id,
     parse_task,
 )
-from ryewing.wire import Flavour, Malformed, Report, ReportedPiece, read_run
+from ryewing.wire import MachineType, Malformed, Report, ReportedTask, read_job_spec
 
 T0 = Steady(1000.0)
 
@@ -97,7 +97,7 @@
 )
 def test_malformed_submissions(field: str, value: object) -> None:
     with pytest.raises(Malformed, match=field):
-        read_run(msgspec.json.encode({**GOOD, field: value}))
+        read_job_spec(msgspec.json.encode({**GOOD, field: value}))
 
 
 @pytest.mark.parametrize(
@@ -106,17 +106,17 @@
 )
 def test_bodies_that_are_no_submission(body: bytes) -> None:
     with pytest.raises(Malformed):
-        read_run(body)
+        read_job_spec(body)
 
 
 def test_infinite_amounts_are_malformed() -> None:
     body = msgspec.json.encode(GOOD).replace(b'"vcpus":4.0', b'"vcpus":1e999')
     with pytest.raises(Malformed):
-        read_run(body)
+        read_job_spec(body)
 
 
 def test_unknown_fields_are_ignored() -> None:
-    assert read_run(msgspec.json.encode({**GOOD, "colour": "red"})).ref == "run-1"
+    assert read_job_spec(msgspec.json.encode({**GOOD, "colour": "red"})).id == "run-1"
 
 
 FLAVOURS = {"c32": CPU, "g4": GPU}
@@ -127,21 +127,21 @@
     ("changes", "possible"),
     [
         ({}, True),
-        ({"owner": "nobody"}, False),
-        ({"vcpus": 33.0}, False),
-        ({"cards": 4.0, "vcpus": 24.0}, True),
-        ({"cards": 5.0}, False),
-        ({"cards": 1.0, "flavours": ["c32"]}, False),
-        ({"flavours": []}, False),
-        ({"site": "z"}, False),
-        ({"owner": "red", "cards": 4.0, "pieces": 99}, True),  # array: one task counts
-        ({"owner": "red", "cards": 4.0, "pieces": 3, "shape": "group"}, False),
-        ({"owner": "red", "cards": 4.0, "pieces": 2, "shape": "group"}, True),
-        ({"owner": "blue", "vcpus": 32.0, "pieces": 3, "shape": "group"}, False),
+        ({"team": "nobody"}, False),
+        ({"cpus": 33.0}, False),
+        ({"gpus": 4.0, "cpus": 24.0}, True),
+        ({"gpus": 5.0}, False),
+        ({"gpus": 1.0, "machine_types": ["c32"]}, False),
+        ({"machine_types": []}, False),
+        ({"zone": "z"}, False),
+        ({"team": "red", "gpus": 4.0, "task_count": 99}, True),  # array: one task counts
+        ({"team": "red", "gpus": 4.0, "task_count": 3, "shape": "group"}, False),
+        ({"team": "red", "gpus": 4.0, "task_count": 2, "shape": "group"}, True),
+        ({"team": "blue", "cpus": 32.0, "task_count": 3, "shape": "group"}, False),
     ],
 )
 def test_what_can_never_run(changes: dict[str, Any], possible: bool) -> None:
-    assert (impossible(run(**changes), FLAVOURS, TEAMS) is None) is possible
+    assert (impossible(job_spec(**changes), FLAVOURS, TEAMS) is None) is possible
 
 
 # -- settings and policy ------------------------------------------------------------------------
@@ -276,7 +276,7 @@
     ],
 )
 def test_who_may_campaign(holder: Holder | None, expected: bool) -> None:
-    view = View(holder, Stamp(3), Term(4), Stamp(3), Epoch(9))
+    view = View(holder, KeyVersion(3), Term(4), KeyVersion(3), Revision(9))
     assert may_campaign(view, NodeName("n-0"), "me") is expected
 
 
@@ -284,7 +284,7 @@
 
 
 def test_take_never_gives_a_task_twice() -> None:
-    one = job(pieces=6)
+    one = job(task_count=6)
     first = one.take(2)
     for index in first:
         one.live[index] = MachineId("i-1")
@@ -298,13 +298,13 @@
 
 
 def test_finished_tasks_survive_in_chunks() -> None:
-    big = job(pieces=100_000)
+    big = job(task_count=100_000)
     for index in (0, 8191, 8192, 99_999):
         assert big.finish(index)
     assert not big.finish(0)
     chunks = big.dirty_chunks()
     assert chunks == [0, 1, 12]
-    again = job(pieces=100_000)
+    again = job(task_count=100_000)
     for chunk in chunks:
         text = big.chunk_text(chunk)
         assert len(text) < 2048
@@ -315,10 +315,10 @@
 
 def test_guess_correction_is_bounded() -> None:
     book = Book()
-    first = book.put(JobRecord(run("run-1", guess_s=10.0), 0.0), Stamp(1))
+    first = book.put(JobRecord(job_spec("run-1", estimated_s=10.0), 0.0), KeyVersion(1))
     for _ in range(500):
         book.took(first, 10_000.0)
-    later = book.put(JobRecord(run("run-2", guess_s=10.0), 0.0), Stamp(2))
+    later = book.put(JobRecord(job_spec("run-2", estimated_s=10.0), 0.0), KeyVersion(2))
     assert 15.0 < later.estimate_s() <= 20.0
 
 
@@ -331,7 +331,7 @@
     assert stops.add(machine, task, attempt, 5.0, "drain", T0)
     assert not stops.add(machine, task, attempt, 9.0, "drain", T0)  # mercy only shrinks
     assert list(stops.due(T0)) == [machine]
-    assert [order.mercy_s for order in stops.orders(machine, T0)] == [5.0]
+    assert [command.grace_s for command in stops.commands(machine, T0)] == [5.0]
     assert list(stops.due(T0)) == []
     assert list(stops.due(Steady(T0 + RESEND_S))) == [machine]
     assert stops.add(machine, task, attempt, 0.0, "cancelled", T0)
@@ -339,7 +339,7 @@
     stops.gone(machine, task, Attempt(8))  # another attempt
     assert stops.has(machine, task, attempt)
     stops.gone(machine, task, attempt)
-    assert not stops.orders(machine, T0)
+    assert not stops.commands(machine, T0)
 
 
 # -- placement ----------------------------------------------------------------------------------
@@ -354,14 +354,14 @@
         self.picture = Picture(Term(5), 20.0, self.book, self.stops)
 
     def machine(
-        self, name: str, flavour: Flavour = CPU, site: str = "a", loaner: bool = False
+        self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
     ) -> Machine:
-        machine = self.picture.add(MachineId(name), flavour, Zone(site), loaner, T0)
+        machine = self.picture.add(MachineId(name), machine_type, Zone(zone), spot, T0)
         machine.heeded, machine.recorded = 0, True
         return machine
 
     def job(self, ref: str, **changes: Any) -> Job:
-        return self.book.put(JobRecord(run(ref, **changes), 0.0), Stamp(1))
+        return self.book.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def put(self, one: Job, machine: Machine, count: int) -> None:
         for index in one.take(count):
@@ -377,13 +377,13 @@
         moving: Sequence[Hold] = (),
         **ways: Any,
     ) -> placement.Plan:
-        per_card = NO_CARDS
+        gpu_reserve = NO_RESERVE
         for one in self.book:
-            per_card = per_card.widened(one)
-        quota = Quota(TEAMS, self.picture.team_vcpus, self.picture.team_cards, *unseen)
+            gpu_reserve = gpu_reserve.widened(one)
+        quota = Quota(TEAMS, self.picture.team_cpus, self.picture.team_gpus, *unseen)
         rooms = [Room(m) for m in self.picture.machines.values() if m.usable()]
         return placement.Pass(
-            rooms, quota, Steady(T0 + now), random.Random(1), sample, per_card, kept, **ways
+            rooms, quota, Steady(T0 + now), random.Random(1), sample, gpu_reserve, kept, **ways
         ).run(jobs, (), moving)
 
 
@@ -398,31 +398,31 @@
 def test_fullest_fitting_machine_first() -> None:
     world = World()
     world.machine("i-1")
-    world.put(world.job("run-9", pieces=5), world.machine("i-2"), 5)
-    assert spread_of(world.plan(world.job("run-1", pieces=4))) == {"i-2": 3, "i-1": 1}
+    world.put(world.job("run-9", task_count=5), world.machine("i-2"), 5)
+    assert spread_of(world.plan(world.job("run-1", task_count=4))) == {"i-2": 3, "i-1": 1}
 
 
 @pytest.mark.parametrize(
     ("changes", "expected"),
     [
-        ({"pieces": 16}, 16),  # 8 a machine
-        ({"pieces": 17, "shape": "group"}, 0),  # whole or not at all
-        ({"pieces": 16, "shape": "group"}, 16),
-        ({"pieces": 16, "shape": "group", "together": True}, 0),  # 8 a zone
-        ({"pieces": 8, "shape": "group", "together": True}, 8),
-        ({"pieces": 16, "together": True}, 8),
-        ({"pieces": 9, "spread": True}, 9),  # 5 and 4
-        ({"pieces": 16, "spread": True, "site": "a"}, 8),
-        ({"pieces": 16, "site": "b"}, 8),
-        ({"pieces": 16, "flavours": ["g4"]}, 0),
-        ({"pieces": 20, "owner": "blue"}, 16),  # limit of 64 processors
+        ({"task_count": 16}, 16),  # 8 a machine
+        ({"task_count": 17, "shape": "group"}, 0),  # whole or not at all
+        ({"task_count": 16, "shape": "group"}, 16),
+        ({"task_count": 16, "shape": "group", "same_zone": True}, 0),  # 8 a zone
+        ({"task_count": 8, "shape": "group", "same_zone": True}, 8),
+        ({"task_count": 16, "same_zone": True}, 8),
+        ({"task_count": 9, "spread": True}, 9),  # 5 and 4
+        ({"task_count": 16, "spread": True, "zone": "a"}, 8),
+        ({"task_count": 16, "zone": "b"}, 8),
+        ({"task_count": 16, "machine_types": ["g4"]}, 0),
+        ({"task_count": 20, "team": "blue"}, 16),  # limit of 64 processors
     ],
 )
 def test_placement_keeps_the_jobs_wishes(changes: dict[str, Any], expected: int) -> None:
     world = World()
-    world.machine("i-1", site="a")
-    world.machine("i-2", site="b")
-    world.machine("i-3", site="c", loaner=True)  # nobody here may use spot machines
+    world.machine("i-1", zone="a")
+    world.machine("i-2", zone="b")
+    world.machine("i-3", zone="c", spot=True)  # nobody here may use spot machines
     placed = spread_of(world.plan(world.job("run-1", **changes)))
     assert sum(placed.values()) == expected
     assert "i-3" not in placed
@@ -430,17 +430,17 @@
 
 def test_spread_counts_tasks_that_are_there() -> None:
     world = World()
-    a, b = world.machine("i-1", site="a"), world.machine("i-2", site="b")
-    one = world.job("run-1", pieces=8, spread=True)
+    a, b = world.machine("i-1", zone="a"), world.machine("i-2", zone="b")
+    one = world.job("run-1", task_count=8, spread=True)
     world.put(one, a, 4)
     assert spread_of(world.plan(one)) == {b.id: 4}
 
 
 def test_together_stays_where_an_old_attempt_still_is() -> None:
     world = World()
-    a = world.machine("i-1", site="a")
-    world.machine("i-2", site="b")
-    one = world.job("run-1", pieces=12, together=True)
+    a = world.machine("i-1", zone="a")
+    world.machine("i-2", zone="b")
+    one = world.job("run-1", task_count=12, same_zone=True)
     world.put(one, a, 8)  # zone a is full
     assert spread_of(world.plan(one)) == {}
 
@@ -450,10 +450,10 @@
     world = World()
     for n in range(3):
         world.machine(f"i-{n}", GPU)
-    placed = spread_of(world.plan(world.job("run-1", pieces=12, cards=1.0), unseen=unseen))
+    placed = spread_of(world.plan(world.job("run-1", task_count=12, gpus=1.0), unseen=unseen))
     assert sum(placed.values()) == expected
-    world.put(world.job("run-2", pieces=2, cards=1.0), world.machine("i-9", GPU), 2)
-    placed = spread_of(world.plan(world.job("run-3", pieces=12, cards=1.0), unseen=unseen))
+    world.put(world.job("run-2", task_count=2, gpus=1.0), world.machine("i-9", GPU), 2)
+    placed = spread_of(world.plan(world.job("run-3", task_count=12, gpus=1.0), unseen=unseen))
     assert sum(placed.values()) == expected - 2
 
 
@@ -461,9 +461,9 @@
     """Found on a quiet day: cards lay idle because others held their processors."""
     world = World()
     world.machine("i-1", GPU)  # 24 processors, 4 cards
-    world.job("run-9", cards=1.0, vcpus=5.0)
-    assert spread_of(world.plan(world.job("run-1", pieces=9, vcpus=2.0))) == {"i-1": 2}
-    urgent = world.job("run-2", rank="urgent", vcpus=15.0, pieces=1)
+    world.job("run-9", gpus=1.0, cpus=5.0)
+    assert spread_of(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
+    urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1)
     assert spread_of(world.plan(urgent)) == {"i-1": 1}  # more important work may
 
 
@@ -473,8 +473,8 @@
     world = World()
     for n in range(2):
         world.machine(f"i-{n}", GPU)
-    world.job("run-9", cards=1.0, vcpus=5.0)
-    one = world.job("run-1", pieces=40, vcpus=2.0, mem_gb=1.0)
+    world.job("run-9", gpus=1.0, cpus=5.0)
+    one = world.job("run-1", task_count=40, cpus=2.0, memory_gb=1.0)
     assert sum(spread_of(world.plan(one, kept=kept)).values()) == expected
 
 
@@ -482,10 +482,10 @@
     """Found on quiet days: gangs that ran for minutes beside cards that nobody could use."""
     world = World()
     world.machine("i-1", GPU)
-    idle = world.job("run-9", pieces=8)
+    idle = world.job("run-9", task_count=8)
     world.put(idle, world.machine("i-2"), 8)
-    world.job("run-8", cards=1.0, vcpus=5.0)
-    urgent = world.job("run-2", rank="urgent", vcpus=15.0, pieces=1, shape="group")
+    world.job("run-8", gpus=1.0, cpus=5.0)
+    urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1, shape="group")
     plan = world.plan(urgent)
     assert spread_of(plan) == {} and not plan.short
     assert {held.machine.id for held in plan.stops} == {"i-2"}
@@ -494,21 +494,23 @@
 def test_both_steps_of_urgent_work_keep_to_one_zone() -> None:
     """Found by the table above: a second step chose its zone anew."""
     world = World()
-    world.machine("i-1", site="a")
-    world.machine("i-2", GPU, site="b")
-    world.job("run-8", cards=1.0)
-    one = world.job("run-1", rank="urgent", pieces=12, together=True)
+    world.machine("i-1", zone="a")
+    world.machine("i-2", GPU, zone="b")
+    world.job("run-8", gpus=1.0)
+    one = world.job("run-1", priority="urgent", task_count=12, same_zone=True)
     assert spread_of(world.plan(one)) == {"i-1": 8}
 
 
 def test_preemption_tries_every_zone() -> None:
     """Found on a rough day: bound to the first zone looked at, an urgent job waited for ever."""
     world = World()
-    idle = world.job("run-9", rank="idle", pieces=96, vcpus=1.0, mem_gb=1.0)
-    for n, site in enumerate("abc"):
-        world.put(idle, world.machine(f"i-{n}", site=site), 32)
+    idle = world.job("run-9", priority="idle", task_count=96, cpus=1.0, memory_gb=1.0)
+    for n, zone in enumerate("abc"):
+        world.put(idle, world.machine(f"i-{n}", zone=zone), 32)
     jobs = [
-        world.job(f"run-{n}", rank="urgent", pieces=1, vcpus=30.0, shape="group", together=True)
+        world.job(
+            f"run-{n}", priority="urgent", task_count=1, cpus=30.0, shape="group", same_zone=True
+        )
         for n in range(3)
     ]
     plan = world.plan(*jobs)
@@ -517,7 +519,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rank", "owner", "guaranteed", "victim_rank", "victim_guaranteed", "expected"),
+    ("priority", "team", "guaranteed", "victim_rank", "victim_guaranteed", "expected"),
     [
         ("urgent", "red", False, "standard", False, True),
         ("standard", "red", False, "standard", False, False),
@@ -530,8 +532,8 @@
     ],
 )
 def test_who_may_be_stopped_for_whom(
-    rank: str,
-    owner: str,
+    priority: str,
+    team: str,
     guaranteed: bool,
     victim_rank: str,
     victim_guaranteed: bool,
@@ -539,10 +541,10 @@
 ) -> None:
     world = World()
     machine = world.machine("i-1")
-    victim = world.job("run-9", rank=victim_rank, owner="blue", pieces=1)
+    victim = world.job("run-9", priority=victim_rank, team="blue", task_count=1)
     victim.guaranteed = victim_guaranteed
     world.put(victim, machine, 1)
-    one = world.job("run-1", rank=rank, owner=owner)
+    one = world.job("run-1", priority=priority, team=team)
     one.guaranteed = guaranteed
     held = next(iter(machine.holds.values()))
     assert preemption.may_preempt(one, held) is expected
@@ -551,9 +553,11 @@
 def test_room_being_freed_is_claimed_once() -> None:
     world = World()
     machine = world.machine("i-1")
-    idle = world.job("run-9", rank="idle", pieces=8)
+    idle = world.job("run-9", priority="idle", task_count=8)
     world.put(idle, machine, 8)
-    plan = world.plan(world.job("run-1", rank="urgent", pieces=2), world.job("run-2", pieces=8))
+    plan = world.plan(
+        world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
+    )
     assert len(plan.stops) == 8  # two for the first job, the rest for the second
     assert [(one.id, n) for one, n in plan.short] == [("run-2", 2)]
 
@@ -562,7 +566,7 @@
     world = World()
     for n in range(300):
         world.machine(f"i-{n}")
-    plan = world.plan(world.job("run-1", pieces=100_000, owner="red"), sample=16)
+    plan = world.plan(world.job("run-1", task_count=100_000, team="red"), sample=16)
     assert len(spread_of(plan)) == 16
 
 
@@ -570,12 +574,12 @@
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.note_image("img-1", 1.0)
-    world.put(world.job("run-9", pieces=8, bundle="other"), warm, 8)
-    array = world.job("run-1", pieces=1, image_gb=1.0)
-    other = world.job("run-8", pieces=6, image_gb=1.0)  # with this one, room is not plenty
+    world.put(world.job("run-9", task_count=8, image="other"), warm, 8)
+    array = world.job("run-1", task_count=1, image_gb=1.0)
+    other = world.job("run-8", task_count=6, image_gb=1.0)  # with this one, room is not plenty
     assert spread_of(world.plan(array, other)) == {}
     assert spread_of(world.plan(array, other, now=102.6))[cold.id] >= 1  # half of the 5 s fetch
-    assert spread_of(world.plan(world.job("run-2", pieces=1, shape="group", image_gb=1.0))) == {
+    assert spread_of(world.plan(world.job("run-2", task_count=1, shape="group", image_gb=1.0))) == {
         cold.id: 1
     }
 
@@ -584,19 +588,19 @@
     """Found on a quiet day: arrays of many tasks waited beside hundreds of free cards."""
     world = World()
     world.machine("i-1").note_image("img-1", 5.0)
-    world.put(world.job("run-9", pieces=8, bundle="other"), world.machine("i-1"), 8)
+    world.put(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
     for n in range(2, 5):
         world.machine(f"i-{n}")
-    array = world.job("run-1", pieces=12, image_gb=5.0)  # 25 s at 0.2 GB/s
+    array = world.job("run-1", task_count=12, image_gb=5.0)  # 25 s at 0.2 GB/s
     # Six are served by the warm machine in the time of a fetch; the others begin one at once.
     assert sum(spread_of(world.plan(array)).values()) == 6
-    many = world.job("run-2", pieces=50, image_gb=5.0)
+    many = world.job("run-2", task_count=50, image_gb=5.0)
     # Where it is not, only what would lie idle otherwise begins a fetch, with one task each.
     assert spread_of(world.plan(array, many)) == {"i-2": 1, "i-3": 1, "i-4": 1}
 
 
 @pytest.mark.parametrize(
-    ("pieces", "fetching", "expected"),
+    ("tasks", "fetching", "expected"),
     [
         (4, None, {}),  # 4 tasks of 30 s: the busy warm machine's room is sooner than a fetch
         (40, None, {"i-2": 1}),  # what it doesn't get through in a fetch: one task to begin it
@@ -605,21 +609,23 @@
     ],
 )
 def test_cold_starts_only_for_what_warm_machines_cannot_serve(
-    pieces: int, fetching: str | None, expected: dict[str, int]
+    tasks: int, fetching: str | None, expected: dict[str, int]
 ) -> None:
     """Found on a busy day: with fetches of a minute a third of the cards in use were fetching."""
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.note_image("img-1", 10.0)
-    world.put(world.job("run-9", pieces=8, bundle="img-9"), warm, 8)
+    world.put(world.job("run-9", task_count=8, image="img-9"), warm, 8)
     if fetching is not None:
-        other = world.job("run-8", pieces=1, bundle=fetching, image_gb=10.0)
+        other = world.job("run-8", task_count=1, image=fetching, image_gb=10.0)
         world.put(other, cold, 1)
-    array = world.job("run-1", pieces=pieces, image_gb=10.0)  # 50 s at 0.2 GB/s
-    filler = world.job("run-7", pieces=90, bundle="img-0", flavours=["g4"])  # room isn't plenty
+    array = world.job("run-1", task_count=tasks, image_gb=10.0)  # 50 s at 0.2 GB/s
+    filler = world.job(
+        "run-7", task_count=90, image="img-0", machine_types=["g4"]
+    )  # room isn't plenty
     plan = world.plan(array, filler)
     assert spread_of(plan) == expected
-    if not expected and pieces == 4:
+    if not expected and tasks == 4:
         assert array not in [one for one, _count in plan.short]  # and nothing is rented for it
         # Once it has waited for as long as a fetch takes, it may use what lies idle.
         assert spread_of(world.plan(array, filler, now=140.0)) == {}
@@ -629,14 +635,14 @@
 def test_room_freed_for_one_job_serves_another_in_the_same_pass() -> None:
     """Where a task might fit is remembered in a pass, until something is stopped."""
     world = World()
-    large = world.job("run-9", pieces=1, vcpus=32.0, mem_gb=1.0)
+    large = world.job("run-9", task_count=1, cpus=32.0, memory_gb=1.0)
     world.put(large, world.machine("i-1"), 1)
     world.job(
-        "run-8", rank="production", cards=1.0
+        "run-8", priority="production", gpus=1.0
     )  # nobody is more important than work with cards
-    before = world.job("run-1", rank="idle", pieces=1, vcpus=8.0)
-    urgent = world.job("run-2", rank="urgent", pieces=1)
-    after = world.job("run-3", pieces=1, vcpus=8.0)
+    before = world.job("run-1", priority="idle", task_count=1, cpus=8.0)
+    urgent = world.job("run-2", priority="urgent", task_count=1)
+    after = world.job("run-3", task_count=1, cpus=8.0)
     plan = world.plan(before, urgent, after)
     assert len(plan.stops) == 1
     assert [one for one, _count in plan.short] == [before]
@@ -659,14 +665,14 @@
     for n in range(20):
         machine = world.machine(f"i-{n}")
         for ref in images:
-            one = world.job(ref, bundle=ref, image_gb=2.0, pieces=100)  # 10 s at 0.2 GB/s
+            one = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
             world.put(one, machine, 1)
         assert not world.picture.fetches_share()
     for machine in world.picture.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
-            shown = [ReportedPiece(str(task), 1, status) for task, held in machine.holds.items()]
-            tick = machine.version.tick + 1
-            report = Report(machine.id, 1, tick, 0, "c32", "a", pieces=shown)
+            shown = [ReportedTask(str(task), 1, status) for task, held in machine.holds.items()]
+            tick = machine.version.sequence + 1
+            report = Report(machine.id, 1, tick, 0, "c32", "a", tasks=shown)
             world.picture.absorb(machine, report, Steady(T0 + at), as_report=True)
     assert world.picture.fetches_share() is share
 
@@ -677,12 +683,14 @@
     world.machine("i-1")  # without cards, so first by rights
     warm, other = world.machine("i-2", GPU), world.machine("i-3")
     warm.note_image("img-1", 5.0)
-    world.job("run-9", cards=1.0)  # there is work with cards, less important
-    gang = world.job("run-1", shape="group", rank="urgent", pieces=2, vcpus=20.0, image_gb=5.0)
+    world.job("run-9", gpus=1.0)  # there is work with cards, less important
+    gang = world.job(
+        "run-1", shape="group", priority="urgent", task_count=2, cpus=20.0, image_gb=5.0
+    )
     world.put(gang, other, 1)
     assert spread_of(world.plan(gang)) == {"i-2": 1}
     none = queueing.Supply()
-    jobs = [world.job("run-8", rank="production"), gang]
+    jobs = [world.job("run-8", priority="production"), gang]
     assert queueing.order(jobs, [], none, none, WallTime(0.0))[0] is gang
 
 
@@ -690,7 +698,7 @@
     world = World()
     for n in range(3):
         world.machine(f"i-{n}")
-    failing = world.job("run-1", pieces=20, image_gb=10.0)
+    failing = world.job("run-1", task_count=20, image_gb=10.0)
     failing.backoff_s = 2.0
     assert sum(spread_of(world.plan(failing)).values()) == 1
 
@@ -700,9 +708,9 @@
     world = World()
     for n in range(4):
         world.machine(f"i-{n}")
-    other = world.job("run-9", pieces=1, bundle="img-9", image_gb=5.0)
+    other = world.job("run-9", task_count=1, image="img-9", image_gb=5.0)
     world.put(other, world.machine("i-0"), 1)  # the fullest, so first by rights
-    gang = world.job("run-1", shape="group", pieces=3, vcpus=20.0, image_gb=2.0)
+    gang = world.job("run-1", shape="group", task_count=3, cpus=20.0, image_gb=2.0)
     assert set(spread_of(world.plan(gang))) == {"i-1", "i-2", "i-3"}
 
 
@@ -710,11 +718,11 @@
     """Found on quiet days: whole machines waited for a fetch of a minute, cards and all."""
     world = World()
     world.machine("i-1")
-    array = world.job("run-1", pieces=8, image_gb=5.0)  # 25 s at 0.2 GB/s
+    array = world.job("run-1", task_count=8, image_gb=5.0)  # 25 s at 0.2 GB/s
     plan = world.plan(array)
     assert spread_of(plan) == {"i-1": 1}
     assert not plan.short
-    assert spread_of(world.plan(world.job("run-2", pieces=8, image_gb=1.0))) == {"i-1": 8}
+    assert spread_of(world.plan(world.job("run-2", task_count=8, image_gb=1.0))) == {"i-1": 8}
 
 
 def test_a_machine_that_failed_a_task_gets_one_at_a_time() -> None:
@@ -722,7 +730,7 @@
     world = World()
     suspect = world.machine("i-1")
     suspect.faults.add(JobId("run-9"))
-    one = world.job("run-1", pieces=8)
+    one = world.job("run-1", task_count=8)
     assert spread_of(world.plan(one)) == {"i-1": 1}
     world.put(one, suspect, 1)
     assert spread_of(world.plan(one)) == {}
@@ -733,8 +741,8 @@
 def test_a_machine_where_the_same_job_takes_longer_is_used_last() -> None:
     world = World()
     slow, other = world.machine("i-1"), world.machine("i-2")
-    world.put(world.job("run-9", pieces=1), slow, 1)  # the fuller one, so first by rights
-    many = world.job("run-8", pieces=50)
+    world.put(world.job("run-9", task_count=1), slow, 1)  # the fuller one, so first by rights
+    many = world.job("run-8", task_count=50)
     world.book.took(many, 20.0)
     for _ in range(2):
         slow.note_pace(many, 40.0)
@@ -742,17 +750,17 @@
     slow.note_pace(many, 40.0)
     other.note_pace(many, 24.0)
     assert slow.slow() and not other.slow()
-    assert spread_of(world.plan(world.job("run-1", pieces=1))) == {"i-2": 1}
-    assert spread_of(world.plan(world.job("run-2", pieces=12)))["i-1"] == 4
+    assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
+    assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
 
 
 def test_guarantee_counts_earlier_unfinished_jobs() -> None:
     jobs = [
-        job("run-1", at=1.0, cards=1.0, pieces=3),
-        job("run-2", at=2.0, cards=1.0, pieces=3),
-        job("run-3", at=3.0, cards=1.0, pieces=1),
-        job("run-4", at=3.0, cards=0.0, pieces=1),
-        job("run-5", at=9.0, cards=1.0, pieces=4, owner="blue"),
+        job("run-1", at=1.0, gpus=1.0, task_count=3),
+        job("run-2", at=2.0, gpus=1.0, task_count=3),
+        job("run-3", at=3.0, gpus=1.0, task_count=1),
+        job("run-4", at=3.0, gpus=0.0, task_count=1),
+        job("run-5", at=9.0, gpus=1.0, task_count=4, team="blue"),
     ]
     preemption.mark_guarantees(jobs, TEAMS)
     assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
@@ -773,26 +781,26 @@
 
 def test_what_can_be_on_time_goes_before_what_cannot() -> None:
     jobs = [
-        job("run-1", at=0.0, pieces=100, vcpus=1.0),  # too large to be on time with the others
-        job("run-2", at=1.0, pieces=4, vcpus=1.0),
-        job("run-3", at=-40.0, pieces=4, vcpus=1.0),  # late for 60 s, not for 120 s
+        job("run-1", at=0.0, task_count=100, cpus=1.0),  # too large to be on time with the others
+        job("run-2", at=1.0, task_count=4, cpus=1.0),
+        job("run-3", at=-40.0, task_count=4, cpus=1.0),  # late for 60 s, not for 120 s
     ]
     assert order_of(jobs, 16.0, 5.0) == ["run-2", "run-3", "run-1"]
 
 
 def test_work_before_a_rank_is_not_supply_for_it() -> None:
     """Found on a drawn day: what goes first was not counted, so all of the rest was late."""
-    first = job("run-1", at=0.0, pieces=12, vcpus=1.0, rank="urgent")
+    first = job("run-1", at=0.0, task_count=12, cpus=1.0, priority="urgent")
     rest = [
-        job("run-2", at=0.0, pieces=12, vcpus=1.0),  # in time alone, not after the first
-        job("run-3", at=0.5, pieces=2, vcpus=1.0),
+        job("run-2", at=0.0, task_count=12, cpus=1.0),  # in time alone, not after the first
+        job("run-3", at=0.5, task_count=2, cpus=1.0),
     ]
     assert order_of(rest, 16.0, 1.0) == ["run-2", "run-3"]
     assert order_of([*rest, first], 16.0, 1.0) == ["run-1", "run-3", "run-2"]
 
 
 def test_far_overdue_jobs_come_first() -> None:
-    jobs = [job("run-1", at=0.0, pieces=1000), job("run-2", at=390.0)]
+    jobs = [job("run-1", at=0.0, task_count=1000), job("run-2", at=390.0)]
     assert order_of(jobs, 16.0, 300.0)[0] == "run-2"
     assert order_of(jobs, 16.0, 400.0)[0] == "run-1"
 
@@ -807,12 +815,16 @@
 )
 def test_a_job_about_to_miss_its_last_deadline_comes_first(now: float, first: str) -> None:
     """Found on a day with a zone cut off: four in a hundred missed every deadline they had."""
-    jobs = [job("run-1", at=0.0, pieces=40, vcpus=1.0), job("run-2", at=now - 1.0, vcpus=1.0)]
+    jobs = [job("run-1", at=0.0, task_count=40, cpus=1.0), job("run-2", at=now - 1.0, cpus=1.0)]
     assert order_of(jobs, 16.0, now)[0] == first
 
 
 def test_rank_and_guarantee_go_before_deadlines() -> None:
-    jobs = [job("run-1", rank="idle"), job("run-2", rank="urgent"), job("run-3", rank="idle")]
+    jobs = [
+        job("run-1", priority="idle"),
+        job("run-2", priority="urgent"),
+        job("run-3", priority="idle"),
+    ]
     jobs[2].guaranteed = True
     assert order_of(jobs, 100.0, 1.0) == ["run-3", "run-2", "run-1"]
 
@@ -823,7 +835,7 @@
 def test_renting_counts_what_is_booting() -> None:
     world = World()
     booting = [world.machine("i-1")]
-    short = [(job(pieces=8), 8)]
+    short = [(job(task_count=8), 8)]
     assert wishes(short, booting, FLAVOURS, Shelf(), policy(), T0) == []
     [wish] = wishes(short, [], FLAVOURS, Shelf(), policy(), T0)
     assert wish.count == 1 and wish.options[0][0] == "c32"
@@ -831,7 +843,7 @@
 
 def test_spot_machines_only_for_jobs_that_may() -> None:
     assert all(not o[2] for o in options_for(job(), FLAVOURS, Shelf(), T0))
-    assert options_for(job(loaner=True), FLAVOURS, Shelf(), T0)[0][2]
+    assert options_for(job(spot=True), FLAVOURS, Shelf(), T0)[0][2]
 
 
 def test_no_capacity_turns_to_the_next_option_and_back() -> None:
@@ -878,4 +890,4 @@
 
 def test_team_without_limit_has_no_limit() -> None:
     quota = Quota({"t": Team("t")}, {}, {})
-    assert quota.headroom(run(owner="t"), 1000) == 1000
+    assert quota.headroom(job_spec(team="t"), 1000) == 1000
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from stage import Stage
-from standins import CPU, GPU, FakeWorker, policy, run, settings
+from standins import CPU, GPU, FakeWorker, job_spec, policy, settings
 
 from ryewing import placement
 from ryewing.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
@@ -24,17 +24,17 @@
 from ryewing.store import Put, StoreDown
 from ryewing.units import (
     Attempt,
-    Epoch,
     JobId,
+    KeyVersion,
     MachineId,
-    Stamp,
+    Revision,
     Steady,
     TaskId,
     Term,
     Zone,
     parse_task,
 )
-from ryewing.wire import Entry, ReportedPiece
+from ryewing.wire import Entry, ReportedTask
 from ryewing.workers import Workers
 from ryewing.writer import MACHINE_PREFIX
 
@@ -50,20 +50,20 @@
         self.book = Book()
         self.picture = Picture(Term(5), 20.0, self.book, Stops())
         for n in range(size):
-            flavour = GPU if n % 4 == 0 else CPU
+            machine_type = GPU if n % 4 == 0 else CPU
             machine = self.picture.add(
-                MachineId(f"i-{n:06d}"), flavour, Zone("abc"[n % 3]), n % 5 == 0, T0
+                MachineId(f"i-{n:06d}"), machine_type, Zone("abc"[n % 3]), n % 5 == 0, T0
             )
             machine.heeded, machine.recorded = 0, True
 
     def job(self, ref: str, **changes: Any) -> Job:
-        return self.book.put(JobRecord(run(ref, **changes), 0.0), Stamp(1))
+        return self.book.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def fill(self, one: Job) -> None:
         """Fill every machine that has no cards with a job's tasks."""
-        numbers = iter(range(one.run.pieces))
+        numbers = iter(range(one.spec.task_count))
         for machine in self.picture.machines.values():
-            while not machine.flavour.cards and machine.vcpus >= one.run.vcpus:
+            while not machine.machine_type.gpus and machine.cpus >= one.spec.cpus:
                 task = TaskId(one.id, next(numbers))
                 self.picture.hold(machine, task, Attempt(1), RUNNING, T0)
 
@@ -81,14 +81,21 @@
     """In a sample of all machines it hardly ever found enough of one type in one zone."""
     fleet = Fleet(size)
     ordinary = sum(
-        m.site == "a" and not m.loaner and m.flavour is CPU for m in fleet.picture.machines.values()
+        m.zone == "a" and not m.spot and m.machine_type is CPU
+        for m in fleet.picture.machines.values()
     )
     if full:
-        fleet.fill(fleet.job("run-9", rank="idle", pieces=size * 8))
+        fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
     gang = fleet.job(
-        "run-1", rank="urgent", shape="group", together=True, pieces=ordinary, vcpus=30.0,
-        flavours=["c32"], site="a",
-    )  # fmt: skip
+        "run-1",
+        priority="urgent",
+        shape="group",
+        same_zone=True,
+        task_count=ordinary,
+        cpus=30.0,
+        machine_types=["c32"],
+        zone="a",
+    )
     plan = fleet.plan(gang)
     assert not plan.short
     if full:
@@ -102,17 +109,23 @@
 def test_free_and_stopped_machines_make_a_gang_whole_together(size: int) -> None:
     """A gang that needed free machines and full ones found neither enough."""
     fleet = Fleet(size)
-    fleet.fill(fleet.job("run-9", rank="idle", pieces=size * 8))
+    fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
     ordinary = [
         m for m in fleet.picture.machines.values()
-        if m.site == "a" and not m.loaner and m.flavour is CPU
+        if m.zone == "a" and not m.spot and m.machine_type is CPU
     ]  # fmt: skip
     for machine in ordinary[::2]:
         fleet.picture.clear_out(machine, T0)
     gang = fleet.job(
-        "run-1", rank="urgent", shape="group", together=True, pieces=len(ordinary), vcpus=30.0,
-        flavours=["c32"], site="a",
-    )  # fmt: skip
+        "run-1",
+        priority="urgent",
+        shape="group",
+        same_zone=True,
+        task_count=len(ordinary),
+        cpus=30.0,
+        machine_types=["c32"],
+        zone="a",
+    )
     plan = fleet.plan(gang)
     assert not plan.short
     assert {held.machine.id for held in plan.stops} == {m.id for m in ordinary[1::2]}
@@ -123,9 +136,10 @@
 def test_what_found_no_room_is_not_looked_for_again(size: int, waiting: int) -> None:
     """A backlog of like jobs before a full fleet costs one look, not one a job and machine."""
     fleet = Fleet(size)
-    fleet.fill(fleet.job("run-9", pieces=size * 8))
+    fleet.fill(fleet.job("run-9", task_count=size * 8))
     jobs = [
-        fleet.job(f"run-1{n}", pieces=30, flavours=["c32"], loaner=True) for n in range(waiting)
+        fleet.job(f"run-1{n}", task_count=30, machine_types=["c32"], spot=True)
+        for n in range(waiting)
     ]
     plan = fleet.plan(*jobs)
     assert [one for one, _count in plan.short] == jobs
@@ -135,7 +149,7 @@
 @pytest.mark.parametrize("size", SIZES)
 def test_an_array_looks_at_a_sample(size: int) -> None:
     fleet = Fleet(size)
-    plan = fleet.plan(fleet.job("run-1", pieces=100_000, loaner=True))
+    plan = fleet.plan(fleet.job("run-1", task_count=100_000, spot=True))
     assert plan.looked <= 2 * policy().sample  # machines without cards, then those with
     assert sum(n for batch in plan.batches for _machine, n in batch.parts) >= policy().sample
 
@@ -148,7 +162,7 @@
     for n, machine in enumerate(fleet.picture.machines.values()):
         machine.note_image(f"img-{n % 7}", 4.0)
     jobs = [
-        fleet.job(f"run-1{n}", pieces=90, bundle=f"img-{n % 9}", image_gb=10.0, loaner=True)
+        fleet.job(f"run-1{n}", task_count=90, image=f"img-{n % 9}", image_gb=10.0, spot=True)
         for n in range(waiting)
     ]
     plan = fleet.plan(*jobs)
@@ -182,7 +196,7 @@
 @pytest.mark.parametrize("size", SIZES)
 def test_machines_are_recorded_in_few_writes(stage: Stage, size: int) -> None:
     """One write each took the write rate for many seconds before a first task could start."""
-    workers = [stage.worker(f"i-{n:06d}", loaner=n % 2 == 0) for n in range(size)]
+    workers = [stage.worker(f"i-{n:06d}", spot=n % 2 == 0) for n in range(size)]
     before = stage.store.writes
     stage.ready(*workers)
     assert stage.store.writes - before <= size // 20 + 1
@@ -197,9 +211,9 @@
     """A job is refilled after its finishes are written: a write each delayed every one."""
     for n in range(jobs):
         name = JobId(f"run-{n}")
-        record = JobRecord(run(str(name), pieces=800), 0.0)
+        record = JobRecord(job_spec(str(name), task_count=800), 0.0)
         result = stage.store.txn({}, [Put(live_key(name), record)])
-        found = stage.leader.ctx.book.put(record, Stamp(result.epoch))
+        found = stage.leader.ctx.book.put(record, KeyVersion(result.revision))
         found.finish(n)
         stage.leader.ctx.book.touch(found)
     before = stage.store.writes
@@ -213,8 +227,8 @@
 def test_finishes_of_jobs_that_are_gone_do_not_stop_a_take_over(stage: Stage) -> None:
     """Found on a rough day: dropping them while reading ended every term at its beginning."""
     for n in range(3):
-        record = JobRecord(run(f"run-{n}"), 0.0)
-        found = stage.leader.ctx.book.put(record, Stamp(1))
+        record = JobRecord(job_spec(f"run-{n}"), 0.0)
+        found = stage.leader.ctx.book.put(record, KeyVersion(1))
         found.finish(0)
         stage.leader.ctx.book.touch(found)
     stage.write()
@@ -229,7 +243,7 @@
     stage: Stage, monkeypatch: pytest.MonkeyPatch, tasks: int
 ) -> None:
     worker = stage.ready_worker()
-    stage.accept(pieces=tasks, vcpus=0.5, mem_gb=0.1)
+    stage.accept(task_count=tasks, cpus=0.5, memory_gb=0.1)
     stage.place()
     stage.exchange(worker)
     stage.exchange(worker)
@@ -244,8 +258,8 @@
     for _ in range(5):
         stage.exchange(worker)
     assert not parsed
-    key = next(iter(worker.pieces))
-    worker.pieces[key] = ReportedPiece(*key, "ended", "done")
+    key = next(iter(worker.tasks))
+    worker.tasks[key] = ReportedTask(*key, "ended", "done")
     stage.exchange(worker)
     assert len(parsed) <= 1
     assert len(stage.holds()) == tasks - 1
@@ -256,7 +270,7 @@
     """After each write every machine with an ended task was sent a message of its own."""
     workers = [stage.worker(f"i-{n:06d}") for n in range(size)]
     stage.ready(*workers)
-    stage.accept(pieces=size * 16)
+    stage.accept(task_count=size * 16)
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
@@ -284,22 +298,22 @@
 # -- records that share a value -----------------------------------------------------------------
 
 
-def written(packed: Packed, store: dict[str, Entry], stamp: int) -> int:
+def written(packed: Packed, store: dict[str, Entry], key_version: int) -> int:
     """Make every wanted change; return how many."""
     count = 0
     while wanted := list(packed.changed()):
         change = packed.change(wanted[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
             held = store.get(key)
-            assert condition == (held.stamp if held is not None else 0)
+            assert condition == (held.key_version if held is not None else 0)
         for put in change.ops:
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
-            store[put.key] = Entry(put.key, msgspec.Raw(data), stamp)
+            store[put.key] = Entry(put.key, msgspec.Raw(data), key_version)
         assert sum(len(bytes(store[put.key].data)) for put in change.ops) <= change.size + 2 * len(
             change.ops
         )
-        packed.written(change, Epoch(stamp))
+        packed.written(change, Revision(key_version))
         count += len(change.ops)
     return count
 
@@ -330,7 +344,7 @@
     number = packed.put("run-1/0", "AA==")
     change = packed.change(number, 8, 1024)
     packed.put("run-1/0", "gA==")
-    packed.written(change, Epoch(7))
+    packed.written(change, Revision(7))
     assert packed.lacks(number)
     assert packed.change(number, 8, 1024).conditions == {packed.key(number): 7}
 
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -25,9 +25,9 @@
 def on_machines(cluster: Cluster, ref: str) -> int:
     """Count a job's tasks that have not ended."""
     return sum(
-        found.status != "ended" and piece.startswith(f"{ref}/")
+        found.status != "ended" and reported.startswith(f"{ref}/")
         for worker in cluster.workers.values()
-        for (piece, _attempt), found in worker.pieces.items()
+        for (reported, _attempt), found in worker.tasks.items()
     )
 
 
@@ -49,12 +49,12 @@
 ) -> None:
     """The stop arrives when another job has long had the room."""
     [worker] = bring_up(cluster, 1)
-    assert cluster.submit(NAMES[0], "run-1", vcpus=30.0) == 201
+    assert cluster.submit(NAMES[0], "run-1", cpus=30.0) == 201
     cluster.run(6.0)
     assert on_machines(cluster, "run-1") == 1
     worker.holds_up = True
     assert cluster.cancel(NAMES[1], "run-1") == 200
-    assert cluster.submit(NAMES[1], "run-2", vcpus=30.0) == 201
+    assert cluster.submit(NAMES[1], "run-2", cpus=30.0) == 201
     cluster.ask_all("run-1")
     if leader_changes:
         change_leader(cluster)
@@ -74,11 +74,11 @@
 ) -> None:
     """Stopped for urgent work, started again after it, and then the stop comes once more."""
     [worker] = bring_up(cluster, 1)
-    assert cluster.submit(NAMES[0], "run-1", vcpus=30.0, rank="idle") == 201
+    assert cluster.submit(NAMES[0], "run-1", cpus=30.0, priority="idle") == 201
     cluster.run(6.0)
     assert on_machines(cluster, "run-1") == 1
     worker.holds_up = True
-    assert cluster.submit(NAMES[0], "run-2", vcpus=30.0, rank="urgent") == 201
+    assert cluster.submit(NAMES[0], "run-2", cpus=30.0, priority="urgent") == 201
     cluster.run(8.0)
     assert (on_machines(cluster, "run-1"), on_machines(cluster, "run-2")) == (0, 1)
     cluster.end(worker)
@@ -96,7 +96,7 @@
 def test_a_late_stop_of_a_gang_hits_no_later_attempt(cluster: Cluster) -> None:
     """A gang is cancelled beside one of the same shape, on the same machines."""
     workers = bring_up(cluster, 3)
-    gang = {"shape": "group", "pieces": 3, "vcpus": 30.0}
+    gang = {"shape": "group", "task_count": 3, "cpus": 30.0}
     assert cluster.submit(NAMES[0], "run-1", **gang) == 201
     cluster.run(8.0)
     assert on_machines(cluster, "run-1") == 3
@@ -135,27 +135,27 @@
     def submit_largest(self) -> None:
         """Submit a gang that needs every machine, and an array of many times their room."""
         self._began = self.cluster.clock()
-        gang = {"shape": "group", "pieces": 6, "vcpus": 20.0, "together": True}
-        self._submit(self.LARGE_GANG, rank="urgent", **gang)
-        self._submit(self.LARGE_ARRAY, pieces=400, rank="standard")
+        gang = {"shape": "group", "task_count": 6, "cpus": 20.0, "same_zone": True}
+        self._submit(self.LARGE_GANG, priority="urgent", **gang)
+        self._submit(self.LARGE_ARRAY, task_count=400, priority="standard")
 
     def _submit(self, ref: str, **changes: object) -> None:
-        assert self.cluster.submit(NAMES[0], ref, **{"vcpus": 4.0, **changes}) == 201
+        assert self.cluster.submit(NAMES[0], ref, **{"cpus": 4.0, **changes}) == 201
 
     def go_on(self, seconds: float, submit: bool = True, run_s: float = 20.0) -> None:
         """Keep the machines overloaded: small urgent gangs and arrays come all the time."""
         for second in range(round(seconds)):
             if submit and second % 5 == 0:
                 self._count += 2
-                self._submit(f"run-{self._count}", shape="group", pieces=8, rank="urgent")
-                self._submit(f"run-{self._count + 1}", pieces=10, rank="standard")
+                self._submit(f"run-{self._count}", shape="group", task_count=8, priority="urgent")
+                self._submit(f"run-{self._count + 1}", task_count=10, priority="standard")
             self.cluster.run(1.0)
             self._end_what_ran(run_s)
 
     def _end_what_ran(self, run_s: float) -> None:
         now = self.cluster.clock()
         for worker in self.workers:
-            for key, found in list(worker.pieces.items()):
+            for key, found in list(worker.tasks.items()):
                 if found.status != "running":
                     continue
                 task = parse_task(key[0])
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -19,7 +19,7 @@
 from ryewing.store import Store, StoreDown
 from ryewing.transport import Reply
 from ryewing.units import JobId, MachineId, NodeName, Term, token_of
-from ryewing.wire import Hire, Report, ReportedPiece
+from ryewing.wire import RentalRequest, Report, ReportedTask
 
 LEASE_S = settings().params.workers.lease_s
 REPORT_S = settings().params.workers.report_s
@@ -37,14 +37,14 @@
         stage.later(REPORT_S)
         stage.place()
         answer = stage.leader.on_report(worker.report())
-        given += answer is not None and bool(starts(answer.orders))
+        given += answer is not None and bool(starts(answer.commands))
     return given
 
 
 def test_a_machine_that_does_not_hear_gets_no_more_work(stage: Stage) -> None:
     """Reports arrive, answers don't: it was refilled after every report, for ever."""
     deaf = stage.ready_worker()
-    stage.accept(pieces=4)
+    stage.accept(task_count=4)
     assert placed_in_rounds(stage, deaf, 12) == 1
     assert stage.holds() == {}
     machine = stage.leader.ctx.picture.machines[MachineId(deaf.name)]
@@ -62,8 +62,8 @@
 
 def test_a_session_that_rises_although_it_was_answered_casts_doubt(stage: Stage) -> None:
     deaf = stage.ready_worker()
-    deaf.tenure += 1
-    stage.accept(pieces=1)
+    deaf.session += 1
+    stage.accept(task_count=1)
     unanswered(stage, deaf)
     stage.place()
     assert stage.holds() == {}
@@ -79,7 +79,7 @@
         unanswered(stage, deaf)
         stage.write()
         stage.later(policy().gather_s / 2)
-    stage.accept(pieces=8)
+    stage.accept(task_count=8)
     stage.place()
     stage.leader.renter.rent()
     assert len(stage.cloud.requests) == 1
@@ -92,7 +92,7 @@
     """Many at once may mean that it is our answers that are lost."""
     workers = [stage.worker(f"i-{n:06d}") for n in range(9)]
     stage.ready(*workers)
-    stage.accept(pieces=72)
+    stage.accept(task_count=72)
     stage.place()
     for _ in range(int(LEASE_S / REPORT_S) + 4):
         stage.later(REPORT_S)
@@ -115,7 +115,7 @@
     worker = stage.ready_worker()
     older = worker.report()
     stage.leader.on_report(older)
-    stage.begin(worker, pieces=2)
+    stage.begin(worker, task_count=2)
     newest = worker.report()
     stage.leader.on_report(newest)
     machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
@@ -130,7 +130,7 @@
     copy_of = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
         answer = stage.leader.on_report(copy_of)
-        assert answer is None or not starts(answer.orders)
+        assert answer is None or not starts(answer.commands)
     assert machine.heard_at == heard_at
     if not alive and age_s > 4.5:
         assert answer is None
@@ -142,7 +142,7 @@
 def test_a_held_back_report_newer_than_any_does_not_bring_back_a_machine(stage: Stage) -> None:
     """The last report of a machine that is gone, delivered well after its lease."""
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=2)
+    stage.begin(worker, task_count=2)
     stage.exchange(worker)
     held_back = worker.report()
     stage.later(LEASE_S + 1.0)
@@ -152,14 +152,14 @@
     assert stage.holds() == {}
     machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
     assert machine.may_hold_until is None
-    worker.tenure += 1  # whereas the worker itself would come in a new session
-    worker.pieces.clear()
+    worker.session += 1  # whereas the worker itself would come in a new session
+    worker.tasks.clear()
     assert stage.leader.on_report(worker.report()) is not None
 
 
 def test_copies_settle_no_assumed_start(stage: Stage) -> None:
     worker = stage.ready_worker()
-    stage.accept(pieces=1)
+    stage.accept(task_count=1)
     stage.place()
     before = worker.report()
     stage.leader.on_report(before)
@@ -173,7 +173,7 @@
 
 def test_copies_at_the_next_leader_give_no_work_and_end_with_their_lease(stage: Stage) -> None:
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=1)
+    job = stage.begin(worker, task_count=1)
     late = worker.report()
     stage.new_leader(6)
     assert stage.leader.on_report(late) is not None  # it might be the worker itself
@@ -198,14 +198,14 @@
     Only the worker itself can show our token; then it is taken up with all that it has.
     """
     worker = stage.ready_worker()
-    job = stage.begin(worker, pieces=1)
+    job = stage.begin(worker, task_count=1)
     late = worker.report()
     stage.leader.writer.machines.drop(MachineId(worker.name))
     stage.write()
     stage.new_leader(6)
     for _ in range(4):
         answer = stage.leader.on_report(copy.deepcopy(late))
-        assert answer is None or not answer.orders
+        assert answer is None or not answer.commands
         assert not stage.leader.ctx.picture.machines
         found = stage.leader.ctx.book.get(job)
         assert found is not None and found.shortfall == 1
@@ -221,13 +221,13 @@
 def test_a_restarted_worker_is_told_by_its_direct_answer(stage: Stage) -> None:
     """Back within a fraction of a second it counts anew: its reports looked like old copies."""
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=2)
+    stage.begin(worker, task_count=2)
     for _ in range(5):
         stage.exchange(worker)
     old = worker.report()
     stage.leader.on_report(old)
-    worker.tenure, worker.tick, worker.mandate = 1, 0, 0
-    worker.pieces.clear()
+    worker.session, worker.sequence, worker.token = 1, 0, 0
+    worker.tasks.clear()
     stage.later(0.3)
     stage.leader.on_report(worker.report())
     assert len(stage.holds()) == 2  # not believed yet
@@ -243,7 +243,7 @@
 
 def test_a_direct_answer_overtaken_by_a_report_is_no_restart(stage: Stage) -> None:
     worker = stage.ready_worker()
-    stage.begin(worker, pieces=2)
+    stage.begin(worker, task_count=2)
     stage.exchange(worker)
     machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
 
@@ -269,13 +269,13 @@
 ) -> None:
     """Without store and peers: no starts after its lease, no answers after the hold."""
     worker = stage.ready_worker()
-    job = stage.accept(pieces=1)
+    job = stage.accept(task_count=1)
     stage.place()
     stage.later(cut_s, renewed=False)
     report = worker.report()
     answer = stage.leader.on_report(report)
     assert (answer is not None) is answers
-    assert bool(answer and starts(answer.orders)) is starts_work
+    assert bool(answer and starts(answer.commands)) is starts_work
     # Nothing is told from memory that a reader of the store might contradict.
     assert (stage.leader.poll(job) is not None) is starts_work
 
@@ -328,7 +328,7 @@
 def test_what_was_decided_before_a_standstill_is_not_sent_after_it(stage: Stage, act: str) -> None:
     """The clocks run on while a process stands still; a successor may have decided otherwise."""
     worker = stage.ready_worker()
-    job = stage.accept(pieces=4)
+    job = stage.accept(task_count=4)
     stage.place()
     leader = stage.leader
     machine = leader.ctx.picture.machines[MachineId(worker.name)]
@@ -338,14 +338,14 @@
     stage.later(policy().hold_s + 1.0 if act == "halt" else 5.0, renewed=False)
     if act == "start":
         answer = leader.on_report(worker.report())
-        assert answer is not None and not starts(answer.orders)
+        assert answer is not None and not starts(answer.commands)
     elif act == "rent":
-        leader.renter.hire(Hire("r-5-9", "c32", "a", False, 1))
+        leader.renter.id(RentalRequest("r-5-9", "c32", "a", False, 1))
         assert not stage.cloud.requests
     elif act == "repeat":
-        leader.renter.pending_hires["r-4-1"] = Hire("r-4-1", "c32", "a", False, 1)
-        leader.renter.hire(leader.renter.pending_hires["r-4-1"])
-        assert not stage.cloud.requests and "r-4-1" in leader.renter.pending_hires
+        leader.renter.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
+        leader.renter.id(leader.renter.pending_requests["r-4-1"])
+        assert not stage.cloud.requests and "r-4-1" in leader.renter.pending_requests
     elif act == "release":
         leader.renter.release([(machine, "idle")])
         assert not stage.cloud.released and not machine.leaving
@@ -366,7 +366,7 @@
     stage.new_leader(6)
     stage.exchange(worker)
     stage.exchange(worker)
-    assert worker.mandate >= token_of(Term(6))
+    assert worker.token >= token_of(Term(6))
     assert old.on_report(worker.report()) is None
     assert "overruled" in stage.lost
 
@@ -404,10 +404,10 @@
     """One of the two reports is old, held back until a new leader began; which one shows later."""
     was, runs = stage.worker("i-000001"), stage.worker("i-000002")
     stage.ready(was, runs)
-    name = stage.accept(pieces=1)
+    name = stage.accept(task_count=1)
     held_back = was.report()
-    held_back.pieces = [ReportedPiece(f"{name}/0", 3, "running")]
-    runs.pieces[f"{name}/0", 9] = ReportedPiece(f"{name}/0", 9, "running")
+    held_back.tasks = [ReportedTask(f"{name}/0", 3, "running")]
+    runs.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
     stage.new_leader(6)
     reports = [held_back, runs.report()]
     for report in reports if old_first else reversed(reports):
@@ -417,13 +417,15 @@
     if cancelled:
         stage.leader.take_cancel(name)
         stage.leader.dispatch.send(stage.leader.ctx.picture.machines[MachineId(runs.name)])
-        assert [piece.status for piece in runs.pieces.values()] == ["ended"]  # by a direct halt
+        assert [reported.status for reported in runs.tasks.values()] == [
+            "ended"
+        ]  # by a direct halt
     for worker in (was, runs, was, runs):  # the handshake shows what is where
         stage.exchange(worker)
     stage.place()
     for worker in (was, runs):
         assert not starts(stage.exchange(worker))
-    assert found.shortfall == 0 and len(runs.pieces) == (0 if cancelled else 1)
+    assert found.shortfall == 0 and len(runs.tasks) == (0 if cancelled else 1)
     if not cancelled:
         stage.end(runs)
     stage.exchange(runs)
@@ -435,15 +437,15 @@
     """The other machine of the two is found empty when the job is gone: the term ended by that."""
     was, runs = stage.worker("i-000001"), stage.worker("i-000002")
     stage.ready(was, runs)
-    name = stage.accept(pieces=1)
-    was.pieces[f"{name}/0", 3] = ReportedPiece(f"{name}/0", 3, "running")
-    runs.pieces[f"{name}/0", 9] = ReportedPiece(f"{name}/0", 9, "running")
+    name = stage.accept(task_count=1)
+    was.tasks[f"{name}/0", 3] = ReportedTask(f"{name}/0", 3, "running")
+    runs.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
     for worker in (was, runs):
         stage.exchange(worker)
     stage.end(runs)
     stage.write()
     assert stage.finals == {name: "done"}
-    was.pieces.clear()
+    was.tasks.clear()
     stage.exchange(was)
     stage.write()
     assert not stage.leader.ctx.book.dirty and not stage.lost
@@ -452,13 +454,13 @@
 def test_halts_are_not_crowded_out_by_what_has_ended(stage: Stage) -> None:
     """One answer holds so many commands; a cancelled task goes first."""
     worker = stage.ready_worker()
-    stage.begin(worker, "run-1", pieces=1)
+    stage.begin(worker, "run-1", task_count=1)
     for number in range(ORDERS_MAX + 50):
         key = f"run-9/{number}"
-        worker.pieces[key, 1] = ReportedPiece(key, 1, "ended", "stopped")
+        worker.tasks[key, 1] = ReportedTask(key, 1, "ended", "stopped")
     stage.exchange(worker)
     for number in range(ORDERS_MAX + 50):
         key = f"run-9/{number}"
-        worker.pieces[key, 2] = ReportedPiece(key, 2, "ended", "stopped")
+        worker.tasks[key, 2] = ReportedTask(key, 2, "ended", "stopped")
     stage.leader.take_cancel(JobId("run-1"))
     assert "halt" in verbs(stage.exchange(worker))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from stage import Stage
-from standins import CPU, GPU, run
+from standins import CPU, GPU, job_spec
 
 from ryewing import mesh
 from ryewing.jobs import (
@@ -26,8 +26,8 @@
 from ryewing.leadership import Holder, TermRecord
 from ryewing.packed import Packed
 from ryewing.store import Put
-from ryewing.units import JobId, MachineId, Stamp, WallTime
-from ryewing.wire import FlavourList, Hire
+from ryewing.units import JobId, KeyVersion, MachineId, WallTime
+from ryewing.wire import MachineTypeList, RentalRequest
 from ryewing.writer import MACHINE_PREFIX, MachineRecord
 
 # -- as 0.1.0 writes them -----------------------------------------------------------------------
@@ -63,7 +63,7 @@
 
 
 def test_a_leader_goes_on_with_what_the_earlier_version_left(stage: Stage) -> None:
-    batch = msgspec.json.encode(JobRecord(run("run-000414", pieces=20), 0.0))
+    batch = msgspec.json.encode(JobRecord(job_spec("run-000414", task_count=20), 0.0))
     stage.store.txn({}, [Put("flavours", raw(TYPES)), Put("m/0", raw(MACHINES))])
     stage.store.txn({}, [Put("j/run-000412", raw(LIVE)), Put("j/run-000413", raw(CANCELLED))])
     stage.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHES))])
@@ -71,15 +71,20 @@
     leader = stage.new_leader(6)
     assert leader.renter.load_types() == [CPU, GPU]
     gang = leader.ctx.book.jobs[JobId("run-000412")]
-    assert gang.gang and gang.run.together and gang.run.due_s == 90.0 and gang.at == 1000.5
-    assert gang.run.flavours == ["c32"] and gang.inherited
+    assert (
+        gang.gang
+        and gang.spec.same_zone
+        and gang.spec.deadline_s == 90.0
+        and gang.accepted_at == 1000.5
+    )
+    assert gang.spec.machine_types == ["c32"] and gang.inherited
     assert leader.ctx.book.jobs[JobId("run-000413")].cancelled
     counted = leader.ctx.book.jobs[JobId("run-000414")]
     assert [n for n in range(20) if counted.is_done(n)] == [0, 1, 9, 19]
     one, other = (leader.ctx.picture.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
-    assert one.recorded and one.may_hold_until is not None and one.addr == "10.1.0.2:9000"
-    assert not other.recorded and other.loaner and other.site == "b"
-    assert leader.renter.pending_hires["r-3-1"] == Hire("r-3-1", "c32", "a", True, 12)
+    assert one.recorded and one.may_hold_until is not None and one.address == "10.1.0.2:9000"
+    assert not other.recorded and other.spot and other.zone == "b"
+    assert leader.renter.pending_requests["r-3-1"] == RentalRequest("r-3-1", "c32", "a", True, 12)
 
 
 def test_who_leads_is_read_as_the_earlier_version_wrote_it() -> None:
@@ -202,18 +207,21 @@
     return bool(again == ours)
 
 
-WIDE = JobRecord(run("run-7", bundle="img-" + "x" * 3000, flavours=["c32"]), 5.0)
+WIDE = JobRecord(job_spec("run-7", image="img-" + "x" * 3000, machine_types=["c32"]), 5.0)
 
 
 @pytest.mark.parametrize(
     ("ours", "kind"),
     [
-        (JobRecord(run("run-1", spread=True, loaner=True, site="a", due_s=3.0), 5.0), OldJobRecord),
-        (JobRecord(run("run-1", shape="daemon", guess_s=0.0), 5.0), OldJobRecord),
+        (
+            JobRecord(job_spec("run-1", spread=True, spot=True, zone="a", deadline_s=3.0), 5.0),
+            OldJobRecord,
+        ),
+        (JobRecord(job_spec("run-1", shape="daemon", estimated_s=0.0), 5.0), OldJobRecord),
         (cancel_mark(WIDE, WallTime(9.0), 2048), OldJobRecord),
         (MachineRecord("c32", "a", True, "10.1.0.2:9000", True), OldMachineRecord),
-        (FlavourList([CPU, GPU]), OldFlavourList),
-        (Hire("r-3-1", "c32", "a", True, 12), OldHire),
+        (MachineTypeList([CPU, GPU]), OldFlavourList),
+        (RentalRequest("r-3-1", "c32", "a", True, 12), OldHire),
         (Holder("n-0", "0011", 7), OldHolder),
         (FinalRecord("cancelled"), OldStatus),
     ],
@@ -232,7 +240,7 @@
     """What an old leader finds: of a record said twice, the one that it comes to last."""
     machines: dict[str, OldMachineRecord] = {}
     for entry in stage.store.listing(MACHINE_PREFIX)[0]:
-        assert entry.k[2:].isdecimal()
+        assert entry.key[2:].isdecimal()
         machines |= msgspec.json.decode(entry.data, type=dict[str, OldMachineRecord])
     finishes: dict[str, str] = {}
     for entry in stage.store.listing(DONE_PREFIX)[0]:
@@ -247,8 +255,8 @@
         wide.put(f"i-{n:06d}", MachineRecord("c32", "a", False, f"10.1.0.{n}:9000", True))
     done = Packed(DONE_PREFIX, 16.0)
     for n in range(40):
-        record = JobRecord(run(f"run-{n}", pieces=800), 0.0)
-        one = Job(record, Stamp(1))
+        record = JobRecord(job_spec(f"run-{n}", task_count=800), 0.0)
+        one = Job(record, KeyVersion(1))
         one.finish(n)
         done.put(f"run-{n}/0", one.chunk_text(0))
         stage.store.txn({}, [Put(live_key(one.id), record)])
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -74,11 +74,13 @@
 
 def test_submit_run_and_cancel_through_any_controller(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
-    body = msgspec.json.encode(submission("run-000001", guess_s=0.5, pieces=5, loaner=True))
+    body = msgspec.json.encode(submission("run-000001", estimated_s=0.5, task_count=5, spot=True))
     until(first, "queued", body)
     until(f"{last}/run-000001", "done")
     assert ask(first, body) == (200, {"ref": "run-000001", "status": "done"})
-    long = msgspec.json.encode(submission("run-000002", guess_s=500.0, shape="group", pieces=2))
+    long = msgspec.json.encode(
+        submission("run-000002", estimated_s=500.0, shape="group", task_count=2)
+    )
     until(last, "queued", long)
     until(f"{first}/run-000002", "running")
     until(f"{last}/run-000002/cancel", "cancelled", b"")
@@ -90,7 +92,7 @@
     assert ask(f"{first}/run-000099/cancel", b"")[0] == 404
     assert ask(first, b"[1]")[0] == 400
     assert ask(first, b"x" * 70_000)[0] in (413, 0)  # the connection is closed on the sender
-    assert ask(first, msgspec.json.encode(submission("run-000003", owner="nobody")))[0] == 422
+    assert ask(first, msgspec.json.encode(submission("run-000003", team="nobody")))[0] == 422
 
 
 def until_serving(url: str, count: int) -> None:
@@ -109,7 +111,7 @@
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
     trouble = f"http://127.0.0.1:{base + 1}/trouble"
     service = submission(
-        "run-000004", shape="daemon", rank="production", guess_s=0.0, vcpus=1.0, spread=True
+        "run-000004", shape="daemon", priority="production", estimated_s=0.0, cpus=1.0, spread=True
     )
     until(first, "queued", msgspec.json.encode(service))
     until_serving(f"{last}/run-000004", 4)
