--- a/src/ryewing/api.py
+++ b/src/ryewing/api.py
@@ -203,7 +203,7 @@
         too large today: it was kept under the limits of that day.
         """
         state = self._from_store(job)
-        return refusal if state is None else self._told(state)
+        return refusal if state is None else self._with_final_state(state)
 
     def _accept(self, job: JobId, record: JobRecord) -> Response:
         """Write the job if it is new. What a user is told is in the store first."""
@@ -242,15 +242,15 @@
         state = self._from_store(job)
         if state is None:
             return self._busy("changed just now")
-        return self._told(state)
+        return self._with_final_state(state)
 
     def _poll(self, job: JobId) -> Response:
-        state = self._from_memory(job) or self._node.ask_leader(job) or self._from_store(job)
+        state = self._from_memory(job) or self._node.query_leader(job) or self._from_store(job)
         if state is None:
             return Response(404, {"error": "no such job"})
-        return self._told(state)
+        return self._with_final_state(state)
 
-    def _told(self, state: JobStatus) -> Response:
+    def _with_final_state(self, state: JobStatus) -> Response:
         """Answer with a state that was asked for elsewhere.
 
         A final state may have been told here meanwhile: what comes after it must not be older.
@@ -270,7 +270,7 @@
         try:
             live = self._read(live_key(job))
             if live is not None:
-                record = self._understood(read_record(live.data, live.key))
+                record = self._readable(read_record(live.data, live.key))
                 return self._cancelled(job) if record.cancelled else JobStatus(job, "queued")
             # In this order: a job moves from one key to the other, never back.
             final = self._read(final_key(job))
@@ -278,7 +278,7 @@
             raise self._busy("the state service can't be reached") from None
         if final is None:
             return None
-        status = self._understood(readable(final.data, FinalRecord, final.key)).status
+        status = self._readable(readable(final.data, FinalRecord, final.key)).status
         self._node.finals.put(job, status)
         return JobStatus(job, status)
 
@@ -291,12 +291,12 @@
         after that.
         Leaves with 503 if the leader can't be known to know.
         """
-        if not self._node.tell_cancel(job):
+        if not self._node.announce_cancel(job):
             raise self._busy("the cancel is written but the leader has not heard it")
         self._node.finals.put(job, CANCELLED)
         return JobStatus(job, CANCELLED)
 
-    def _understood(self, record: T | None) -> T:
+    def _readable(self, record: T | None) -> T:
         """Leave with 503 if what the store has can't be read: the job may be known to others."""
         if record is None:
             raise self._busy("the record can't be read")
@@ -324,9 +324,9 @@
                     if state is None:
                         return Response(404, {"error": "no such job"})
                     if state.status in (DONE, CANCELLED):
-                        return self._told(state)
+                        return self._with_final_state(state)
                     continue
-                record = self._understood(read_record(entry.data, entry.key))
+                record = self._readable(read_record(entry.data, entry.key))
                 if not record.cancelled:
                     limit = self._node.store.limits.value_kb * 1024
                     record = cancel_mark(record, wall_now(), limit)
--- a/src/ryewing/rooms.py
+++ b/src/ryewing/capacity.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
+from .cluster_state import COLD, Assignment, Machine
 from .jobs import EPSILON, Job, count_fitting
-from .picture import COLD, Hold, Machine
 from .settings import Team
 from .units import TeamName
 from .wire import PRIORITIES, JobSpec
@@ -51,15 +51,16 @@
 MANY = 1_000_000
 
 
-class Room:
+class MachineCapacity:
     """A machine's room during one pass."""
 
     __slots__ = (
+        "_beside_replicas",
         "_displaced",
-        "_lasting",
+        "_preemptible_cpus",
         "_replicas",
-        "_yielding",
         "cpus",
+        "fetching_here",
         "gpus",
         "machine",
         "memory_gb",
@@ -68,13 +69,12 @@
         "releasing_memory_gb",
         "report_in",
         "reserved_s",
-        "seeded",
         "stopping",
         "victims",
         "wanted",
     )
 
-    def __init__(self, machine: Machine, stopping: frozenset[Hold] = frozenset()) -> None:
+    def __init__(self, machine: Machine, stopping: frozenset[Assignment] = frozenset()) -> None:
         self.machine = machine
         self.cpus = machine.cpus
         self.gpus = machine.gpus
@@ -83,33 +83,33 @@
         """A gang waits for this machine, and for so long at the least."""
         self.report_in: float | None = None
         """How soon its worker is thought to report, found once a pass."""
-        self.stopping: set[Hold] = set(stopping)
-        self.victims: dict[tuple[int, str | None, bool], list[Hold]] = {}
+        self.stopping: set[Assignment] = set(stopping)
+        self.victims: dict[tuple[int, str | None, bool], list[Assignment]] = {}
         """Whom a job of some rank (or a team's guarantee) may stop here, found once a pass."""
-        self.seeded: set[str] = set()
+        self.fetching_here: set[str] = set()
         """Images for which this pass has placed a task here."""
         self.wanted = {False: 0, True: 0}
         """How many images that waiting arrays want are here, without and with cards."""
-        self._lasting: tuple[float, float, float] | None = None
+        self._beside_replicas: tuple[float, float, float] | None = None
         """What is left beside the replicas here: what work that ends can count on."""
         self._displaced: dict[tuple[float, float, float], float] = {}
         self._replicas: int | None = None
-        self._yielding: float | None = None
+        self._preemptible_cpus: float | None = None
         self.releasing_cpus = self.releasing_gpus = self.releasing_memory_gb = 0.0
-        for held in stopping:
-            self._add_releasing(held)
+        for assignment in stopping:
+            self._add_releasing(assignment)
 
-    def _add_releasing(self, held: Hold) -> None:
-        if held.job is not None:
-            spec = held.job.spec
+    def _add_releasing(self, assignment: Assignment) -> None:
+        if assignment.job is not None:
+            spec = assignment.job.spec
             self.releasing_cpus += spec.cpus
             self.releasing_gpus += spec.gpus
             self.releasing_memory_gb += spec.memory_gb
 
-    def stop(self, held: Hold) -> None:
+    def stop(self, assignment: Assignment) -> None:
         """Count a task as being stopped."""
-        self.stopping.add(held)
-        self._add_releasing(held)
+        self.stopping.add(assignment)
+        self._add_releasing(assignment)
 
     def may_fit(self, spec: JobSpec) -> bool:
         """Tell, quickly, whether a task might fit once what is being stopped is gone."""
@@ -123,7 +123,7 @@
         self,
         spec: JobSpec,
         limit: int,
-        with_dying: bool = False,
+        with_releasing: bool = False,
         gpu_reserve: GpuReserve = NO_RESERVE,
     ) -> int:
         """Tell how many tasks of this kind fit, up to a limit.
@@ -134,7 +134,7 @@
         if gpus > 0:
             cpus -= gpus * gpu_reserve.cpus
             memory_gb -= gpus * gpu_reserve.memory_gb
-        if with_dying:
+        if with_releasing:
             cpus += self.releasing_cpus
             gpus += self.releasing_gpus
             memory_gb += self.releasing_memory_gb
@@ -148,48 +148,50 @@
 
     def beside_replicas(self) -> tuple[float, float, float]:
         """Tell what room there would be with nothing but the replicas here."""
-        if self._lasting is None:
+        if self._beside_replicas is None:
             machine_type = self.machine.machine_type
             cpus, gpus, memory_gb = machine_type.cpus, machine_type.gpus, machine_type.memory_gb
-            for held in self.machine.holds.values():
-                if held.job is not None and held.job.endless:
-                    cpus -= held.job.spec.cpus
-                    gpus -= held.job.spec.gpus
-                    memory_gb -= held.job.spec.memory_gb
-            self._lasting = cpus, gpus, memory_gb
-        return self._lasting
-
-    def yielding(self) -> float:
+            for assignment in self.machine.assignments.values():
+                if assignment.job is not None and assignment.job.endless:
+                    cpus -= assignment.job.spec.cpus
+                    gpus -= assignment.job.spec.gpus
+                    memory_gb -= assignment.job.spec.memory_gb
+            self._beside_replicas = cpus, gpus, memory_gb
+        return self._beside_replicas
+
+    def preemptible_cpus(self) -> float:
         """Count the processors that are free, or used by what replicas may stop."""
-        if self._yielding is None:
-            self._yielding = self.machine.machine_type.cpus
-            for held in self.machine.holds.values():
-                job = held.job
+        if self._preemptible_cpus is None:
+            self._preemptible_cpus = self.machine.machine_type.cpus
+            for assignment in self.machine.assignments.values():
+                job = assignment.job
                 if job is not None and (job.endless or (job.gang and job.spec.task_count > 1)):
-                    self._yielding -= job.spec.cpus
-        return self._yielding
+                    self._preemptible_cpus -= job.spec.cpus
+        return self._preemptible_cpus
 
     def replicas(self) -> int:
         """Count the replicas here, with those placed in this pass."""
         if self._replicas is None:
-            holds = self.machine.holds.values()
-            self._replicas = sum(held.job is not None and held.job.endless for held in holds)
+            assignments = self.machine.assignments.values()
+            self._replicas = sum(
+                assignment.job is not None and assignment.job.endless for assignment in assignments
+            )
         return self._replicas
 
-    def settle(self, spec: JobSpec, count: int) -> None:
+    def place_replicas(self, spec: JobSpec, count: int) -> None:
         """Replicas are placed here."""
         self._replicas = self.replicas() + count
-        self.last(spec, count)
+        self.reserve(spec, count)
 
-    def restore(self, lasting: tuple[float, float, float]) -> None:
+    def restore_reserved(self, lasting: tuple[float, float, float]) -> None:
         """Take back what `last` has counted since."""
-        self._lasting = lasting
+        self._beside_replicas = lasting
         self._displaced.clear()
 
-    def last(self, spec: JobSpec, count: int) -> None:
+    def reserve(self, spec: JobSpec, count: int) -> None:
         """Count replicas as if they were here: they take their room for good."""
         cpus, gpus, memory_gb = self.beside_replicas()
-        self._lasting = (
+        self._beside_replicas = (
             cpus - spec.cpus * count,
             gpus - spec.gpus * count,
             memory_gb - spec.memory_gb * count,
@@ -241,9 +243,9 @@
         """Tell whether another image is being fetched here, or is about to be."""
         here = self.machine
         return any(
-            name != image and (count or name in self.seeded) and name not in here.images
+            name != image and (count or name in self.fetching_here) and name not in here.images
             for name, count in here.images_in_use.items()
-        ) or any(name != image and name not in here.images for name in self.seeded)
+        ) or any(name != image and name not in here.images for name in self.fetching_here)
 
     def free_share(self) -> float:
         """Tell how empty the machine is; the smallest is the fullest."""
@@ -275,7 +277,7 @@
     return machine.machine_type.gpus if spec.gpus <= 0 else 0.0
 
 
-def dearness(spec: JobSpec, machine: Machine) -> float:
+def gpu_cost(spec: JobSpec, machine: Machine) -> float:
     """Tell how little a machine is worth keeping for the cards that a task doesn't need.
 
     Those with the dearest cards are the first to be unwanted: a replica there had to be moved.
@@ -327,21 +329,23 @@
         self._gpus[name] = self._gpus.get(name, self._unseen[1]) + spec.gpus * count
 
 
-class Allowed:
+class Candidates:
     """The machines that jobs of one kind may use, and what this pass found out about them."""
 
-    __slots__ = ("_fitting", "_free", "_quickest", "full", "rooms", "slowest_fetch")
+    __slots__ = ("_fitting", "_free", "_quickest", "capacities", "full", "slowest_fetch")
 
-    def __init__(self, rooms: list[Room]) -> None:
-        self.rooms = rooms
+    def __init__(self, capacities: list[MachineCapacity]) -> None:
+        self.capacities = capacities
         self.slowest_fetch = min(
-            (room.machine.machine_type.fetch_gb_per_s for room in rooms), default=math.inf
+            (capacity.machine.machine_type.fetch_gb_per_s for capacity in capacities),
+            default=math.inf,
         )
         self._quickest = max(
-            (room.machine.machine_type.fetch_gb_per_s for room in rooms), default=math.inf
+            (capacity.machine.machine_type.fetch_gb_per_s for capacity in capacities),
+            default=math.inf,
         )
-        self._free: dict[bool, list[Room]] = {}
-        self._fitting: list[tuple[JobSpec, list[Room]]] = []
+        self._free: dict[bool, list[MachineCapacity]] = {}
+        self._fitting: list[tuple[JobSpec, list[MachineCapacity]]] = []
         self.full: dict[tuple[int, bool, str | None], list[tuple[float, float, float]]] = {}
         """What, by what a job may stop for it, found not even room to be freed. A pass only takes
         room, so whatever needs as much need not look."""
@@ -358,23 +362,23 @@
     def _claim(job: Job) -> tuple[int, bool, str | None]:
         return (job.priority, job.spec.gpus > 0, job.spec.team if job.guaranteed else None)
 
-    def fitting(self, spec: JobSpec) -> list[Room]:
+    def fitting(self, spec: JobSpec) -> list[MachineCapacity]:
         """List the machines where a task might fit once what is being stopped is gone.
 
         Looked for among those that fitted a smaller task before: a pass only takes room, but for
         what it stops (`forget_fitting`).
         """
-        among = self.rooms
-        for smaller, rooms in self._fitting:
+        among = self.capacities
+        for smaller, capacities in self._fitting:
             if (
                 spec.cpus >= smaller.cpus
                 and spec.gpus >= smaller.gpus
                 and spec.memory_gb >= smaller.memory_gb
-                and len(rooms) < len(among)
+                and len(capacities) < len(among)
             ):
-                among = rooms
-        found = [room for room in among if room.may_fit(spec)]
-        if among is self.rooms:
+                among = capacities
+        found = [capacity for capacity in among if capacity.may_fit(spec)]
+        if among is self.capacities:
             self._fitting.append((spec, found))
         return found
 
@@ -382,14 +386,18 @@
         """Something is being stopped: there is room that was not there before."""
         self._fitting.clear()
 
-    def free(self, spec: JobSpec) -> list[Room]:
+    def free(self, spec: JobSpec) -> list[MachineCapacity]:
         """List the machines that may still have room for a task, looked through once a kind."""
         key = spec.gpus > 0
         found = self._free.get(key)
         if found is None:
-            found = [room for room in self.rooms if room.cpus > 0 and (room.gpus > 0 or not key)]
+            found = [
+                capacity
+                for capacity in self.capacities
+                if capacity.cpus > 0 and (capacity.gpus > 0 or not key)
+            ]
             self._free[key] = found
-        return [room for room in found if room.count(spec, 1)]
+        return [capacity for capacity in found if capacity.count(spec, 1)]
 
     def known_full(self, job: Job) -> bool:
         """Tell whether a job that needs no more has looked in vain."""
--- a/src/ryewing/cloud.py
+++ b/src/ryewing/cloud.py
@@ -42,7 +42,7 @@
         # Only the leader asks, but two leaders can overlap for a moment: leave it some room.
         self.budget = Budget(0.8 * limits.rps, limits.rps)
 
-    def _ask(self, method: str, path: str, body: bytes | None = None) -> Reply:
+    def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
         if not self.budget.take():
             raise CloudDown("own budget is used up")
         try:
@@ -60,24 +60,24 @@
 
     def machine_types(self) -> list[MachineType]:
         """Read the machine types, with the prices of now."""
-        return _decode(self._ask("GET", "/machine_types"), MachineTypeList).machine_types
+        return _decode(self._request("GET", "/machine_types"), MachineTypeList).machine_types
 
     def rent(self, request: RentalRequest) -> list[MachineId]:
         """Rent machines; repeating the same request rents nothing more."""
-        reply = self._ask("POST", "/machines", msgspec.json.encode(request))
+        reply = self._request("POST", "/machines", msgspec.json.encode(request))
         return [MachineId(name) for name in _decode(reply, MachineNames).machines]
 
     def release(self, machines: Sequence[MachineId]) -> None:
         """Return machines; when this returns, they and everything on them are gone."""
         body = msgspec.json.encode(MachineNames([str(m) for m in machines[:RELEASE_MAX]]))
-        self._ask("POST", "/machines/release", body)
+        self._request("POST", "/machines/release", body)
 
     def machines(self) -> Iterator[ListedMachine]:
         """List the machines, as of some seconds ago."""
         since = ""
         while True:
             path = "/machines?page=500" + (f"&since={since}" if since else "")
-            page = _decode(self._ask("GET", path), MachinePage)
+            page = _decode(self._request("GET", path), MachinePage)
             yield from page.machines
             if not page.has_next or not page.machines:
                 return
--- a/src/ryewing/dispatch.py
+++ b/src/ryewing/dispatch.py
@@ -13,10 +13,10 @@
 from gevent.pool import Group
 
 from .budget import Budget
-from .picture import PLANNED, RUNNING, SAVING, SENT, Hold, Machine
+from .cluster_state import PLANNED, RUNNING, SAVING, SENT, Assignment, Machine
 from .term import TermContext
 from .units import (
-    NUDGES_MAX,
+    MAX_TOKEN_BUMPS,
     MachineId,
     ReportVersion,
     Steady,
@@ -34,13 +34,13 @@
 ORDERS_MAX = 500
 """Commands in one response: keeps its line within 64 KiB."""
 SENDS_AT_ONCE = 24
-NUDGE_EVERY = 0.51
+TOKEN_BUMP_EVERY = 0.51
 """Leases between two nudges of a worker: it heeds one in half a lease."""
 UNWAITED_S = 4.5
 """A worker waits 4 s for the answer to a report; so long after a newer message none does."""
-HASTEN_WITHIN = 0.7
+EARLY_REPORT_WITHIN = 0.7
 """Report intervals since the last report after which hastening the next is not worth it."""
-HASTEN_PER_CORE = 60.0
+EARLY_REPORTS_PER_CORE = 60.0
 """Messages a second and core that only make starts a little sooner: a tenth of the core."""
 REPORT_GAP_S = 0.5
 """The least time between two reports of a worker."""
@@ -62,8 +62,8 @@
         self._senders = Group()
         self._send_slots = BoundedSemaphore(SENDS_AT_ONCE)
         self._sending: set[MachineId] = set()
-        rate = HASTEN_PER_CORE * ctx.settings.params.resources.core_share
-        self._hasten_budget = Budget(rate, rate)
+        rate = EARLY_REPORTS_PER_CORE * ctx.settings.params.resources.core_share
+        self._early_report_budget = Budget(rate, rate)
 
     def stop(self) -> None:
         """End the exchanges under way."""
@@ -86,7 +86,7 @@
         name = MachineId(report.machine)
         if name in self.ctx.released:
             return None
-        machine = self.ctx.picture.machines.get(name)
+        machine = self.ctx.cluster.machines.get(name)
         if machine is None:
             if term_of(report.token) != self.ctx.term:
                 # Nobody knows it, so it holds nothing (it is recorded before its first start): it
@@ -94,7 +94,7 @@
                 # token, which comes with this answer. Found with copies of reports that reached a
                 # new leader: machines long gone were recorded, and kept jobs waiting for a lease.
                 return ReportAnswer(int(token_of(self.ctx.term)), [])
-            machine = self.ctx.picture.add(
+            machine = self.ctx.cluster.add(
                 name,
                 self.ctx.machine_type(report.machine_type),
                 Zone(report.zone),
@@ -103,7 +103,7 @@
             )
             log.info("event=unexpected-machine machine=%s flavour=%s", name, report.machine_type)
         new_address = bool(report.address) and machine.address != report.address
-        fresh = self.ctx.picture.absorb(machine, report, now, as_report=True)
+        fresh = self.ctx.cluster.apply_report(machine, report, now, as_report=True)
         if not fresh and machine.heard_at is not None and now - machine.heard_at > UNWAITED_S:
             # A copy of something old: nobody waits for the answer, and no lease is renewed by it.
             return None
@@ -112,25 +112,25 @@
             self.ctx.write.set()
         if fresh:
             self._inspect(machine, now)
-        self.ctx.picture.answered(machine, now)
+        self.ctx.cluster.answered(machine, now)
         commands = self._compose(machine, report, fresh, now)
-        return ReportAnswer(int(self.ctx.picture.token(machine)), commands)
+        return ReportAnswer(int(self.ctx.cluster.token(machine)), commands)
 
     def _inspect(self, machine: Machine, now: Steady) -> None:
         """See to what a machine's news bring: tasks that must go, room, finishes to write."""
         self.ctx.place.set()
-        if self.ctx.book.dirty:
+        if self.ctx.job_table.dirty:
             self.ctx.write.set()
-        for held in list(machine.holds.values()):
-            if held.phase == PLANNED:
+        for assignment in list(machine.assignments.values()):
+            if assignment.phase == PLANNED:
                 if machine.notice_s is not None:
-                    self.ctx.picture.drop(held, now)
+                    self.ctx.cluster.drop(assignment, now)
                 continue
-            job = held.job
+            job = assignment.job
             if job is None or job.cancelled:
-                self.stop_hold(held, 0.0, "unwanted", now)
+                self.stop_assignment(assignment, 0.0, "unwanted", now)
             elif machine.notice_s is not None:
-                self._drain(held, machine, now)
+                self._drain(assignment, machine, now)
         if len(machine.faults) >= FAULTS_MAX and not machine.quarantined:
             self._quarantine(machine, now)
 
@@ -140,45 +140,47 @@
         Found in a replay: a new leader did not know yet which jobs fail everywhere, and set sound
         machines aside on which two of them had failed.
         """
-        if sum(self.ctx.picture.sound(job, now) for job in machine.faults) < FAULTS_MAX:
+        if sum(self.ctx.cluster.is_sound(job, now) for job in machine.faults) < FAULTS_MAX:
             return
-        aside = sum(m.quarantined for m in self.ctx.picture.machines.values())
-        if aside >= max(1, len(self.ctx.picture.machines) // 8):
+        aside = sum(m.quarantined for m in self.ctx.cluster.machines.values())
+        if aside >= max(1, len(self.ctx.cluster.machines) // 8):
             return
         machine.quarantined = True
         log.info("event=quarantined machine=%s jobs=%s", machine.id, ",".join(machine.faults))
 
-    def _drain(self, held: Hold, machine: Machine, now: Steady) -> None:
+    def _drain(self, assignment: Assignment, machine: Machine, now: Steady) -> None:
         """Save in time before the cloud takes the machine, or let short tasks finish."""
-        job = held.job
-        if job is None or held.phase == SAVING or job.endless:
+        job = assignment.job
+        if job is None or assignment.phase == SAVING or job.endless:
             return  # a replica serves on until the placer has room for it elsewhere
         left = (machine.notice_s or 0.0) - (now - machine.noticed_at)
-        if held.phase == RUNNING and held.ran_from is not None:
-            remaining = job.estimate_s() - (now - held.ran_from)
+        if assignment.phase == RUNNING and assignment.running_since is not None:
+            remaining = job.estimate_s() - (now - assignment.running_since)
             if remaining < 0.7 * left:
                 return
-        self._stop_whole(held, job.grace_s, "drain", now)
+        self._stop_whole(assignment, job.grace_s, "drain", now)
 
-    def _stop_whole(self, held: Hold, grace_s: float, why: str, now: Steady) -> None:
+    def _stop_whole(self, assignment: Assignment, grace_s: float, why: str, now: Steady) -> None:
         """Stop a task; of a gang all of them, since an orderly stop needs every one told."""
-        job = held.job
+        job = assignment.job
         if job is None or not job.gang or job.spec.task_count == 1:
-            self.stop_hold(held, grace_s, why, now)
+            self.stop_assignment(assignment, grace_s, why, now)
             return
-        for mate in self.ctx.picture.holds_of(job):
-            self.stop_hold(mate, grace_s, why, now)
+        for mate in self.ctx.cluster.assignments_of(job):
+            self.stop_assignment(mate, grace_s, why, now)
 
-    def stop_hold(self, held: Hold, grace_s: float, why: str, now: Steady) -> None:
+    def stop_assignment(
+        self, assignment: Assignment, grace_s: float, why: str, now: Steady
+    ) -> None:
         """Stop one task attempt: forget it if nothing was sent, else by a tombstone."""
-        machine = held.machine
-        if held.phase == PLANNED:
-            self.ctx.picture.drop(held, now)
+        machine = assignment.machine
+        if assignment.phase == PLANNED:
+            self.ctx.cluster.drop(assignment, now)
             return
-        if self.ctx.stops.add(machine.id, held.task, held.attempt, grace_s, why, now):
+        if self.ctx.stops.add(machine.id, assignment.task, assignment.attempt, grace_s, why, now):
             log.info(
                 "event=stop task=%s machine=%s mercy_s=%g why=%s",
-                held.task,
+                assignment.task,
                 machine.id,
                 grace_s,
                 why,
@@ -187,19 +189,19 @@
 
     def _compose(self, machine: Machine, report: Report, fresh: bool, now: Steady) -> list[Command]:
         commands = self._standing_orders(machine, now)
-        if not fresh or not machine.hears or not machine.recorded:
+        if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
         if machine.notice_s is not None or machine.leaving or not self.ctx.may_start():
             return commands
         version = ReportVersion(report.session, report.sequence)
-        for held in machine.holds.values():
-            if held.phase != PLANNED or len(commands) >= ORDERS_MAX:
+        for assignment in machine.assignments.values():
+            if assignment.phase != PLANNED or len(commands) >= ORDERS_MAX:
                 continue
-            if held.job is None or held.job.cancelled:
+            if assignment.job is None or assignment.job.cancelled:
                 continue
-            held.phase = SENT
-            held.sent_after = version
-            commands.append(Command("start", str(held.task), int(held.attempt)))
+            assignment.phase = SENT
+            assignment.sent_after = version
+            commands.append(Command("start", str(assignment.task), int(assignment.attempt)))
         return commands
 
     def _standing_orders(self, machine: Machine, now: Steady) -> list[Command]:
@@ -214,7 +216,7 @@
         commands = []
         for ended in machine.ended.values():
             if ended.done:
-                job = self.ctx.book.get(ended.task.job)
+                job = self.ctx.job_table.get(ended.task.job)
                 if job is not None and ended.task.number in job.unwritten:
                     continue
             commands.append(Command("clear", str(ended.task), int(ended.attempt)))
@@ -239,7 +241,7 @@
             commands = self._standing_orders(machine, now)
             session = max(1, machine.version.session)
             for _ in range(2):
-                token = self.ctx.picture.token(machine)
+                token = self.ctx.cluster.token(machine)
                 known = machine.version
                 report = self.workers.send(machine.address, token, session, commands)
                 if report.machine != machine.id:
@@ -249,8 +251,8 @@
                     return
                 now = steady_now()
                 if ReportVersion(report.session, report.sequence) < known:
-                    self.ctx.picture.restarted(machine, now)
-                if self.ctx.picture.absorb(machine, report, now, as_report=False):
+                    self.ctx.cluster.restarted(machine, now)
+                if self.ctx.cluster.apply_report(machine, report, now, as_report=False):
                     self._inspect(machine, now)
                 if report.session == session:
                     return
@@ -264,13 +266,13 @@
         """Estimate how soon a worker reports next, so that a start can ride in the answer."""
         since = now - machine.heard_at if machine.heard_at is not None else math.inf
         due = max(0.0, self.ctx.settings.params.workers.report_s - since)
-        if any(held.phase == SENT for held in machine.holds.values()):
+        if any(assignment.phase == SENT for assignment in machine.assignments.values()):
             return due
-        if self._may_nudge(machine, now) or (machine.ended and self._clears(machine)):
+        if self._may_bump_token(machine, now) or (machine.ended and self._clears(machine)):
             return min(due, max(0.1, REPORT_GAP_S - since))
         return due
 
-    def hasten(self, machine: Machine, now: Steady, urgent: bool = False) -> None:
+    def request_early_report(self, machine: Machine, now: Steady, urgent: bool = False) -> None:
         """Make a worker report soon, so that its starts need not wait for its next report.
 
         A worker reports when a task is cleared, and when its token rises, though that at most
@@ -281,31 +283,31 @@
         times = self.ctx.settings.params.workers
         if machine.heard_at is None:
             return
-        if not urgent and now - machine.heard_at > HASTEN_WITHIN * times.report_s:
+        if not urgent and now - machine.heard_at > EARLY_REPORT_WITHIN * times.report_s:
             return  # the next report is due anyway
-        if any(held.phase == SENT for held in machine.holds.values()):
+        if any(assignment.phase == SENT for assignment in machine.assignments.values()):
             # A response with the lower token, overtaken by this, would be dropped.
             return
         clears = bool(machine.ended) and bool(self._clears(machine))
-        if not clears and not self._may_nudge(machine, now):
+        if not clears and not self._may_bump_token(machine, now):
             return
-        if not self._hasten_budget.take() and not urgent:
+        if not self._early_report_budget.take() and not urgent:
             return
         if not clears:
-            machine.nudged_at = now
-            machine.nudges += 1
+            machine.token_bumped_at = now
+            machine.token_bumps += 1
         self.send_soon(machine)
 
-    def _may_nudge(self, machine: Machine, now: Steady) -> bool:
-        if machine.nudges >= NUDGES_MAX:
+    def _may_bump_token(self, machine: Machine, now: Steady) -> bool:
+        if machine.token_bumps >= MAX_TOKEN_BUMPS:
             return False
-        gap = NUDGE_EVERY * self.ctx.settings.params.workers.lease_s
-        return machine.nudged_at is None or now - machine.nudged_at >= gap
+        gap = TOKEN_BUMP_EVERY * self.ctx.settings.params.workers.lease_s
+        return machine.token_bumped_at is None or now - machine.token_bumped_at >= gap
 
     def probe(self, now: Steady) -> None:
         """Ask machines directly whose report is late, and those not heard in this term."""
         late = PROBE_AFTER * self.ctx.settings.params.workers.report_s
-        for machine in list(self.ctx.picture.machines.values()):
+        for machine in list(self.ctx.cluster.machines.values()):
             if machine.may_hold_until is None:
                 continue
             since = machine.heard_at if machine.heard_at is not None else self.ctx.began
--- a/src/ryewing/fleet.py
+++ b/src/ryewing/fleet.py
@@ -9,10 +9,10 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
+from .capacity import allows
+from .cluster_state import Machine
 from .jobs import Job, count_fitting, fits_machine_type
-from .picture import Machine
 from .policy import Policy
-from .rooms import allows
 from .units import MachineId, Steady, Zone
 from .wire import JobSpec, MachineType
 
@@ -27,7 +27,7 @@
 NO_CAPACITY_MAX_S = 120.0
 
 
-class Shelf:
+class CapacityBackoff:
     """What the cloud was seen not to have, and until when it isn't asked again."""
 
     def __init__(self) -> None:
@@ -41,17 +41,17 @@
         self._pause[option] = pause
         self._until[option] = Steady(now + pause)
 
-    def got(self, option: Option) -> None:
+    def granted(self, option: Option) -> None:
         """There was some."""
         self._pause.pop(option, None)
         self._until.pop(option, None)
 
-    def open(self, option: Option, now: Steady) -> bool:
+    def may_request(self, option: Option, now: Steady) -> bool:
         """Tell whether it is worth asking."""
         return now >= self._until.get(option, Steady(0.0))
 
 
-class Wish:
+class RentalPlan:
     """Machines to be rented: the options from the best on, and how many."""
 
     __slots__ = ("count", "options")
@@ -78,7 +78,7 @@
 
 
 def options_for(
-    job: Job, machine_types: dict[str, MachineType], shelf: Shelf, now: Steady
+    job: Job, machine_types: dict[str, MachineType], backoff: CapacityBackoff, now: Steady
 ) -> list[Option]:
     """List what could be rented for a job, the best first.
 
@@ -108,7 +108,7 @@
                 if spot and (not spec.spot or machine_type.spot_price is None):
                     continue
                 option = (machine_type.name, zone, spot)
-                if shelf.open(option, now):
+                if backoff.may_request(option, now):
                     scored.append((share * price(machine_type, spot), option))
     scored.sort()
     return [option for _score, option in scored]
@@ -119,24 +119,26 @@
     return job.zone_max - job.zones[Zone(zone)]
 
 
-def wishes(
+def plan_rentals(
     short: Sequence[tuple[Job, int]],
     booting: Sequence[Machine],
     machine_types: dict[str, MachineType],
-    shelf: Shelf,
+    backoff: CapacityBackoff,
     policy: Policy,
     now: Steady,
-) -> list[Wish]:
+) -> list[RentalPlan]:
     """Turn what is short into machines to rent, beyond those that are booting."""
-    room = [[m.machine_type.cpus, m.machine_type.gpus, m.machine_type.memory_gb] for m in booting]
-    result: list[Wish] = []
+    capacity = [
+        [m.machine_type.cpus, m.machine_type.gpus, m.machine_type.memory_gb] for m in booting
+    ]
+    result: list[RentalPlan] = []
     for job, count in short:
         spec = job.spec
         left = count
         taken: Counter[str] = Counter()
         """Where the tasks would be: a job that is spread gets half a zone at the most. Machines
         rented for it in a zone that it had filled were of no use to it, again and again."""
-        for machine, free in zip(booting, room, strict=True):
+        for machine, free in zip(booting, capacity, strict=True):
             if left <= 0:
                 break
             if not allows(spec, machine):
@@ -150,14 +152,14 @@
             left -= fit
         if left <= 0:
             continue
-        options = options_for(job, machine_types, shelf, now)
+        options = options_for(job, machine_types, backoff, now)
         while left > 0 and options:
             sku, zone, _spot = options[0]
             part = min(left, zone_allowance(job, zone) - taken[zone])
             if part > 0:
                 left -= part
                 taken[zone] += part
-                _want(result, options, _machines(job, part, machine_types[sku], policy))
+                _add_plan(result, options, _machines(job, part, machine_types[sku], policy))
             options = [option for option in options if option[1] != zone]
     return result
 
@@ -172,18 +174,21 @@
     return max(1, round(count / places / rounds))
 
 
-def _want(wishes: list[Wish], options: list[Option], machines: int) -> None:
+def _add_plan(plan_rentals: list[RentalPlan], options: list[Option], machines: int) -> None:
     """Add to a wish for the same: one request for all of them, since the cloud takes few."""
-    for wish in wishes:
-        if wish.options[0] == options[0]:
-            wish.count += machines
+    for plan in plan_rentals:
+        if plan.options[0] == options[0]:
+            plan.count += machines
             return
-    wishes.append(Wish(options, machines))
+    plan_rentals.append(RentalPlan(options, machines))
 
 
 def serves(machine: Machine) -> bool:
     """Tell whether replicas are here, which would have to be moved."""
-    return any(held.job is not None and held.job.endless for held in machine.holds.values())
+    return any(
+        assignment.job is not None and assignment.job.endless
+        for assignment in machine.assignments.values()
+    )
 
 
 def to_retire(
@@ -197,7 +202,9 @@
     """
     if drain_s > RETIRE_DRAIN * policy.drain_target_s:
         return set()
-    with_gpus = [m for m in machines if m.machine_type.gpus > 0 and m.hears and not m.quarantined]
+    with_gpus = [
+        m for m in machines if m.machine_type.gpus > 0 and m.acknowledges and not m.quarantined
+    ]
     with_gpus.sort(
         key=lambda m: (price(m.machine_type, m.spot) / m.machine_type.gpus, not serves(m), m.id)
     )
@@ -219,7 +226,7 @@
     """
     chosen = []
     for machine in machines:
-        if machine.holds or machine.leaving or machine.heard_at is None:
+        if machine.assignments or machine.leaving or machine.heard_at is None:
             continue
         if machine.retiring:
             chosen.append(machine)
--- a/src/ryewing/intake.py
+++ b/src/ryewing/intake.py
@@ -47,7 +47,7 @@
             or job_id in self.writer.final_pending
         ):
             return None
-        job = self.ctx.book.get(job_id)
+        job = self.ctx.job_table.get(job_id)
         return job.status() if job is not None else None
 
     def take_cancel(self, job_id: JobId) -> bool:
@@ -57,7 +57,7 @@
         lags: what is on its way may be older than the cancel. Found where a job was cancelled in
         the second in which its leader changed.
         """
-        job = self.ctx.book.get(job_id)
+        job = self.ctx.job_table.get(job_id)
         if job is not None:
             self._cancel(job)
             return True
@@ -68,13 +68,13 @@
         if not job.cancelled:
             log.info("event=cancelled job=%s on_machines=%d", job.id, len(job.live))
         job.cancelled = True
-        self.ctx.book.touch(job)
+        self.ctx.job_table.touch(job)
         if not job.done_count:
             # Its user calls off a job that never finished anything: the mistake may be its own.
-            self.ctx.picture.forgive(job)
+            self.ctx.cluster.clear_faults(job)
         now = steady_now()
-        for held in self.ctx.picture.holds_of(job):
-            self.dispatch.stop_hold(held, 0.0, "cancelled", now)
+        for assignment in self.ctx.cluster.assignments_of(job):
+            self.dispatch.stop_assignment(assignment, 0.0, "cancelled", now)
         self.ctx.write.set()
 
     def watch_loop(self) -> None:
@@ -112,14 +112,14 @@
         record = read_record(data, key)
         if record is None:
             return
-        known = self.ctx.book.get(JobId(record.spec.id))
+        known = self.ctx.job_table.get(JobId(record.spec.id))
         if known is not None and key_version <= known.key_version:
             return
         self.put(record, key_version)
 
     def put(self, record: JobRecord, key_version: KeyVersion, inherited: bool = False) -> None:
         """Take in a job, with a cancel that was told here before it was known."""
-        job = self.ctx.book.put(record, key_version, inherited)
+        job = self.ctx.job_table.put(record, key_version, inherited)
         if job.id in self._cancelled_early:
             self._cancelled_early.discard(job.id)
             self._cancel(job)
@@ -128,7 +128,7 @@
 
     def _job_removed(self, job_id: JobId) -> None:
         self._cancelled_early.discard(job_id)
-        job = self.ctx.book.get(job_id)
+        job = self.ctx.job_table.get(job_id)
         if job is not None and not job.live:
             self.writer.settled(job)
 
@@ -144,13 +144,13 @@
         for entry in entries:
             there.add(JobId(entry.key[len(LIVE_PREFIX) :]))
             self.job_set(entry.key, entry.data, KeyVersion(entry.key_version))
-        for job_id in list(self.ctx.book.jobs):
-            if job_id not in there and self.ctx.book.jobs[job_id].key_version <= revision:
+        for job_id in list(self.ctx.job_table.jobs):
+            if job_id not in there and self.ctx.job_table.jobs[job_id].key_version <= revision:
                 self._job_removed(job_id)
         self.revision = revision
         self._followed(asked_at)
 
     def full(self) -> bool:
         """Tell whether more jobs would endanger the memory of this process."""
-        room = self.ctx.settings.params.resources.mem_mb * JOBS_MEMORY_SHARE * 1e6
-        return len(self.ctx.book.jobs) * JOB_BYTES >= room
+        capacity = self.ctx.settings.params.resources.mem_mb * JOBS_MEMORY_SHARE * 1e6
+        return len(self.ctx.job_table.jobs) * JOB_BYTES >= capacity
--- a/src/ryewing/jobs.py
+++ b/src/ryewing/jobs.py
@@ -158,12 +158,12 @@
         "_done",
         "_returned",
         "accepted_at",
-        "also",
         "backoff_s",
         "backoff_until",
         "cancelled",
         "chunks_written",
         "done_count",
+        "duplicates",
         "estimate_factor",
         "failed_on",
         "gang_attempt",
@@ -171,15 +171,15 @@
         "id",
         "inherited",
         "judged",
-        "kept_by",
         "key_version",
         "live",
         "priority",
+        "result_kept_by",
         "run_seen_s",
         "running",
         "spec",
         "unwritten",
-        "wanting_since",
+        "waiting_since",
         "zones",
     )
 
@@ -193,7 +193,7 @@
         self.inherited = inherited
         """Accepted before this leader's term: its tasks may sit on machines not yet heard."""
         self.live: dict[int, MachineId] = {}
-        self.also: dict[int, set[MachineId]] = {}
+        self.duplicates: dict[int, set[MachineId]] = {}
         """Further machines that a task was reported from: all but one of these reports are old."""
         self.zones: Counter[Zone] = Counter()
         self.running = 0
@@ -204,14 +204,14 @@
         self.guaranteed = False
         self.judged = False
         self.failed_on: dict[MachineId, Steady] = {}
-        self.kept_by: set[MachineId] = set()
+        self.result_kept_by: set[MachineId] = set()
         """Machines whose workers keep a result of a replica: used only where there is no other."""
         self.backoff_s = 0.0
         self.backoff_until = Steady(0.0)
         self.run_seen_s: float | None = None
         self.estimate_factor = 1.0
         """How much longer than guessed the class's tasks were seen to take, within bounds."""
-        self.wanting_since: Steady | None = None
+        self.waiting_since: Steady | None = None
         """Since when the job has waited for a machine with its image."""
         self._done = bytearray((self.spec.task_count + 7) // 8)
         self._returned: list[int] = []
@@ -284,16 +284,16 @@
     def take(self, count: int) -> list[int]:
         """Choose the next tasks to run; the caller puts them into `live`."""
         chosen: list[int] = []
-        held = set()
+        assignment = set()
         while self._returned and len(chosen) < count:
             index = self._returned.pop()
-            if index not in held and index not in self.live and not self.is_done(index):
+            if index not in assignment and index not in self.live and not self.is_done(index):
                 chosen.append(index)
-                held.add(index)
+                assignment.add(index)
         while self._cursor < self.spec.task_count and len(chosen) < count:
             index = self._cursor
             self._cursor += 1
-            if index not in held and index not in self.live and not self.is_done(index):
+            if index not in assignment and index not in self.live and not self.is_done(index):
                 chosen.append(index)
         return chosen
 
@@ -332,7 +332,7 @@
 """Owners' guesses lie, but so may the few tasks seen: the correction is bounded."""
 
 
-class Book:
+class JobTable:
     """The live jobs, and which of them have something to place or to write."""
 
     def __init__(self) -> None:
--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader.py
@@ -14,12 +14,12 @@
 import gevent
 import msgspec
 
+from .cluster_state import BACKOFF_MAX_S, BACKOFF_MIN_S
 from .dispatch import Dispatch
 from .intake import Intake
 from .jobs import DONE_PREFIX, LIVE_PREFIX, read_record
 from .leadership import Leadership
 from .mesh import ImageHint
-from .picture import BACKOFF_MAX_S, BACKOFF_MIN_S
 from .placer import Placer
 from .policy import Policy
 from .renter import REQUEST_PREFIX, Renter
@@ -64,7 +64,7 @@
         self.placer = Placer(self.ctx, self.dispatch)
         self.renter = Renter(self.ctx, self.writer, self.dispatch, self.placer)
         self._greenlets: list[gevent.Greenlet] = []
-        self._told_at = Steady(-1e9)
+        self._state_logged_at = Steady(-1e9)
 
     @property
     def term(self) -> Term:
@@ -92,9 +92,9 @@
     def image_hint(self) -> ImageHint:
         """Tell what a successor should know of the machines' images."""
         failing: dict[str, float] = {
-            job.id: job.backoff_s for job in self.ctx.book if job.backoff_s
+            job.id: job.backoff_s for job in self.ctx.job_table if job.backoff_s
         }
-        return ImageHint(int(self.term), *self.ctx.picture.images(), failing)
+        return ImageHint(int(self.term), *self.ctx.cluster.images(), failing)
 
     def _on_record(self, key: str, data: msgspec.Raw, key_version: KeyVersion) -> None:
         self.intake.job_set(key, data, key_version)
@@ -145,7 +145,7 @@
         except StoreDown as error:
             log.debug("event=renew-failed error=%s", error)
             return False
-        if self.ctx.authority.lapsed(sent_at):
+        if self.ctx.authority.expired_session(sent_at):
             log.info("event=lease-confirmed-again term=%d", self.ctx.term)
             self.ctx.place.set()
             self.ctx.write.set()
@@ -176,13 +176,13 @@
         log.info(
             "event=loaded term=%d jobs=%d machines=%d hires=%d took_s=%.3f",
             self.ctx.term,
-            len(self.ctx.book.jobs),
-            len(self.ctx.picture.machines),
+            len(self.ctx.job_table.jobs),
+            len(self.ctx.cluster.machines),
             len(self.renter.pending_requests),
             steady_now() - self.ctx.began,
         )
         self.ctx.loaded.set()
-        for machine in list(self.ctx.picture.machines.values()):
+        for machine in list(self.ctx.cluster.machines.values()):
             if machine.address:
                 self.dispatch.send_soon(machine)
         self._spawn(self.intake.watch_loop)
@@ -207,16 +207,16 @@
         records, twice = finishes.load(finished)
         for record_name, bits in records:
             name, _, chunk = record_name.rpartition("/")
-            job = self.ctx.book.get(JobId(name))
+            job = self.ctx.job_table.get(JobId(name))
             text = readable(bits, str, record_name) if chunk.isdecimal() else None
             if job is None or job.endless or text is None:
                 finishes.drop(record_name)
             else:
                 job.load_chunk(int(chunk), text)
-                self.ctx.book.touch(job)
+                self.ctx.job_table.touch(job)
         for record_name in twice:
             name, _, chunk = record_name.rpartition("/")
-            job = self.ctx.book.get(JobId(name))
+            job = self.ctx.job_table.get(JobId(name))
             if job is not None and not job.endless and chunk.isdecimal():
                 finishes.put(record_name, job.chunk_text(int(chunk)))
         # Whoever led before may have answered workers until its hold ended, and the last of
@@ -229,7 +229,7 @@
             kept = readable(raw, MachineRecord, MACHINE_PREFIX + id_)
             if kept is None:
                 continue
-            machine = self.ctx.picture.add(
+            machine = self.ctx.cluster.add(
                 MachineId(id_),
                 self.ctx.machine_type(kept.machine_type),
                 Zone(kept.zone),
@@ -242,10 +242,10 @@
                 machine.may_hold_until = until
         self.writer.to_record.update(MachineId(id_) for id_ in twice)
         if self._hint is not None:
-            self.ctx.picture.recall_images(self._hint.images, self._hint.machines)
+            self.ctx.cluster.restore_images(self._hint.images, self._hint.machines)
             # Without it each new leader let whole batches of such jobs fail once more.
             for name, delay_s in self._hint.failing.items():
-                failing = self.ctx.book.get(JobId(name))
+                failing = self.ctx.job_table.get(JobId(name))
                 if failing is not None and not failing.done_count:
                     failing.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
                     failing.backoff_until = now
@@ -265,26 +265,26 @@
         """See to leases that have ended, stops that are due, and silent machines."""
         now = steady_now()
         self._log_state(now)
-        for machine in self.ctx.picture.expire(now):
+        for machine in self.ctx.cluster.expire(now):
             log.info("event=lease-over machine=%s", machine.id)
             self.ctx.place.set()
         if not self.ctx.authority.may_answer(now):
             return
         for name in list(self.ctx.stops.due(now)):
-            stopping = self.ctx.picture.machines.get(name)
+            stopping = self.ctx.cluster.machines.get(name)
             if stopping is None:
                 self.ctx.stops.machine_gone(name)
             else:
                 self.dispatch.send_soon(stopping)
         self.dispatch.probe(now)
-        if self.ctx.settings.members and self.placer.gathered and self.cut_from_workers(now):
+        if self.ctx.settings.members and self.placer.gathered and self.is_cut_from_workers(now):
             # Another node may reach them; waiting for it costs every machine its tasks.
             self._resign(CUT)
 
-    def cut_from_workers(self, now: Steady) -> bool:
+    def is_cut_from_workers(self, now: Steady) -> bool:
         """Tell whether most machines fell silent at once, so that the fault is likely here."""
         silent = known = 0
-        for machine in self.ctx.picture.machines.values():
+        for machine in self.ctx.cluster.machines.values():
             if machine.heard_at is None or machine.may_hold_until is None:
                 continue
             known += 1
@@ -293,11 +293,11 @@
 
     def _log_state(self, now: Steady) -> None:
         """Tell a reader of the log, every ten seconds, what there is and what waits."""
-        if now - self._told_at < TELL_EVERY_S:
+        if now - self._state_logged_at < TELL_EVERY_S:
             return
-        self._told_at = now
+        self._state_logged_at = now
         kinds: dict[str, list[float]] = {}
-        for machine in self.ctx.picture.machines.values():
+        for machine in self.ctx.cluster.machines.values():
             kind = machine.machine_type.name + ("/spot" if machine.spot else "")
             row = kinds.setdefault(kind, [0, 0, 0.0, 0.0])
             row[0] += 1
@@ -306,19 +306,21 @@
                 row[2] += machine.cpus
                 row[3] += machine.gpus
         phases: dict[str, float] = {}
-        for machine in self.ctx.picture.machines.values():
-            for held in machine.holds.values():
-                if held.job is not None and held.job.spec.gpus > 0:
-                    phases[held.phase] = phases.get(held.phase, 0.0) + held.job.spec.gpus
+        for machine in self.ctx.cluster.machines.values():
+            for assignment in machine.assignments.values():
+                if assignment.job is not None and assignment.job.spec.gpus > 0:
+                    phases[assignment.phase] = (
+                        phases.get(assignment.phase, 0.0) + assignment.job.spec.gpus
+                    )
         waiting: dict[str, int] = {}
-        for job, count in self.placer.short:
+        for job, count in self.placer.unplaced:
             waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + count
         log.info(
             "event=state jobs=%d passes=%d looked=%d stretch=%.2f cards=%s machines=%s short=%s",
-            len(self.ctx.book.jobs),
+            len(self.ctx.job_table.jobs),
             self.placer.passes,
-            self.placer.looked,
-            self.ctx.picture.stretch,
+            self.placer.machines_examined,
+            self.ctx.cluster.fetch_slowdown,
             ",".join(f"{phase}:{n:g}" for phase, n in sorted(phases.items())) or "-",
             ",".join(
                 f"{kind}:{int(n)}(up={int(up)};vcpus_free={v:g};cards_free={c:g})"
--- a/src/ryewing/leadership.py
+++ b/src/ryewing/leadership.py
@@ -54,14 +54,14 @@
         if self.followed_at is None or asked_at > self.followed_at:
             self.followed_at = asked_at
 
-    def lapsed(self, now: Steady) -> bool:
+    def expired_session(self, now: Steady) -> bool:
         """Tell whether the lease may have ended."""
         return self.renewed_at is None or now >= self.renewed_at + self._lease_s
 
     def may_start(self, now: Steady) -> bool:
         """Starting tasks, renting and answering users need an unexpired lease and the jobs."""
         return (
-            not self.lapsed(now)
+            not self.expired_session(now)
             and self.followed_at is not None
             and now < self.followed_at + FOLLOW_S
         )
--- a/src/ryewing/mesh.py
+++ b/src/ryewing/mesh.py
@@ -23,7 +23,7 @@
 FRAME_MAX = 4 * 1024 * 1024
 IDLE_S = 60.0
 KEPT_CONNECTIONS = 4
-ASKS_AT_ONCE = 32
+REQUESTS_AT_ONCE = 32
 """Asks to one controller that may wait for their answers: each takes a socket and a greenlet, and
 one that is silent answers none, while users ask many times as often."""
 
@@ -47,7 +47,7 @@
     term: int
 
 
-class LoadAsk(msgspec.Struct, tag="load"):
+class LoadQuery(msgspec.Struct, tag="load"):
     """A follower asks whether the leader can take more jobs."""
 
 
@@ -66,7 +66,7 @@
     """Jobs that fail everywhere, and for how long each is left alone between two probes."""
 
 
-class RelayAsk(msgspec.Struct, tag="relay"):
+class RelayRequest(msgspec.Struct, tag="relay"):
     """A node that alone can't reach the store asks through a peer."""
 
     method: str
@@ -88,19 +88,19 @@
     ok: bool
 
 
-class RelayAnswer(msgspec.Struct, tag="relayed"):
+class RelayResponse(msgspec.Struct, tag="relayed"):
     """The store's answer, or status 0 if there was none."""
 
     status: int
     body: bytes = b""
 
 
-Ask = Union[PollJob, CancelNotice, LeaderNotice, LoadAsk, ImageHint, RelayAsk]
-Answer = Union[JobState, Ack, RelayAnswer]
-Handler = Callable[[Ask], Answer]
+Request = Union[PollJob, CancelNotice, LeaderNotice, LoadQuery, ImageHint, RelayRequest]
+Response = Union[JobState, Ack, RelayResponse]
+Handler = Callable[[Request], Response]
 
-_ask_decoder = msgspec.msgpack.Decoder(Ask)
-_answer_decoder = msgspec.msgpack.Decoder(Answer)
+_request_decoder = msgspec.msgpack.Decoder(Request)
+_response_decoder = msgspec.msgpack.Decoder(Response)
 
 
 class PeerSilent(Exception):
@@ -125,7 +125,7 @@
     return _read_exactly(sock, size)
 
 
-def _write_frame(sock: socket.socket, value: Ask | Answer) -> None:
+def _write_frame(sock: socket.socket, value: Request | Response) -> None:
     data = msgspec.msgpack.encode(value)
     sock.sendall(len(data).to_bytes(4, "big") + data)
 
@@ -136,20 +136,20 @@
     def __init__(self, address: Address) -> None:
         self._address = address
         self._idle: deque[socket.socket] = deque()
-        self.under_way = 0
+        self.in_flight = 0
         """Asks that wait for their answer."""
 
-    def ask(self, ask: Ask, deadline_s: float) -> Answer:
+    def request(self, ask: Request, deadline_s: float) -> Response:
         """Ask, and wait for the answer; raise PeerSilent without one."""
-        if self.under_way >= ASKS_AT_ONCE:
+        if self.in_flight >= REQUESTS_AT_ONCE:
             raise PeerSilent("too many asks under way")
-        self.under_way += 1
+        self.in_flight += 1
         try:
             return self._exchange(ask, deadline_s)
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
-    def _exchange(self, ask: Ask, deadline_s: float) -> Answer:
+    def _exchange(self, ask: Request, deadline_s: float) -> Response:
         sock: socket.socket | None = self._idle.pop() if self._idle else None
         done = False
         try:
@@ -159,7 +159,7 @@
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     sock.connect(self._address)
                 _write_frame(sock, ask)
-                answer = _answer_decoder.decode(_read_frame(sock))
+                answer = _response_decoder.decode(_read_frame(sock))
                 done = True
                 return answer
         except (OSError, EOFError, msgspec.DecodeError) as error:
@@ -198,7 +198,7 @@
             while True:
                 with gevent.Timeout(IDLE_S, TimeoutError("idle")):
                     frame = _read_frame(sock)
-                _write_frame(sock, self._handler(_ask_decoder.decode(frame)))
+                _write_frame(sock, self._handler(_request_decoder.decode(frame)))
         except msgspec.DecodeError as error:
             log.warning("event=unreadable-frame error=%s", error)
         except (OSError, EOFError):
--- a/src/ryewing/node.py
+++ b/src/ryewing/node.py
@@ -26,19 +26,19 @@
 )
 from .mesh import (
     Ack,
-    Answer,
-    Ask,
     CancelNotice,
     ImageHint,
     JobState,
     LeaderNotice,
-    LoadAsk,
+    LoadQuery,
     MeshServer,
     Peer,
     PeerSilent,
     PollJob,
-    RelayAnswer,
-    RelayAsk,
+    RelayRequest,
+    RelayResponse,
+    Request,
+    Response,
 )
 from .policy import Policy
 from .settings import Settings, parse_address
@@ -54,7 +54,7 @@
 """With the lease, above the longest for which a leader that has not seen a change may start tasks
 or answer users (`leadership.FOLLOW_S`); 0.1.0 and 0.2.0 went by their watch, of 8 s and its
 deadline."""
-CANCELS_SEEN_MAX = 10_000
+UNCONFIRMED_CANCELS_MAX = 10_000
 API_SHARE, MESH_SHARE = 0.75, 0.05
 """Parts of the sockets for users, workers and health checks, and for other controllers. Every
 worker keeps a connection to the leader; what remains is for the store, the cloud and what is sent
@@ -86,10 +86,10 @@
         self._leader_term = Term(0)
         self._abstain_until = Steady(0.0)
         self._full = False
-        self._load_asked_at = Steady(-1e9)
+        self._load_queried_at = Steady(-1e9)
         self._hint: ImageHint | None = None
         self._hinted_at = Steady(-1e9)
-        self._cancels_seen: OrderedDict[JobId, Steady] = OrderedDict()
+        self._unconfirmed_cancels: OrderedDict[JobId, Steady] = OrderedDict()
         """Cancels found in the store that the leader may not know, and since when."""
         self._peers = {m.node: Peer(parse_address(m.address)) for m in settings.members}
         self._relay_budget = Budget(0.2 * limits.rps, 0.2 * limits.rps)
@@ -202,7 +202,7 @@
     def _announce(self, term: Term) -> None:
         notice = LeaderNotice(self.name, int(term))
         for peer in self._peers.values():
-            gevent.spawn(self._ask, peer, notice)
+            gevent.spawn(self._request, peer, notice)
 
     def _share_images(self, leader: Leader) -> None:
         now = steady_now()
@@ -211,7 +211,7 @@
         self._hinted_at = now
         self._hint = leader.image_hint()
         for peer in self._peers.values():
-            gevent.spawn(self._ask, peer, self._hint)
+            gevent.spawn(self._request, peer, self._hint)
 
     def foreign_leader(self) -> str | None:
         """Name the leader to whom workers should be sent, if it is another node."""
@@ -253,41 +253,41 @@
         if self.leader is not None:
             return self.leader.full()
         now = steady_now()
-        if now - self._load_asked_at > LOAD_EVERY_S:
-            self._load_asked_at = now
-            gevent.spawn(self._ask_load)
+        if now - self._load_queried_at > LOAD_EVERY_S:
+            self._load_queried_at = now
+            gevent.spawn(self._query_load)
         return self._full
 
-    def _ask_load(self) -> None:
+    def _query_load(self) -> None:
         name = self.foreign_leader()
         peer = self._peers.get(name) if name is not None else None
-        answer = self._ask(peer, LoadAsk()) if peer is not None else None
+        answer = self._request(peer, LoadQuery()) if peer is not None else None
         self._full = isinstance(answer, Ack) and not answer.ok
 
-    def ask_leader(self, job: JobId) -> JobStatus | None:
+    def query_leader(self, job: JobId) -> JobStatus | None:
         """Ask the leader for a job's state; None if only the store can tell."""
         name = self.foreign_leader()
         peer = self._peers.get(name) if name is not None else None
         if peer is None:
             return None
-        answer = self._ask(peer, PollJob(job))
+        answer = self._request(peer, PollJob(job))
         if not isinstance(answer, JobState) or answer.status is None:
             return None
         if answer.status in (DONE, CANCELLED):
             self.finals.put(job, answer.status)
         return JobStatus(job, answer.status, answer.done, answer.running)
 
-    def tell_cancel(self, job: JobId) -> bool:
+    def announce_cancel(self, job: JobId) -> bool:
         """Make the leader know of a cancel that is in the store; False if it may not know.
 
         Only the holder of the lease answers users from memory and starts tasks, and whoever comes
         after it reads the jobs after its take-over. So it is enough to tell the one who holds it.
         """
-        seen_at = self._cancels_seen.setdefault(job, steady_now())
-        if len(self._cancels_seen) > CANCELS_SEEN_MAX:
-            self._cancels_seen.popitem(last=False)
+        seen_at = self._unconfirmed_cancels.setdefault(job, steady_now())
+        if len(self._unconfirmed_cancels) > UNCONFIRMED_CANCELS_MAX:
+            self._unconfirmed_cancels.popitem(last=False)
         entry = self.store.get(HOLDER_KEY)
-        if entry is None or self._holder_knows(entry, job):
+        if entry is None or self._holder_acknowledges(entry, job):
             known = True
         else:
             # The holder is dead, or cut from here. One that can reach the store sees the cancel in
@@ -297,22 +297,22 @@
             # leader could know.
             known = steady_now() - seen_at > self.policy.store_lease_s + CANCEL_KNOWN_S
         if known:
-            self._cancels_seen.pop(job, None)
+            self._unconfirmed_cancels.pop(job, None)
         return known
 
-    def _holder_knows(self, entry: Entry, job: JobId) -> bool:
+    def _holder_acknowledges(self, entry: Entry, job: JobId) -> bool:
         holder = readable(entry.data, Holder, entry.key)
         if holder is None:
             return False
         if holder.node == self.name:
             return self.leader is None or self.leader.take_cancel(job)
         peer = self._peers.get(holder.node)
-        answer = self._ask(peer, CancelNotice(job)) if peer is not None else None
+        answer = self._request(peer, CancelNotice(job)) if peer is not None else None
         return isinstance(answer, Ack) and answer.ok
 
-    def _ask(self, peer: Peer, ask: Ask) -> Answer | None:
+    def _request(self, peer: Peer, ask: Request) -> Response | None:
         try:
-            return peer.ask(ask, MESH_S)
+            return peer.request(ask, MESH_S)
         except PeerSilent as error:
             log.debug("event=peer-silent error=%s", error)
             return None
@@ -320,20 +320,20 @@
     def _relay(self, method: str, path: str, body: bytes | None) -> Reply | None:
         """Ask the store through a peer, since it can't be reached from here."""
         for peer in self._peers.values():
-            answer = self._ask(peer, RelayAsk(method, path, body))
-            if isinstance(answer, RelayAnswer) and answer.status:
+            answer = self._request(peer, RelayRequest(method, path, body))
+            if isinstance(answer, RelayResponse) and answer.status:
                 return Reply(answer.status, answer.body)
         return None
 
     # -- the mesh ---------------------------------------------------------------------------
 
-    def _on_mesh(self, ask: Ask) -> Answer:
+    def _on_mesh(self, ask: Request) -> Response:
         if isinstance(ask, PollJob):
             return self._on_poll(JobId(ask.job))
         if isinstance(ask, CancelNotice):
             leader = self.leader
             return Ack(leader is not None and leader.take_cancel(JobId(ask.job)))
-        if isinstance(ask, LoadAsk):
+        if isinstance(ask, LoadQuery):
             return Ack(self.leader is None or not self.leader.full())
         if isinstance(ask, ImageHint):
             if self._hint is None or ask.term >= self._hint.term:
@@ -357,11 +357,11 @@
             return JobState()
         return JobState(state.status, state.done, state.running)
 
-    def _on_relay(self, ask: RelayAsk) -> RelayAnswer:
+    def _on_relay(self, ask: RelayRequest) -> RelayResponse:
         if not self._relay_budget.take():
-            return RelayAnswer(0)
+            return RelayResponse(0)
         try:
             reply = self.store.raw(ask.method, ask.path, ask.body, 0.5)
         except StoreDown:
-            return RelayAnswer(0)
-        return RelayAnswer(reply.status, reply.body)
+            return RelayResponse(0)
+        return RelayResponse(reply.status, reply.body)
--- a/src/ryewing/packed.py
+++ b/src/ryewing/paged_records.py
@@ -27,7 +27,7 @@
 from .units import KeyVersion, Revision
 from .wire import Entry
 
-log = logging.getLogger("ryewing.packed")
+log = logging.getLogger("ryewing.paged_records")
 
 FILL = 0.6
 """How full a value may get by new records. The rest is for those in it that grow."""
@@ -50,7 +50,7 @@
         self.size = 0
 
 
-class Packed:
+class PagedRecords:
     """Records under one prefix, by name."""
 
     def __init__(self, prefix: str, value_kb: float) -> None:
--- a/src/ryewing/placer.py
+++ b/src/ryewing/placer.py
@@ -13,19 +13,19 @@
 import gevent
 
 from . import placement, preemption, queueing
-from .dispatch import Dispatch
-from .jobs import Job, fits_machine_type
-from .picture import (
+from .capacity import NO_RESERVE, MachineCapacity, Quota, allows
+from .cluster_state import (
     AVOID_S,
     FETCHING,
     PLANNED,
     RUNNING,
     SAVING,
     WARM,
-    Hold,
+    Assignment,
     Machine,
 )
-from .rooms import NO_RESERVE, Quota, Room, allows
+from .dispatch import Dispatch
+from .jobs import Job, fits_machine_type
 from .term import TermContext
 from .units import Attempt, JobId, MachineId, Steady, TaskId, attempt_of, steady_now, wall_now
 from .wire import JobSpec
@@ -53,20 +53,20 @@
         self.ctx = ctx
         self.dispatch = dispatch
         self.gathered = False
-        self.short: list[tuple[Job, int]] = []
+        self.unplaced: list[tuple[Job, int]] = []
         self._guarantees = any(t.cpus or t.gpus for t in ctx.settings.params.teams)
         self._rng = random.Random()
         self._gpu_reserve = NO_RESERVE
         self.gpus_wanted = 0.0
         """The cards in use and asked for; the memory of it halves in a minute."""
         self._gpus_wanted_at = ctx.began
-        self.passes = self.looked = 0
+        self.passes = self.machines_examined = 0
         """Passes made in this term, and machines that they looked at: their cost."""
         self._attempts = 0
         self._reserved_for: JobId | None = None
         self._moved_at: dict[str, Steady] = {}
         """By class, when a replica was last moved; without one, when the term began."""
-        self._kinds: dict[str, JobSpec] = {}
+        self._recent_specs: dict[str, JobSpec] = {}
         """By class, what a task takes that was asked for lately."""
 
     def place_loop(self) -> None:
@@ -86,10 +86,10 @@
         if self.gathered:
             return True
         waited = steady_now() - self.ctx.began
-        if waited < self.ctx.policy.gather_s and any(True for _ in self.ctx.picture.unheard()):
+        if waited < self.ctx.policy.gather_s and any(True for _ in self.ctx.cluster.unheard()):
             return False
         self.gathered = True
-        unheard = [m.id for m in self.ctx.picture.unheard()]
+        unheard = [m.id for m in self.ctx.cluster.unheard()]
         log.info(
             "event=gathered term=%d waited_s=%.2f unheard=%s",
             self.ctx.term,
@@ -101,38 +101,38 @@
     def run_pass(self) -> None:
         """Turn the jobs' shortfalls into planned tasks and stops, once."""
         now = steady_now()
-        self.ctx.picture.unplan(now, 2 * self.ctx.settings.params.workers.report_s + 2)
-        unheard = list(self.ctx.picture.unheard())
+        self.ctx.cluster.drop_stale_plans(now, 2 * self.ctx.settings.params.workers.report_s + 2)
+        unheard = list(self.ctx.cluster.unheard())
         if self._guarantees:
-            preemption.mark_guarantees(self.ctx.book, self.ctx.teams)
+            preemption.mark_guarantees(self.ctx.job_table, self.ctx.teams)
         jobs = [
             job
-            for job in (self.ctx.book.jobs[j] for j in self.ctx.book.waiting)
-            if self._placeable(job, unheard, now)
+            for job in (self.ctx.job_table.jobs[j] for j in self.ctx.job_table.waiting)
+            if self._may_place(job, unheard, now)
         ]
-        moving = self._moving(now)
+        moving = self._replicas_to_move(now)
         # So many free cards work without cards must leave usable.
         gpus_kept = self._note_gpus_wanted(jobs, now)
         if not jobs and not moving:
-            self.short = []
+            self.unplaced = []
             return
         for wanting in jobs:
             self._gpu_reserve = self._gpu_reserve.widened(wanting)
             if not wanting.endless and (
-                wanting.spec.job_class in self._kinds or len(self._kinds) < KINDS_MAX
+                wanting.spec.job_class in self._recent_specs or len(self._recent_specs) < KINDS_MAX
             ):
-                self._kinds[wanting.spec.job_class] = wanting.spec
+                self._recent_specs[wanting.spec.job_class] = wanting.spec
         jobs = self._ordered(jobs)
         overdue = queueing.overdue(jobs, wall_now())
         fresh = now - 2.5 * self.ctx.settings.params.workers.report_s
-        free: list[Room] = []
-        for machine in self.ctx.picture.machines.values():
+        free: list[MachineCapacity] = []
+        for machine in self.ctx.cluster.machines.values():
             if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh:
-                free.append(Room(machine, self._stopping(machine)))
+                free.append(MachineCapacity(machine, self._being_stopped(machine)))
         quota = Quota(
             self.ctx.teams,
-            self.ctx.picture.team_cpus,
-            self.ctx.picture.team_gpus,
+            self.ctx.cluster.team_cpus,
+            self.ctx.cluster.team_gpus,
             sum(m.machine_type.cpus for m in unheard),
             sum(m.machine_type.gpus for m in unheard),
         )
@@ -145,8 +145,8 @@
             self._gpu_reserve,
             gpus_kept,
             self._avoid,
-            self.ctx.picture.fetches_share(),
-            tuple(self._kinds.values()),
+            self.ctx.cluster.fetches_share(),
+            tuple(self._recent_specs.values()),
             lambda machine: self.dispatch.report_in(machine, now),
         ).run(jobs, overdue, moving)
         if plan.reserved is not None and plan.reserved[0].id != self._reserved_for:
@@ -154,7 +154,7 @@
             log.info("event=reserved job=%s machines=%d", gang.id, len(kept))
         self._reserved_for = plan.reserved[0].id if plan.reserved is not None else None
         self.passes += 1
-        self.looked += plan.looked
+        self.machines_examined += plan.machines_examined
         planned: set[MachineId] = set()
         for batch in plan.batches:
             self._apply(batch, now)
@@ -163,68 +163,83 @@
             machine.id for batch in plan.batches if batch.job.endless for machine, _n in batch.parts
         }
         for name in sorted(planned, key=lambda name: name not in serving):
-            self.dispatch.hasten(self.ctx.picture.machines[name], now, name in serving)
-        for held in plan.stops:
-            self.dispatch.stop_hold(held, held.job.grace_s if held.job else 0.0, "preempted", now)
-        for held in plan.moves:
-            self.dispatch.stop_hold(held, held.job.grace_s if held.job else 0.0, "moved", now)
-            if held.job is not None:
-                self._moved_at[held.job.spec.job_class] = now
-        self.short = plan.short
+            self.dispatch.request_early_report(
+                self.ctx.cluster.machines[name], now, name in serving
+            )
+        for assignment in plan.stops:
+            self.dispatch.stop_assignment(
+                assignment, assignment.job.grace_s if assignment.job else 0.0, "preempted", now
+            )
+        for assignment in plan.moves:
+            self.dispatch.stop_assignment(
+                assignment, assignment.job.grace_s if assignment.job else 0.0, "moved", now
+            )
+            if assignment.job is not None:
+                self._moved_at[assignment.job.spec.job_class] = now
+        self.unplaced = plan.unplaced
 
-    def _moving(self, now: Steady) -> list[Hold]:
+    def _replicas_to_move(self, now: Steady) -> list[Assignment]:
         """List the replicas that should run elsewhere: their machine is about to go, or is faulty,
         or is kept for nothing else."""
-        found: list[Hold] = []
-        unwanted: list[Hold] = []
-        for machine in self.ctx.picture.machines.values():
-            if machine.leaving or not machine.holds or not machine.hears:
+        found: list[Assignment] = []
+        unwanted: list[Assignment] = []
+        for machine in self.ctx.cluster.machines.values():
+            if machine.leaving or not machine.assignments or not machine.acknowledges:
                 continue
             must = machine.notice_s is not None or machine.quarantined
             if not must and (
                 not machine.retiring
                 or now - machine.retiring_since < MOVE_AFTER_S
                 # It stays for what else is there.
-                or any(held.job is None or not held.job.endless for held in machine.holds.values())
+                or any(
+                    assignment.job is None or not assignment.job.endless
+                    for assignment in machine.assignments.values()
+                )
             ):
                 continue
             (found if must else unwanted).extend(
-                held
-                for held in machine.holds.values()
-                if held.job is not None
-                and held.job.endless
-                and not held.job.cancelled
-                and held.phase in (FETCHING, RUNNING)
-                and not self.ctx.stops.has(machine.id, held.task, held.attempt)
+                assignment
+                for assignment in machine.assignments.values()
+                if assignment.job is not None
+                and assignment.job.endless
+                and not assignment.job.cancelled
+                and assignment.phase in (FETCHING, RUNNING)
+                and not self.ctx.stops.has(machine.id, assignment.task, assignment.attempt)
             )
         # Of those that may as well stay only as many as their class hardly misses.
-        by_class = {held.job.spec.job_class: held for held in unwanted if held.job is not None}
-        for name, held in by_class.items():
+        by_class = {
+            assignment.job.spec.job_class: assignment
+            for assignment in unwanted
+            if assignment.job is not None
+        }
+        for name, assignment in by_class.items():
             if self._may_miss(name, now):
-                return [*found, held]
+                return [*found, assignment]
         return found
 
     def _may_miss(self, jobclass: str, now: Steady) -> bool:
         serving = sum(
-            job.running for job in self.ctx.book if job.endless and job.spec.job_class == jobclass
+            job.running
+            for job in self.ctx.job_table
+            if job.endless and job.spec.job_class == jobclass
         )
         gap = MOVE_GAP_S / (MOVE_SHARE * max(1, serving))
         return now - self._moved_at.get(jobclass, self.ctx.began) >= gap
 
-    def _stopping(self, machine: Machine) -> frozenset[Hold]:
+    def _being_stopped(self, machine: Machine) -> frozenset[Assignment]:
         stops = self.ctx.stops
         if not stops.any_on(machine.id):
             return frozenset()
         return frozenset(
-            held
-            for held in machine.holds.values()
-            if stops.has(machine.id, held.task, held.attempt)
+            assignment
+            for assignment in machine.assignments.values()
+            if stops.has(machine.id, assignment.task, assignment.attempt)
         )
 
     def _ordered(self, jobs: list[Job]) -> list[Job]:
         gpus, cpus = queueing.Supply(), queueing.Supply()
         beside = max(self._gpu_reserve.cpus, 1e-3)
-        for machine in self.ctx.picture.machines.values():
+        for machine in self.ctx.cluster.machines.values():
             if machine.usable():
                 free = min(machine.gpus, max(0.0, machine.cpus) // beside)
                 gpus.total += machine.machine_type.gpus - machine.gpus + free
@@ -235,7 +250,7 @@
 
     def _note_gpus_wanted(self, jobs: list[Job], now: Steady) -> float:
         """Take note of the cards wanted; tell how many are beyond those in use."""
-        used = sum(self.ctx.picture.team_gpus.values())
+        used = sum(self.ctx.cluster.team_gpus.values())
         wanted = used + sum(job.shortfall * job.spec.gpus for job in jobs)
         elapsed = now - self._gpus_wanted_at
         self._gpus_wanted_at = now
@@ -245,19 +260,19 @@
 
     def drain_s(self) -> float:
         """Estimate how long the waiting work without cards would keep all machines busy."""
-        cpus = sum(m.machine_type.cpus for m in self.ctx.picture.machines.values() if m.usable())
+        cpus = sum(m.machine_type.cpus for m in self.ctx.cluster.machines.values() if m.usable())
         work = sum(
             count * job.spec.cpus * job.estimate_s()
-            for job, count in self.short
+            for job, count in self.unplaced
             if job.spec.gpus <= 0 and not job.endless
         )
         return work / max(cpus, 1.0)
 
-    def _placeable(self, job: Job, unheard: list[Machine], now: Steady) -> bool:
+    def _may_place(self, job: Job, unheard: list[Machine], now: Steady) -> bool:
         if job.cancelled or job.unwritten or now < job.backoff_until:
             # A job's finished batch is written before the job is refilled.
             return False
-        if job.backoff_s and not self._probed(job, now):
+        if job.backoff_s and not self._may_probe(job, now):
             return False
         if job.inherited and any(
             allows(job.spec, m) and fits_machine_type(job.spec, m.machine_type) for m in unheard
@@ -265,39 +280,39 @@
             # Which of its tasks an unheard machine holds can't be known.
             return False
         if job.gang and job.live:
-            return self._mend(job, now)
+            return self._complete_gang(job, now)
         return True
 
-    def _probed(self, job: Job, now: Steady) -> bool:
+    def _may_probe(self, job: Job, now: Steady) -> bool:
         """Tell whether a job that backs off may be placed: one task shows whether it still fails.
 
         Found in a replay: a task was placed in each pass until the first of them had failed.
         """
-        if self.ctx.picture.settle_failures(job, now):
+        if self.ctx.cluster.recovered(job, now):
             return True
         if job.endless:
             return not job.live
-        return job.gang or not self.ctx.picture.probing(job)
+        return job.gang or not self.ctx.cluster.probing(job)
 
-    def _mend(self, job: Job, now: Steady) -> bool:
+    def _complete_gang(self, job: Job, now: Steady) -> bool:
         """See to a gang with some tasks missing; True if they may be replaced.
 
         Before the gang has started, a replacement with the same attempt completes it. Once it
         ran, the attempt is lost: what is left must be gone before the next attempt.
         """
-        holds = self.ctx.picture.holds_of(job)
-        attempts = {held.attempt for held in holds}
+        assignments = self.ctx.cluster.assignments_of(job)
+        attempts = {assignment.attempt for assignment in assignments}
         waiting = all(
-            held.phase not in (RUNNING, SAVING)
-            and not self.ctx.stops.has(held.machine.id, held.task, held.attempt)
-            for held in holds
+            assignment.phase not in (RUNNING, SAVING)
+            and not self.ctx.stops.has(assignment.machine.id, assignment.task, assignment.attempt)
+            for assignment in assignments
         )
         if waiting and len(attempts) == 1 and job.done_count == 0:
             job.gang_attempt = int(attempts.pop())
             return True
         if job.done_count == 0:
-            for held in holds:
-                self.dispatch.stop_hold(held, 0.0, "gang-broken", now)
+            for assignment in assignments:
+                self.dispatch.stop_assignment(assignment, 0.0, "gang-broken", now)
         return False
 
     def _avoid(self, job: Job, machine: Machine) -> bool:
@@ -331,10 +346,10 @@
         for machine, n in batch.parts:
             for index in indices[at : at + n]:
                 attempt = gang_attempt or self._next_attempt()
-                self.ctx.picture.hold(machine, TaskId(job.id, index), attempt, PLANNED, now)
+                self.ctx.cluster.assign(machine, TaskId(job.id, index), attempt, PLANNED, now)
             at += n
-        job.wanting_since = None
-        self.ctx.book.touch(job)
+        job.waiting_since = None
+        self.ctx.job_table.touch(job)
         log.info(
             "event=placed job=%s tasks=%d machines=%s cold=%d short=%d guaranteed=%s age_s=%.1f",
             job.id,
--- a/src/ryewing/preemption.py
+++ b/src/ryewing/preemption.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
+from .cluster_state import SAVING, Assignment
 from .jobs import EPSILON, Job
-from .picture import SAVING, Hold
 from .settings import Team
 from .units import Steady
 
@@ -47,41 +47,41 @@
         )
 
 
-def lost_work(held: Hold, now: Steady) -> float:
+def lost_work(assignment: Assignment, now: Steady) -> float:
     """Estimate the run time lost by stopping a task now, saving if it can."""
-    if held.ran_from is None or held.job is None:
+    if assignment.running_since is None or assignment.job is None:
         return 0.0
-    spec = held.job.spec
-    if held.job.endless:
+    spec = assignment.job.spec
+    if assignment.job.endless:
         return REPLICA_LOSS_S
     if spec.checkpoint_s > 0:
         return spec.save_s
-    return now - held.ran_from
+    return now - assignment.running_since
 
 
-def saving_s(held: Hold) -> float:
+def saving_s(assignment: Assignment) -> float:
     """Tell how long a stopped task goes on, to save; a replica counts as the last to stop."""
-    if held.job is None:
+    if assignment.job is None:
         return 0.0
-    return REPLICA_LOSS_S if held.job.endless else held.job.grace_s
+    return REPLICA_LOSS_S if assignment.job.endless else assignment.job.grace_s
 
 
-def stop_order(held: Hold) -> tuple[bool, int]:
+def stop_order(assignment: Assignment) -> tuple[bool, int]:
     """Order whom to stop first: what ends anyway, and of that the least important."""
-    if held.job is None:
+    if assignment.job is None:
         return False, 0
-    return held.job.endless, -held.job.priority
+    return assignment.job.endless, -assignment.job.priority
 
 
-def may_preempt(job: Job, held: Hold) -> bool:
+def may_preempt(job: Job, assignment: Assignment) -> bool:
     """Tell whether this task may be stopped for the job.
 
     Guaranteed work gives way to nobody: otherwise a borrower of higher rank and the owner of a
     guarantee could stop each other by turns. Gangs of several tasks are left alone: stopping
     one task of them loses the whole gang.
     """
-    other = held.job
-    if other is None or other.guaranteed or held.phase == SAVING:
+    other = assignment.job
+    if other is None or other.guaranteed or assignment.phase == SAVING:
         return False
     if other.gang and other.spec.task_count > 1:
         return False
--- a/src/ryewing/queueing.py
+++ b/src/ryewing/queueing.py
@@ -175,14 +175,14 @@
     times: dict[Job, tuple[WallTime, ...]] = {}
     # A gang that lacks members keeps all its other places waiting: found on an overloaded day,
     # where others took the room of each that gave up, and the next one had to fetch elsewhere.
-    mending: list[Job] = []
+    incomplete: list[Job] = []
     # Replicas that don't run are missed at every moment, and take little: each rank begins with
     # them, and those of the highest rank go before guarantees. They are no load on what comes
     # after, since a place that is taken for good is no matter of time.
     serving: list[Job] = []
     for job in jobs:
         if job.gang and job.live:
-            mending.append(job)
+            incomplete.append(job)
             continue
         if job.endless and job.priority == 0:
             serving.append(job)
@@ -191,7 +191,7 @@
         key = (not job.guaranteed, job.priority, job.spec.gpus <= 0)
         groups.setdefault(key, []).append(job)
     result = sorted(serving, key=lambda job: (job.accepted_at, job.id))
-    result.extend(sorted(mending, key=lambda job: (job.priority, job.accepted_at, job.id)))
+    result.extend(sorted(incomplete, key=lambda job: (job.priority, job.accepted_at, job.id)))
     before = {False: 0.0, True: 0.0}
     for key in sorted(groups):
         without_gpus = key[2]
--- a/src/ryewing/renter.py
+++ b/src/ryewing/renter.py
@@ -12,8 +12,8 @@
 
 from . import catalogue, fleet
 from .cloud import RELEASE_MAX, RENT_MAX, Cloud, CloudDown, NoCapacity
+from .cluster_state import Machine
 from .dispatch import Dispatch
-from .picture import Machine
 from .placer import Placer
 from .settings import parse_address
 from .store import Put, StoreDown
@@ -46,7 +46,7 @@
         self.dispatch = dispatch
         self.placer = placer
         self.cloud = Cloud(parse_address(ctx.settings.endpoints.cloud), ctx.settings.params.cloud)
-        self.shelf = fleet.Shelf()
+        self.capacity_backoff = fleet.CapacityBackoff()
         self.pending_requests: dict[str, RentalRequest] = {}
         self._requests = 0
         self._listed_at = Steady(-1e9)
@@ -91,7 +91,7 @@
             return
         self._retire()
         returned = fleet.to_return(
-            self.ctx.picture.machines.values(), self.placer.short, self.ctx.policy, steady_now()
+            self.ctx.cluster.machines.values(), self.placer.unplaced, self.ctx.policy, steady_now()
         )
         if returned:
             self.release([(machine, "idle") for machine in returned])
@@ -99,7 +99,7 @@
 
     def _retire(self) -> None:
         """Bring the machines that take no more work to what the cards wanted ask for."""
-        machines = self.ctx.picture.machines.values()
+        machines = self.ctx.cluster.machines.values()
         wanted = fleet.to_retire(
             machines, self.placer.gpus_wanted, self.placer.drain_s(), self.ctx.policy
         )
@@ -125,7 +125,7 @@
         result: list[tuple[Machine, str]] = []
         late = known = 0
         late_s = LATE_AFTER * self.ctx.settings.params.workers.report_s
-        for machine in self.ctx.picture.machines.values():
+        for machine in self.ctx.cluster.machines.values():
             since = machine.heard_at
             if since is None:
                 if machine.recorded:
@@ -144,7 +144,10 @@
                 patience = min(patience, self.ctx.policy.gather_s + UNHEARD_EXTRA_S)
             if now - since > patience:
                 silent.append(machine)
-            elif machine.unheeding_since is not None and now - machine.unheeding_since > lease_s:
+            elif (
+                machine.unacknowledged_since is not None
+                and now - machine.unacknowledged_since > lease_s
+            ):
                 unheeding.append(machine)
         # Judged by those that are late by one report, not by those silent for long: when all
         # fall silent, their last reports lie an interval apart.
@@ -184,9 +187,9 @@
                 machine.machine_type.name,
                 machine.spot,
                 why,
-                len(machine.holds),
+                len(machine.assignments),
             )
-            self.ctx.picture.remove(machine, now)
+            self.ctx.cluster.remove(machine, now)
             if machine.address:
                 self.dispatch.workers.forget(machine.address)
             self.writer.to_record.discard(machine.id)
@@ -217,9 +220,9 @@
             found.add(name)
             if name in self.ctx.released:
                 continue
-            machine = self.ctx.picture.machines.get(name)
+            machine = self.ctx.cluster.machines.get(name)
             if machine is None:
-                machine = self.ctx.picture.add(
+                machine = self.ctx.cluster.add(
                     name,
                     self.ctx.machine_type(listed.machine_type),
                     Zone(listed.zone),
@@ -247,7 +250,7 @@
         before it, so two have to agree.
         """
         for name in list(self._only_listed):
-            machine = self.ctx.picture.machines.get(name)
+            machine = self.ctx.cluster.machines.get(name)
             if machine is None or machine.heard_at is not None or machine.recorded:
                 del self._only_listed[name]
             elif name in found:
@@ -256,29 +259,34 @@
                 self._only_listed[name] += 1
                 if self._only_listed[name] >= UNLISTED_TWICE:
                     del self._only_listed[name]
-                    self.ctx.picture.remove(machine, steady_now())
+                    self.ctx.cluster.remove(machine, steady_now())
 
     def rent(self) -> None:
         """Ask for what is short, beyond what is booting."""
         now = steady_now()
         booting = [
             m
-            for m in self.ctx.picture.machines.values()
+            for m in self.ctx.cluster.machines.values()
             if not m.leaving
-            and not m.holds
+            and not m.assignments
             and not m.quarantined
             and not m.usable()
-            and m.unheeding_since is None
+            and m.unacknowledged_since is None
             and not m.retiring
             and m.notice_s is None
         ]
-        for wish in fleet.wishes(
-            self.placer.short, booting, self.ctx.machine_types, self.shelf, self.ctx.policy, now
+        for plan in fleet.plan_rentals(
+            self.placer.unplaced,
+            booting,
+            self.ctx.machine_types,
+            self.capacity_backoff,
+            self.ctx.policy,
+            now,
         )[:2]:
-            sku, zone, spot = wish.options[0]
+            sku, zone, spot = plan.options[0]
             self._requests += 1
             request = RentalRequest(
-                f"r-{self.ctx.term}-{self._requests}", sku, zone, spot, min(RENT_MAX, wish.count)
+                f"r-{self.ctx.term}-{self._requests}", sku, zone, spot, min(RENT_MAX, plan.count)
             )
             # The wish is recorded first: a successor repeats it under the same name and learns
             # what was rented, instead of renting again.
@@ -300,14 +308,14 @@
             names = self.cloud.rent(request)
         except NoCapacity:
             log.info("event=no-capacity flavour=%s site=%s spot=%s", *option)
-            self.shelf.refused(option, steady_now())
+            self.capacity_backoff.refused(option, steady_now())
             names = []
         now = steady_now()
         if names:
             if len(names) < request.count:
-                self.shelf.refused(option, now)
+                self.capacity_backoff.refused(option, now)
             else:
-                self.shelf.got(option)
+                self.capacity_backoff.granted(option)
             log.info(
                 "event=rented count=%d asked=%d flavour=%s site=%s spot=%s hire=%s",
                 len(names),
@@ -316,7 +324,7 @@
                 request.id,
             )
         for name in names:
-            machine = self.ctx.picture.add(
+            machine = self.ctx.cluster.add(
                 name,
                 self.ctx.machine_type(request.machine_type),
                 Zone(request.zone),
--- a/src/ryewing/store.py
+++ b/src/ryewing/store.py
@@ -127,7 +127,7 @@
             raise StoreDown(str(reply.status))
         return reply
 
-    def _ask(self, method: str, path: str, body: bytes | None = None) -> Reply:
+    def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
         relay = self.relay
         if relay is None:
             return self.raw(method, path, body)
@@ -168,7 +168,7 @@
 
     def get(self, key: str) -> Entry | None:
         """Read one key."""
-        reply = self._ask("GET", f"/store/{quote(key)}")
+        reply = self._request("GET", f"/store/{quote(key)}")
         if reply.status == 404:
             return None
         return _decode(reply, Entry)
@@ -180,7 +180,7 @@
             path = f"/store?starts={quote(prefix)}&page=1000"
             if since:
                 path += f"&since={quote(since)}"
-            page = _decode(self._ask("GET", path), EntryPage)
+            page = _decode(self._request("GET", path), EntryPage)
             yield page
             if not page.has_next or not page.entries:
                 return
@@ -207,7 +207,7 @@
                 "writes": [write.encode() for write in writes],
             }
         )
-        reply = self._ask("POST", "/txn", body)
+        reply = self._request("POST", "/txn", body)
         if reply.status == 400 and b"lease" in reply.body:
             raise LeaseLost(reply.body.decode("utf-8", "replace"))
         if reply.status == 400:
--- a/src/ryewing/term.py
+++ b/src/ryewing/term.py
@@ -11,9 +11,9 @@
 
 from gevent.event import Event
 
-from .jobs import Book
+from .cluster_state import ClusterState
+from .jobs import JobTable
 from .leadership import Leadership
-from .picture import Picture
 from .policy import Policy
 from .settings import Settings
 from .stops import Stops
@@ -40,9 +40,11 @@
         self.leadership = leadership
         self.term = leadership.term
         self.authority = leadership.authority
-        self.book = Book()
+        self.job_table = JobTable()
         self.stops = Stops()
-        self.picture = Picture(self.term, settings.params.workers.lease_s, self.book, self.stops)
+        self.cluster = ClusterState(
+            self.term, settings.params.workers.lease_s, self.job_table, self.stops
+        )
         self.machine_types: dict[str, MachineType] = {}
         self.teams = {team.name: team for team in settings.params.teams}
         self.released: OrderedDict[MachineId, None] = OrderedDict()
@@ -74,7 +76,7 @@
         """Take up the machine types, and what they change about the machines known."""
         self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
         self._on_machine_types(self.machine_types)
-        for machine in self.picture.machines.values():
+        for machine in self.cluster.machines.values():
             new = self.machine_types.get(machine.machine_type.name)
             if new is not None:
                 old = machine.machine_type
--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -36,8 +36,8 @@
 
 _JOB_ID = re.compile(r"run-[0-9]{1,18}")
 _ATTEMPT_BITS = 24
-_NUDGE_BITS = 20
-NUDGES_MAX = (1 << _NUDGE_BITS) - 1
+_TOKEN_BUMP_BITS = 20
+MAX_TOKEN_BUMPS = (1 << _TOKEN_BUMP_BITS) - 1
 
 
 class TaskId(NamedTuple):
@@ -88,16 +88,16 @@
     return Attempt((int(term) << _ATTEMPT_BITS) | counter)
 
 
-def token_of(term: Term, nudges: int = 0) -> Token:
+def token_of(term: Term, token_bumps: int = 0) -> Token:
     """Make a token: any of a later term is higher than all of an earlier one."""
-    return Token((int(term) << _NUDGE_BITS) | min(nudges, NUDGES_MAX))
+    return Token((int(term) << _TOKEN_BUMP_BITS) | min(token_bumps, MAX_TOKEN_BUMPS))
 
 
 def term_of(token: int) -> Term:
     """Tell whose token it is."""
-    return Term(token >> _NUDGE_BITS)
+    return Term(token >> _TOKEN_BUMP_BITS)
 
 
-def nudges_of(token: int) -> int:
+def token_bumps_of(token: int) -> int:
     """Tell how often the worker was nudged under the token's term."""
-    return token & NUDGES_MAX
+    return token & MAX_TOKEN_BUMPS
--- a/src/ryewing/writer.py
+++ b/src/ryewing/writer.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from .budget import Budget
+from .cluster_state import Machine
 from .jobs import (
     CANCELLED,
     CHUNK,
@@ -26,8 +27,7 @@
     final_key,
     live_key,
 )
-from .packed import Packed
-from .picture import Machine
+from .paged_records import PagedRecords
 from .store import Put, Rejected, Remove, StoreDown, readable
 from .term import TermContext
 from .units import JobId, KeyVersion, MachineId, Revision, Steady, steady_now
@@ -102,8 +102,8 @@
         # No notice comes of limits that fall: what is written keeps to the stricter ones.
         limits = ctx.settings.params.state.strictest()
         value_kb = limits.value_kb
-        self.machines = Packed(MACHINE_PREFIX, value_kb)
-        self.finishes = Packed(DONE_PREFIX, value_kb)
+        self.machines = PagedRecords(MACHINE_PREFIX, value_kb)
+        self.finishes = PagedRecords(DONE_PREFIX, value_kb)
         self.to_record: set[MachineId] = set()
         self.to_forget: OrderedDict[str, None] = OrderedDict()
         self.final_pending: set[JobId] = set()
@@ -114,7 +114,7 @@
         self._on_record = on_record
         self._ops_max = self._ops_allowed = limits.txn_ops
         """How many changes a transaction may hold, and how many are known to be too many."""
-        self._aside: dict[str, Steady] = {}
+        self._set_aside: dict[str, Steady] = {}
         """Keys that the store would not take, and until when it isn't asked again."""
         # Some of the write rate is left to renewals and to accepting submissions.
         self._budget = Budget(0.65 * limits.write_rps, 0.65 * limits.write_rps)
@@ -141,7 +141,7 @@
         """Name what the store lacks, the most urgent first."""
         recorded: dict[int, list[tuple[Machine, bool]]] = {}
         for name in list(self.to_record):
-            machine = self.ctx.picture.machines.get(name)
+            machine = self.ctx.cluster.machines.get(name)
             if machine is None:
                 self.to_record.discard(name)
                 continue
@@ -162,10 +162,10 @@
             if self.machines.lacks(number)
         ]
         finished: dict[int, list[tuple[Job, set[int]]]] = {}
-        for job_id in list(self.ctx.book.dirty):
-            job = self.ctx.book.jobs[job_id]
+        for job_id in list(self.ctx.job_table.dirty):
+            job = self.ctx.job_table.jobs[job_id]
             if job.cancelled:
-                if not job.live and not any(True for _ in self.ctx.picture.unheard()):
+                if not job.live and not any(True for _ in self.ctx.cluster.unheard()):
                     writes.append(self._final(job, CANCELLED))
             elif job.complete:
                 writes.append(self._final(job, DONE))
@@ -192,7 +192,7 @@
             writes.append(_Write([Remove(key)], key, {}, self._forget(key)))
         return writes
 
-    def _packed(self, packed: Packed, number: int, done: Callable[[], None]) -> _Write:
+    def _packed(self, packed: PagedRecords, number: int, done: Callable[[], None]) -> _Write:
         change = packed.change(number, self._ops_max, TXN_BYTES)
 
         def written(revision: Revision) -> None:
@@ -225,7 +225,7 @@
     def write_once(self) -> bool:
         """Write one transaction; True if more is wanted."""
         now = steady_now()
-        wanted = [w for w in self._wanted_writes() if self._aside.get(w.key, now) <= now]
+        wanted = [w for w in self._wanted_writes() if self._set_aside.get(w.key, now) <= now]
         if not wanted:
             return False
         chosen: list[_Write] = []
@@ -290,7 +290,7 @@
             return
         self._ops_max = self._ops_allowed
         if not chosen[0].refused():
-            self._aside[chosen[0].key] = Steady(now + ASIDE_S)
+            self._set_aside[chosen[0].key] = Steady(now + ASIDE_S)
 
     def _forget(self, key: str) -> Callable[[Revision], None]:
         return lambda _epoch: self.to_forget.pop(key, None)
@@ -311,7 +311,7 @@
         """The store has no live record of the job any more."""
         self._unanswered.discard(job.id)
         self.final_pending.discard(job.id)
-        self.ctx.book.drop(job)
+        self.ctx.job_table.drop(job)
 
     def _recorded(self, machines: list[tuple[Machine, bool]]) -> None:
         for machine, heard in machines:
@@ -323,7 +323,7 @@
     def _finishes_written(self, jobs: list[tuple[Job, set[int]]]) -> None:
         for job, indices in jobs:
             job.unwritten -= indices
-            self.ctx.book.touch(job)
+            self.ctx.job_table.touch(job)
         self.ctx.place.set()
 
     def _finalised(self, job: Job, status: str) -> None:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -33,7 +33,7 @@
 from ryewing.cloud import CloudDown
 from ryewing.leader import Leader
 from ryewing.leadership import may_campaign, read_view
-from ryewing.mesh import Answer, Ask, PeerSilent
+from ryewing.mesh import PeerSilent, Request, Response
 from ryewing.node import Node
 from ryewing.policy import defaults
 from ryewing.settings import Settings
@@ -144,9 +144,9 @@
 
     def catch_up(self) -> None:
         """Carry out what got no answer."""
-        held, self._held = self._held, []
+        assignment, self._held = self._held, []
         self.late = False
-        for conditions, writes in held:
+        for conditions, writes in assignment:
             self._store.txn(conditions, writes)
 
     def grant(self, ttl_s: float) -> int:
@@ -183,18 +183,18 @@
         self._cluster = cluster
         self._here, self._there = here, there
 
-    def ask(self, ask: Ask, _deadline_s: float) -> Answer:
+    def request(self, ask: Request, _deadline_s: float) -> Response:
         cluster = self._cluster
         if frozenset((self._here, self._there)) in cluster.cut or self._there in cluster.dead:
             raise PeerSilent("cut")
         if self._there in cluster.frozen or self._here in cluster.frozen:
             raise PeerSilent("deadline")
-        sent = msgspec.msgpack.decode(msgspec.msgpack.encode(ask), type=Ask)
+        sent = msgspec.msgpack.decode(msgspec.msgpack.encode(ask), type=Request)
         answer = cluster.nodes[self._there]._on_mesh(sent)
         interrupt = cluster.before_peer_answer.pop(self._there, None)
         if interrupt is not None:
             interrupt()
-        return msgspec.msgpack.decode(msgspec.msgpack.encode(answer), type=Answer)
+        return msgspec.msgpack.decode(msgspec.msgpack.encode(answer), type=Response)
 
 
 class TimedWorker(FakeWorker):
@@ -457,12 +457,12 @@
             self.store.tend()
             for name, node in self.nodes.items():
                 if name not in self.dead | self.frozen:
-                    self._step(name, node)
+                    self._probe_failed(name, node)
             for worker in list(self.workers.values()):
                 worker.tend()
             self.referee.look()
 
-    def _step(self, name: str, node: Node) -> None:
+    def _probe_failed(self, name: str, node: Node) -> None:
         if node.leader is None:
             self._follow(node)
         leader = node.leader
@@ -494,7 +494,7 @@
         leader.ctx.loaded.set()
         if self.after_load is not None:
             self.after_load()
-        for machine in leader.ctx.picture.machines.values():
+        for machine in leader.ctx.cluster.machines.values():
             if machine.address:
                 leader.dispatch.send_soon(machine)
         return True
@@ -566,15 +566,15 @@
         wanted = job_spec(ref, **{"task_count": 1, **changes})
         self.referee.runs.setdefault(ref, wanted)
         body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
-        return self._told(node, ref, "POST", "/v2/runs", body)
+        return self._with_final_state(node, ref, "POST", "/v2/runs", body)
 
     def poll(self, node: str, ref: str = "run-1") -> int:
         """A user asks."""
-        return self._told(node, ref, "GET", f"/v2/runs/{ref}")
+        return self._with_final_state(node, ref, "GET", f"/v2/runs/{ref}")
 
     def cancel(self, node: str, ref: str = "run-1") -> int:
         """A user cancels."""
-        return self._told(node, ref, "POST", f"/v2/runs/{ref}/cancel")
+        return self._with_final_state(node, ref, "POST", f"/v2/runs/{ref}/cancel")
 
     def ask_all(self, ref: str = "run-1") -> None:
         """Users ask at all controllers, and repeat the submission there."""
@@ -588,7 +588,9 @@
         self.referee.look()
         worker.next_report = self.clock()
 
-    def _told(self, node: str, ref: str, method: str, path: str, body: bytes = b"") -> int:
+    def _with_final_state(
+        self, node: str, ref: str, method: str, path: str, body: bytes = b""
+    ) -> int:
         assert is_job_id(ref)
         if node in self.dead | self.frozen:
             return 0
@@ -626,20 +628,20 @@
         leader = self.nodes[self.leader_name].leader
         assert leader is not None
         found = []
-        for job in leader.ctx.book:
+        for job in leader.ctx.job_table:
             if job.shortfall <= 0 or job.backoff_s:
                 continue
             need = job.spec
             limit = leader.ctx.teams[need.team].gpus_max
             used = sum(
-                leader.ctx.book.jobs[task.job].spec.gpus
+                leader.ctx.job_table.jobs[task.job].spec.gpus
                 for worker in self.workers.values()
                 for task in (parse_task(reported) for reported, _ in worker.tasks)
-                if task is not None and task.job in leader.ctx.book.jobs
+                if task is not None and task.job in leader.ctx.job_table.jobs
             )
             if limit and used + need.gpus > limit:
                 continue
-            for machine in leader.ctx.picture.machines.values():
+            for machine in leader.ctx.cluster.machines.values():
                 if (
                     machine.id in self.workers
                     and self.workers[machine.id].tasks == {}
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -148,9 +148,9 @@
         assert self.leader.placer.ready_to_place()
         self.leader.placer.run_pass()
 
-    def holds(self, name: str = "i-000001") -> dict[str, str]:
-        machine = self.leader.ctx.picture.machines[MachineId(name)]
-        return {str(task): held.phase for task, held in machine.holds.items()}
+    def assignments(self, name: str = "i-000001") -> dict[str, str]:
+        machine = self.leader.ctx.cluster.machines[MachineId(name)]
+        return {str(task): assignment.phase for task, assignment in machine.assignments.items()}
 
 
 def starts(commands: list[Command]) -> list[str]:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -52,10 +52,10 @@
     def known_machine_types(self) -> dict[str, Any]:
         return self.machine_types
 
-    def ask_leader(self, job: JobId) -> JobStatus | None:
+    def query_leader(self, job: JobId) -> JobStatus | None:
         return self.remote.get(job)
 
-    def tell_cancel(self, _job: JobId) -> bool:
+    def announce_cancel(self, _job: JobId) -> bool:
         return self.leader_knows
 
     def foreign_leader(self) -> str | None:
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -13,12 +13,12 @@
 from test_pure import FLAVOURS, T0, TEAMS, World, order_of, spread_of
 
 from ryewing import placement, queueing
-from ryewing.fleet import Shelf, to_retire, wishes
+from ryewing.capacity import MachineCapacity, Quota
+from ryewing.cluster_state import RAN_WELL_S, RUNNING, Assignment, Machine
+from ryewing.fleet import CapacityBackoff, plan_rentals, to_retire
 from ryewing.jobs import final_key, impossible
-from ryewing.picture import RAN_WELL_S, RUNNING, Hold, Machine
-from ryewing.placement import SOON_S
+from ryewing.placement import SHORT_WAIT_S
 from ryewing.placer import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
-from ryewing.rooms import Quota, Room
 from ryewing.settings import Objective
 from ryewing.store import Put
 from ryewing.units import Attempt, JobId, MachineId, Steady, TaskId, WallTime, Zone
@@ -64,7 +64,7 @@
 
 
 def replicas(stage: Stage, name: JobId) -> dict[int, str]:
-    return dict(stage.leader.ctx.book.jobs[name].live)
+    return dict(stage.leader.ctx.job_table.jobs[name].live)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "killed"])
@@ -73,7 +73,7 @@
     stage.ready(one, other)
     name = serve(stage, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
-    assert stage.leader.poll(name) == stage.leader.ctx.book.jobs[name].status()
+    assert stage.leader.poll(name) == stage.leader.ctx.job_table.jobs[name].status()
     stage.later(RAN_WELL_S + 1)
     for worker in (one, other):
         if worker.tasks:
@@ -112,7 +112,7 @@
     name = stage.accept(**SERVICE, task_count=2)
     stage.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
     leader = stage.new_leader(6)
-    assert leader.ctx.book.jobs[name].shortfall == 2
+    assert leader.ctx.job_table.jobs[name].shortfall == 2
     stage.write()
     assert stage.store.get(final_key(name)) is None and not stage.finals
 
@@ -128,7 +128,7 @@
     workers = [stage.worker(f"i-{n:06d}") for n in range(8)]
     stage.ready(*workers)
     name = stage.accept(**SERVICE, task_count=6)
-    service = stage.leader.ctx.book.jobs[name]
+    service = stage.leader.ctx.job_table.jobs[name]
     begun = 0
     for _ in range(200):
         stage.place()
@@ -139,7 +139,7 @@
         stage.later(1.0)
     assert service.backoff_s == 60.0
     assert begun < 60
-    assert not any(m.faults or m.quarantined for m in stage.leader.ctx.picture.machines.values())
+    assert not any(m.faults or m.quarantined for m in stage.leader.ctx.cluster.machines.values())
     stage.later(61.0)
     for worker in workers * 2:
         stage.exchange(worker)
@@ -162,7 +162,7 @@
     workers = [stage.worker(f"i-{n:06d}") for n in range(6)]
     stage.ready(*workers)
     name = serve(stage, *workers, task_count=32, cpus=8.0)
-    service = stage.leader.ctx.book.jobs[name]
+    service = stage.leader.ctx.job_table.jobs[name]
     assert len(set(service.live.values())) == 6
     stage.later(RAN_WELL_S + 1)
     for worker in workers:
@@ -175,8 +175,8 @@
             stage.exchange(bad)
             stage.exchange(bad)
     assert not service.backoff_s
-    picture = stage.leader.ctx.picture
-    assert picture.machines[MachineId(workers[0].name)].faults
+    cluster = stage.leader.ctx.cluster
+    assert cluster.machines[MachineId(workers[0].name)].faults
 
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(stage: Stage) -> None:
@@ -230,7 +230,7 @@
     service = world.job("run-1", **{**SERVICE, "image_gb": 40.0, "task_count": 3})
     batch = world.job("run-2", image_gb=40.0, task_count=40, estimated_s=10.0)
     warm = world.machine("i-9")
-    warm.note_image("img-1", 40.0)
+    warm.record_image("img-1", 40.0)
     world.put(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     found = world.plan(service, batch)
     assert sum(n for b in found.batches if b.job is service for _machine, n in b.parts) == 3
@@ -243,7 +243,7 @@
     world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
     gang = world.job("run-1", shape="group", task_count=1, cpus=32.0, priority="standard")
     plan = placement.Pass(
-        [Room(machine)],
+        [MachineCapacity(machine)],
         Quota(TEAMS, {}, {}),
         Steady(T0 + 200),
         random.Random(1),
@@ -255,10 +255,10 @@
 def test_a_service_that_waited_long_begins_whole() -> None:
     """Of an overdue array a tenth begins at once, and the rest comes by the order."""
     world = World()
-    world.machine("i-1").note_image("img-1", 2.0)
+    world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
     found = placement.Pass(
-        [Room(m) for m in world.picture.machines.values()],
+        [MachineCapacity(m) for m in world.cluster.machines.values()],
         Quota(TEAMS, {}, {}),
         Steady(T0 + 200),
         random.Random(1),
@@ -276,17 +276,17 @@
 ) -> None:
     """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
     short = [(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
-    found = wishes(short, [], FLAVOURS, Shelf(), policy(), T0)
-    assert sum(wish.count for wish in found) == expected
-    assert len({wish.options[0][1] for wish in found}) == (2 if spread and tasks > 1 else 1)
+    found = plan_rentals(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    assert sum(plan.count for plan in found) == expected
+    assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
 
 
 def test_nothing_is_rented_for_a_replica_in_a_zone_that_is_full_of_them() -> None:
     one = job(**{**SERVICE, "task_count": 4, "spread": True})
     one.zones[Zone("a")] = 2
     one.live = dict.fromkeys((0, 1), MachineId("i-1"))
-    [wish] = wishes([(one, 2)], [], FLAVOURS, Shelf(), policy(), T0)
-    assert wish.options[0][1] != "a" and all(option[1] != "a" for option in wish.options)
+    [plan] = plan_rentals([(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    assert plan.options[0][1] != "a" and all(option[1] != "a" for option in plan.options)
 
 
 # -- where replicas go --------------------------------------------------------------------------
@@ -295,13 +295,13 @@
 def test_lesser_work_is_stopped_where_the_image_is_rather_than_fetching_elsewhere() -> None:
     world = World()
     warm = world.machine("i-1")
-    warm.note_image("img-1", 2.0)
+    warm.record_image("img-1", 2.0)
     world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")  # ten seconds for the image
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert not found.batches and len(found.stops) == 1
     quick = World()
-    quick.machine("i-1").note_image("img-1", 2.0)
+    quick.machine("i-1").record_image("img-1", 2.0)
     assert spread_of(quick.plan(quick.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
 
 
@@ -309,15 +309,15 @@
     """Found in an incident: a task that saved for five seconds had least to lose."""
     world = World()
     warm = world.machine("i-1")
-    warm.note_image("img-1", 2.0)
+    warm.record_image("img-1", 2.0)
     saves = world.job("run-8", task_count=4, image="img-9", checkpoint_s=10.0, save_s=5.0)
     world.put(saves, warm, 4)
     world.put(world.job("run-9", task_count=4, image="img-9"), warm, 4)
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
-    assert [held.task.job for held in found.stops] == ["run-9"]
+    assert [assignment.task.job for assignment in found.stops] == ["run-9"]
     only = World()
     slow = only.machine("i-1")
-    slow.note_image("img-1", 2.0)
+    slow.record_image("img-1", 2.0)
     only.put(only.job("run-8", task_count=8, checkpoint_s=10.0, save_s=9.0, image="img-9"), slow, 8)
     only.machine("i-2")  # ten seconds for the image: no later than the save
     small = only.job("run-1", **{**SERVICE, "image_gb": 1.0}, task_count=1)
@@ -328,7 +328,7 @@
     """One machine held most of a small site's replicas, and died."""
     world = World()
     for name in ("i-1", "i-2", "i-3"):
-        world.machine(name).note_image("img-1", 2.0)
+        world.machine(name).record_image("img-1", 2.0)
     for n in range(3):
         world.put(world.job(f"run-{n}", **SERVICE, task_count=2), world.machine("i-1"), 2)
     found = world.plan(world.job("run-9", **SERVICE, task_count=2))
@@ -338,10 +338,10 @@
 def test_a_fetch_that_is_soon_over_is_not_worth_stopping_anything() -> None:
     world = World()
     warm = world.machine("i-1")
-    warm.note_image("img-1", 2.0)
+    warm.record_image("img-1", 2.0)
     world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")
-    tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SOON_S - 0.5)}, task_count=1)
+    tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SHORT_WAIT_S - 0.5)}, task_count=1)
     found = world.plan(tiny)
     assert spread_of(found) == {"i-2": 1} and not found.stops
 
@@ -362,7 +362,7 @@
 def test_the_worker_that_reports_soonest_gets_the_start() -> None:
     world = World()
     for name in ("i-1", "i-2", "i-3"):
-        world.machine(name).note_image("img-1", 2.0)
+        world.machine(name).record_image("img-1", 2.0)
     waits = {"i-1": 2.6, "i-2": 0.4, "i-3": 1.8}
     found = world.plan(
         world.job("run-1", **SERVICE, task_count=1), report_in=lambda m: waits[str(m.id)]
@@ -374,7 +374,7 @@
     """The third beside a task of 30 processors of 32 keeps such tasks off a machine for good."""
     world = World()
     for name in ("i-1", "i-2"):
-        world.machine(name).note_image("img-1", 2.0)
+        world.machine(name).record_image("img-1", 2.0)
     large = job_spec("run-7", cpus=30.0, memory_gb=8.0)
     found = world.plan(world.job("run-1", **SERVICE, task_count=4), kinds=(large,))
     assert spread_of(found) == {"i-1": 2, "i-2": 2}
@@ -399,7 +399,7 @@
     """Beside two gang tasks there was room for two replicas: half of all had to fetch anew."""
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
-    warm.note_image("img-1", 2.0)
+    warm.record_image("img-1", 2.0)
     world.put(world.job("run-9", **{**SERVICE, "image": "img-9"}, task_count=1), cold, 1)
     large = job_spec("run-7", cpus=large_vcpus, memory_gb=8.0)
     assert cold.warmth("img-1") != warm.warmth("img-1")
@@ -419,11 +419,11 @@
             for machine, count in batch.parts:
                 for index in service.take(count):
                     task = TaskId(service.id, index)
-                    world.picture.hold(machine, task, Attempt(1), RUNNING, T0)
+                    world.cluster.assign(machine, task, Attempt(1), RUNNING, T0)
         assert max(service.zones.values()) <= (tasks + 1) // 2
         assert not service.shortfall
-        lost = rng.choice([m for m in world.picture.machines.values() if m.holds])
-        world.picture.drop(rng.choice(list(lost.holds.values())), T0)
+        lost = rng.choice([m for m in world.cluster.machines.values() if m.assignments])
+        world.cluster.drop(rng.choice(list(lost.assignments.values())), T0)
 
 
 @pytest.mark.parametrize("priority", ["urgent", "standard"])
@@ -434,16 +434,18 @@
     world.put(service, machine, 1)
     world.put(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
     found = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
-    assert [held.task.job for held in found.stops] == ["run-9"]
+    assert [assignment.task.job for assignment in found.stops] == ["run-9"]
     better = World()
     there = better.machine("i-1")
     lowest = better.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
     better.put(lowest, there, 1)
     better.put(better.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
     found = better.plan(better.job("run-1", priority="production", cpus=16.0, task_count=1))
-    assert [held.task.job for held in found.stops] == ["run-9"]  # though it is of a higher rank
+    assert [assignment.task.job for assignment in found.stops] == [
+        "run-9"
+    ]  # though it is of a higher rank
     both = world.plan(world.job("run-2", priority=priority, cpus=32.0, task_count=1))
-    assert {held.task.job for held in both.stops} == {"run-8", "run-9"}
+    assert {assignment.task.job for assignment in both.stops} == {"run-8", "run-9"}
 
 
 def test_lesser_work_stops_no_replica_of_a_higher_rank() -> None:
@@ -459,9 +461,9 @@
 # -- moves --------------------------------------------------------------------------------------
 
 
-def going(world: World, why: str) -> tuple[Machine, Hold]:
+def going(world: World, why: str) -> tuple[Machine, Assignment]:
     machine = world.machine("i-1", GPU if why == "unwanted" else CPU)
-    machine.note_image("img-1", 2.0)
+    machine.record_image("img-1", 2.0)
     world.put(world.job("run-1", **SERVICE, task_count=1), machine, 1)
     if why == "notice":
         machine.notice_s = 10.0
@@ -469,7 +471,7 @@
         machine.quarantined = True
     else:
         machine.retiring = True
-    return machine, next(iter(machine.holds.values()))
+    return machine, next(iter(machine.assignments.values()))
 
 
 @pytest.mark.parametrize(
@@ -491,16 +493,16 @@
     why: str, elsewhere: str, moved: bool, stops: int
 ) -> None:
     world = World()
-    _machine, held = going(world, why)
+    _machine, assignment = going(world, why)
     if elsewhere != "none":
         expensive = msgspec.structs.replace(GPU, price=99.0)
         there = world.machine("i-2", expensive if elsewhere == "gpus" else CPU)
         if elsewhere != "cold":
-            there.note_image("img-1", 2.0)
+            there.record_image("img-1", 2.0)
         if elsewhere == "full":
             world.put(world.job("run-9", task_count=8, image="img-9"), there, 8)
-    found = world.plan(moving=[held])
-    assert (found.moves == [held]) is moved and len(found.stops) == stops
+    found = world.plan(moving=[assignment])
+    assert (found.moves == [assignment]) is moved and len(found.stops) == stops
     assert not found.batches
 
 
@@ -511,10 +513,10 @@
     world.put(service, here, 1)
     world.put(service, world.machine("i-2", zone="b"), 1)
     here.notice_s = 10.0
-    held = next(iter(here.holds.values()))
-    assert not world.plan(moving=[held]).moves  # only zone b has room, and it has its half
+    assignment = next(iter(here.assignments.values()))
+    assert not world.plan(moving=[assignment]).moves  # only zone b has room, and it has its half
     world.machine("i-3", zone="a")
-    assert world.plan(moving=[held]).moves == [held]
+    assert world.plan(moving=[assignment]).moves == [assignment]
 
 
 def test_a_machine_about_to_go_hands_its_replica_on(stage: Stage) -> None:
@@ -545,10 +547,10 @@
     stage.leader.ctx.began = Steady(stage.clock() - 10_000.0)
     plain = stage.worker("i-000009")
     stage.ready(plain)
-    picture = stage.leader.ctx.picture
-    picture.machines[MachineId(plain.name)].note_image("img-s", 2.0)
+    cluster = stage.leader.ctx.cluster
+    cluster.machines[MachineId(plain.name)].record_image("img-s", 2.0)
     for worker in dear:
-        machine = picture.machines[MachineId(worker.name)]
+        machine = cluster.machines[MachineId(worker.name)]
         machine.retiring, machine.retiring_since = True, stage.clock()
 
     def moved(after_s: float) -> int:
@@ -637,7 +639,7 @@
     worker = stage.ready_worker()
     sent: list[MachineId] = []
     stage.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     stage.later(2.4)
     stage.accept("run-8")
     stage.place()
@@ -651,13 +653,13 @@
     """A nudge brings a report in half a second; not while a response is under way, nor twice."""
     worker = stage.ready_worker()
     dispatch = stage.leader.dispatch
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert dispatch.report_in(machine, stage.clock()) == 0.5
     stage.begin(worker, task_count=1)
-    machine.nudged_at = None
+    machine.token_bumped_at = None
     assert dispatch.report_in(machine, stage.clock()) == 3.0
     stage.exchange(worker)
-    machine.nudged_at = stage.clock()
+    machine.token_bumped_at = stage.clock()
     assert dispatch.report_in(machine, Steady(stage.clock() + 1.0)) == 2.0
 
 
@@ -667,7 +669,7 @@
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     stage.exchange(worker)
-    service = stage.leader.ctx.book.jobs[name]
+    service = stage.leader.ctx.job_table.jobs[name]
     assert not service.backoff_s and not service.failed_on
     stage.later(1.5)
     stage.exchange(worker)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -9,9 +9,9 @@
 from stage import Stage
 from standins import FakeWorker
 
+from ryewing.cluster_state import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S, RAN_WELL_S
 from ryewing.jobs import Job
 from ryewing.mesh import ImageHint
-from ryewing.picture import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S, RAN_WELL_S
 from ryewing.units import JobId, MachineId
 
 
@@ -24,7 +24,7 @@
 
 def live_job(stage: Stage, ref: str, **changes: object) -> Job:
     """A job that was accepted."""
-    found = stage.leader.ctx.book.get(stage.accept(ref, **changes))
+    found = stage.leader.ctx.job_table.get(stage.accept(ref, **changes))
     assert found is not None
     return found
 
@@ -49,21 +49,21 @@
 
 def set_aside(stage: Stage) -> list[str]:
     """Name the machines that are thought to be faulty."""
-    return [m.id for m in stage.leader.ctx.picture.machines.values() if m.quarantined]
+    return [m.id for m in stage.leader.ctx.cluster.machines.values() if m.quarantined]
 
 
 def test_a_whole_batch_that_fails_is_one_step(
     stage: Stage, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
-    caplog.set_level(logging.INFO, logger="ryewing.picture")
+    caplog.set_level(logging.INFO, logger="ryewing.cluster_state")
     workers = workers_of(stage, 5)
     job = failed_job(stage, workers)
     assert job.backoff_s == BACKOFF_MIN_S
     lines = [record.getMessage() for record in caplog.records]
     assert sum("event=backed-off" in line for line in lines) == 1
     assert sum("event=task-failed" in line for line in lines) <= len(workers)
-    assert not any(m.faults for m in stage.leader.ctx.picture.machines.values())
+    assert not any(m.faults for m in stage.leader.ctx.cluster.machines.values())
 
 
 def test_what_was_not_sent_yet_need_not_fail_as_well(stage: Stage) -> None:
@@ -72,7 +72,7 @@
     stage.place()
     fail_all(stage, workers[:3])
     assert job.backoff_s and not job.live
-    assert not stage.holds(workers[3].name)
+    assert not stage.assignments(workers[3].name)
 
 
 def test_one_probe_at_a_time_and_a_step_for_each(stage: Stage) -> None:
@@ -124,7 +124,7 @@
     workers = workers_of(stage, 2)
     job = live_job(stage, "run-1", task_count=60)
     job.finish(59)
-    stage.leader.ctx.book.touch(job)
+    stage.leader.ctx.job_table.touch(job)
     stage.write()
     stage.place()
     assert len(set(job.live.values())) == 2
@@ -149,7 +149,9 @@
     for worker in workers:
         stage.exchange(worker)
     stage.place()
-    assert [worker.name for worker in workers if stage.holds(worker.name)] == [workers[3].name]
+    assert [worker.name for worker in workers if stage.assignments(worker.name)] == [
+        workers[3].name
+    ]
 
 
 def test_a_sound_job_that_meets_one_faulty_machine_goes_on(stage: Stage) -> None:
@@ -161,8 +163,8 @@
     assert not job.backoff_s
     for worker in workers * 2:
         stage.exchange(worker)
-    assert sum(len(stage.holds(worker.name)) for worker in workers[1:]) == 24
-    assert not stage.holds(workers[0].name)
+    assert sum(len(stage.assignments(worker.name)) for worker in workers[1:]) == 24
+    assert not stage.assignments(workers[0].name)
 
 
 @pytest.mark.parametrize("sound", [True, False])
@@ -189,7 +191,7 @@
     job = live_job(stage, "run-1", task_count=8)
     stage.place()
     fail_all(stage, workers[:1])
-    machine = stage.leader.ctx.picture.machines[MachineId(workers[0].name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(workers[0].name)]
     assert machine.faults == {job.id}
     stage.leader.take_cancel(job.id)
     assert not machine.faults
@@ -201,7 +203,7 @@
     job = failed_job(stage, workers)
     sound = live_job(stage, "run-2", task_count=2)
     sound.finish(0)
-    stage.leader.ctx.book.touch(sound)
+    stage.leader.ctx.job_table.touch(sound)
     stage.write()
     told = stage.leader.image_hint()
     assert told.failing == {job.id: BACKOFF_MIN_S}
@@ -209,10 +211,10 @@
     told.failing["run-999"] = 60.0  # gone meanwhile
     again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageHint)
     leader = stage.new_leader(6, again)
-    assert not leader.ctx.book.jobs[sound.id].backoff_s
+    assert not leader.ctx.job_table.jobs[sound.id].backoff_s
     stage.ready(*workers)
     stage.place()
-    inherited = leader.ctx.book.jobs[JobId("run-1")]
+    inherited = leader.ctx.job_table.jobs[JobId("run-1")]
     assert len(inherited.live) == 1
     fail_all(stage, workers)
     assert inherited.backoff_s == 2 * BACKOFF_MIN_S
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -13,9 +13,9 @@
 from standins import CPU, job_spec, settings
 
 from ryewing import placement, queueing
-from ryewing.jobs import Book, Job, JobRecord
-from ryewing.picture import RUNNING, Hold, Picture
-from ryewing.rooms import Quota, Room
+from ryewing.capacity import MachineCapacity, Quota
+from ryewing.cluster_state import RUNNING, Assignment, ClusterState
+from ryewing.jobs import Job, JobRecord, JobTable
 from ryewing.settings import Team
 from ryewing.stops import Stops
 from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
@@ -28,8 +28,8 @@
     """Machines, a queue of small jobs that never ends, and one large job."""
 
     def __init__(self, machines: int, small: dict[str, Any], waiting: int) -> None:
-        self.book = Book()
-        self.picture = Picture(Term(5), 20.0, self.book, Stops())
+        self.job_table = JobTable()
+        self.cluster = ClusterState(Term(5), 20.0, self.job_table, Stops())
         self.now = 0.0
         self.small = small
         self.waiting = waiting
@@ -37,55 +37,55 @@
         self.began: dict[str, float] = {}
         self.rng = random.Random(3)
         for n in range(machines):
-            machine = self.picture.add(
+            machine = self.cluster.add(
                 MachineId(f"i-{n:06d}"), CPU, Zone("ab"[n % 2]), False, Steady(0.0)
             )
-            machine.heeded, machine.recorded = 0, True
+            machine.acknowledged, machine.recorded = 0, True
 
     def accept(self, **changes: Any) -> Job:
         self.count += 1
         record = JobRecord(job_spec(f"run-{self.count}", **changes), self.now)
-        return self.book.put(record, KeyVersion(1))
+        return self.job_table.put(record, KeyVersion(1))
 
     def end_tasks(self) -> None:
-        for machine in self.picture.machines.values():
-            for held in list(machine.holds.values()):
-                job = held.job
-                assert job is not None and held.ran_from is not None
-                if self.now - held.ran_from >= job.spec.estimated_s:
-                    self.picture.drop(held, Steady(self.now), finished=True)
-                    job.finish(held.task.number)
+        for machine in self.cluster.machines.values():
+            for assignment in list(machine.assignments.values()):
+                job = assignment.job
+                assert job is not None and assignment.running_since is not None
+                if self.now - assignment.running_since >= job.spec.estimated_s:
+                    self.cluster.drop(assignment, Steady(self.now), finished=True)
+                    job.finish(assignment.task.number)
                     job.unwritten.clear()
                     if job.complete:
-                        self.book.drop(job)
+                        self.job_table.drop(job)
 
     def step(self) -> None:
         self.now += STEP_S
         self.end_tasks()
-        small = sum(job.shortfall > 0 for job in self.book) - 1
+        small = sum(job.shortfall > 0 for job in self.job_table) - 1
         for _ in range(max(0, self.waiting - small)):
             self.accept(**self.small)
-        jobs = [self.book.jobs[name] for name in sorted(self.book.waiting)]
-        total = sum(m.machine_type.cpus for m in self.picture.machines.values())
-        free = sum(m.cpus for m in self.picture.machines.values())
+        jobs = [self.job_table.jobs[name] for name in sorted(self.job_table.waiting)]
+        total = sum(m.machine_type.cpus for m in self.cluster.machines.values())
+        free = sum(m.cpus for m in self.cluster.machines.values())
         supply = queueing.Supply(total, free)
         now = WallTime(self.now)
         ordered = queueing.order(jobs, settings().params.objectives, supply, supply, now)
-        rooms = [Room(m) for m in self.picture.machines.values()]
+        capacities = [MachineCapacity(m) for m in self.cluster.machines.values()]
         teams = {"red": Team("red"), "blue": Team("blue")}
         quota = Quota(teams, {}, {})
-        plan = placement.Pass(rooms, quota, Steady(self.now), self.rng, 64).run(
+        plan = placement.Pass(capacities, quota, Steady(self.now), self.rng, 64).run(
             ordered, queueing.overdue(ordered, now)
         )
-        stopped: list[Hold] = plan.stops
-        for held in stopped:
-            self.picture.drop(held, Steady(self.now))
+        stopped: list[Assignment] = plan.stops
+        for assignment in stopped:
+            self.cluster.drop(assignment, Steady(self.now))
         for batch in plan.batches:
             self.began.setdefault(batch.job.id, self.now - batch.job.accepted_at)
             for machine, count in batch.parts:
                 for number in batch.job.take(count):
                     task = TaskId(batch.job.id, number)
-                    self.picture.hold(machine, task, Attempt(1), RUNNING, Steady(self.now))
+                    self.cluster.assign(machine, task, Attempt(1), RUNNING, Steady(self.now))
 
 
 ONE = {"shape": "group", "priority": "urgent", "task_count": 1, "cpus": 30.0, "estimated_s": 60.0}
@@ -133,6 +133,6 @@
     for _ in range(40):
         stream.accept(**quick)
         stream.step()
-        free = sum(m.cpus for m in stream.picture.machines.values())
+        free = sum(m.cpus for m in stream.cluster.machines.values())
         used.append(1 - free / (12 * CPU.cpus))
     assert sum(used) / len(used) > 0.8
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -11,10 +11,10 @@
 from standins import policy, settings
 
 from ryewing.cloud import CloudDown
+from ryewing.cluster_state import COLD, GATHERING, PLANNED, RUNNING, SENT, WARM
 from ryewing.jobs import JobRecord, final_key, live_key
 from ryewing.leadership import campaign, read_view
 from ryewing.mesh import ImageHint
-from ryewing.picture import COLD, GATHERING, PLANNED, RUNNING, SENT, WARM
 from ryewing.renter import REQUEST_PREFIX
 from ryewing.store import Put, StoreDown
 from ryewing.units import KeyVersion, MachineId, NodeName, Term, token_of
@@ -46,11 +46,11 @@
     stage.accept()
     stage.ready(worker)
     stage.place()
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     guards: list[tuple[Callable[[], None], Callable[[], None]]] = [
         (
-            lambda: setattr(machine, "heeded", -1),
-            lambda: setattr(machine, "heeded", 0),
+            lambda: setattr(machine, "acknowledged", -1),
+            lambda: setattr(machine, "acknowledged", 0),
         ),
         (lambda: setattr(machine, "recorded", False), lambda: setattr(machine, "recorded", True)),
         (lambda: stage.later(3.1, renewed=False), lambda: stage.later(0.0)),
@@ -91,13 +91,13 @@
     stage.place()
     answer = stage.leader.on_report(worker.report())  # this answer is lost on its way
     assert answer is not None and len(starts(answer.commands)) == 1
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)  # the body of /orders does not show the task
-    assert list(stage.holds().values()) == [SENT]
+    assert list(stage.assignments().values()) == [SENT]
     stage.leader.placer.run_pass()
-    assert list(stage.holds().values()) == [SENT]
+    assert list(stage.assignments().values()) == [SENT]
     assert not starts(stage.exchange(worker))  # a later report: never executed, given up
-    assert stage.holds() == {}
+    assert stage.assignments() == {}
 
 
 def test_a_nudge_raises_the_token_and_every_later_answer_carries_it(stage: Stage) -> None:
@@ -107,7 +107,7 @@
     stage.accept(task_count=2)
     stage.place()
     assert asked == [worker.name]
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)
     assert worker.token == token_of(Term(5), 1)
     assert len(starts(stage.exchange(worker))) == 2  # a lower token would be dropped
@@ -126,8 +126,8 @@
     stage.place()
     assert stage.leader.on_report(worker.report()) is not None  # lost on its way
     worker.session += 1
-    stage.leader.dispatch.send(stage.leader.ctx.picture.machines[MachineId(worker.name)])
-    assert stage.holds() == {}
+    stage.leader.dispatch.send(stage.leader.ctx.cluster.machines[MachineId(worker.name)])
+    assert stage.assignments() == {}
 
 
 def test_a_late_report_is_answered_without_starts(stage: Stage) -> None:
@@ -138,19 +138,19 @@
     stage.place()
     answer = stage.leader.on_report(late)
     assert answer is not None and not starts(answer.commands)
-    assert list(stage.holds().values()) == [PLANNED]
+    assert list(stage.assignments().values()) == [PLANNED]
 
 
 def test_a_new_session_has_forgotten_everything(stage: Stage) -> None:
     worker = stage.ready_worker()
     stage.begin(worker, task_count=1)
     stage.exchange(worker)
-    assert list(stage.holds().values()) == [RUNNING]
+    assert list(stage.assignments().values()) == [RUNNING]
     worker.session += 1
     worker.sequence = 0
     worker.tasks.clear()
     stage.exchange(worker)
-    assert stage.holds() == {}
+    assert stage.assignments() == {}
 
 
 def test_attempts_are_never_repeated_after_a_takeover(stage: Stage) -> None:
@@ -172,13 +172,13 @@
     stage.exchange(worker)
     stage.new_leader(6)
     assert not stage.leader.placer.ready_to_place()  # a recorded machine has not been heard
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)  # the handshake
     assert machine.handshaken and worker.token == token_of(Term(6))
     assert stage.leader.placer.ready_to_place()
     stage.leader.placer.run_pass()
-    found = stage.leader.ctx.book.get(job)
-    assert found is not None and found.shortfall == 0 and len(stage.holds()) == 3
+    found = stage.leader.ctx.job_table.get(job)
+    assert found is not None and found.shortfall == 0 and len(stage.assignments()) == 3
 
 
 @pytest.mark.parametrize(
@@ -198,20 +198,20 @@
     stage.exchange(heard)
     new = stage.accept("run-2", task_count=1, machine_types=["g4"])
     stage.place()
-    placed = set(stage.holds("i-000002"))
+    placed = set(stage.assignments("i-000002"))
     assert f"{new}/0" in placed  # accepted after the take-over: nobody can hold it
     assert ("run-1/0" in placed) is (free_s is not None)
     bound = policy().hold_s + settings().params.workers.lease_s
     stage.later(bound - policy().gather_s - 0.5)
     stage.exchange(heard)
-    stage.leader.ctx.picture.expire(stage.clock())
+    stage.leader.ctx.cluster.expire(stage.clock())
     stage.leader.placer.run_pass()
-    assert ("run-1/0" in stage.holds("i-000002")) is (free_s is not None)
+    assert ("run-1/0" in stage.assignments("i-000002")) is (free_s is not None)
     stage.later(3.0)
     stage.exchange(heard)
-    stage.leader.ctx.picture.expire(stage.clock())  # old hold and one lease are over
+    stage.leader.ctx.cluster.expire(stage.clock())  # old hold and one lease are over
     stage.leader.placer.run_pass()
-    assert "run-1/0" in stage.holds("i-000002")
+    assert "run-1/0" in stage.assignments("i-000002")
 
 
 def test_a_confirmed_release_unblocks_at_once(stage: Stage) -> None:
@@ -226,7 +226,7 @@
     stage.leader.renter.release(stage.leader.renter.to_give_up(stage.clock()))
     assert stage.cloud.released == ["i-000001"]
     stage.place()
-    assert stage.holds("i-000002") == {"run-1/0": PLANNED}
+    assert stage.assignments("i-000002") == {"run-1/0": PLANNED}
     assert stage.leader.on_report(silent.report()) is None  # a late report of a gone machine
 
 
@@ -300,7 +300,7 @@
     assert verbs(stage.exchange(worker)) == ["halt"] * 8
     stage.exchange(worker)
     stage.place()
-    assert not starts(stage.exchange(worker)) and stage.holds() == {}
+    assert not starts(stage.exchange(worker)) and stage.assignments() == {}
     stage.write()
     assert stage.finals == {job: "cancelled"}
 
@@ -331,10 +331,10 @@
     stage.place()
     for worker in workers:
         stage.exchange(worker)
-    held = {attempt for worker in workers for _, attempt in worker.tasks}
-    assert held == attempts
+    assignment = {attempt for worker in workers for _, attempt in worker.tasks}
+    assert assignment == attempts
     assert sum(len(worker.tasks) for worker in workers) == 2
-    found = stage.leader.ctx.book.get(job)
+    found = stage.leader.ctx.job_table.get(job)
     assert found is not None and found.shortfall == 0
 
 
@@ -375,7 +375,7 @@
     stage.ready(other)
     stage.exchange(spot)
     stage.place()
-    assert stage.holds("i-000001") == {} and len(stage.holds("i-000002")) == 1
+    assert stage.assignments("i-000001") == {} and len(stage.assignments("i-000002")) == 1
 
 
 def test_a_job_is_refilled_only_after_its_finishes_are_written(stage: Stage) -> None:
@@ -384,10 +384,10 @@
     stage.exchange(worker)
     stage.end(worker)
     stage.place()
-    assert stage.holds() == {}
+    assert stage.assignments() == {}
     stage.write()
     stage.place()
-    assert len(stage.holds()) == 4
+    assert len(stage.assignments()) == 4
 
 
 def test_finished_tasks_are_not_run_again_by_a_successor(stage: Stage) -> None:
@@ -396,7 +396,7 @@
     stage.end(worker)
     stage.write()
     stage.new_leader(6)
-    found = stage.leader.ctx.book.get(job)
+    found = stage.leader.ctx.job_table.get(job)
     assert found is not None and (found.done_count, found.shortfall) == (8, 4)
 
 
@@ -465,14 +465,14 @@
     rent(stage)
     stage.write()
     stage.new_leader(6)
-    assert len(stage.leader.ctx.picture.machines) == 1
+    assert len(stage.leader.ctx.cluster.machines) == 1
     assert stage.leader.placer.ready_to_place()
 
 
 def test_a_failed_release_leaves_the_machine_in_use(stage: Stage) -> None:
     """Found on a quiet day: refused for the cloud's rate, machines were left out for good."""
     worker = stage.ready_worker()
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
 
     def refused(_machines: Any) -> None:
         raise CloudDown("429")
@@ -505,7 +505,7 @@
         stage.leader.renter._list()
         if heard:
             stage.exchange(worker)
-    assert (MachineId(worker.name) in stage.leader.ctx.picture.machines) is known
+    assert (MachineId(worker.name) in stage.leader.ctx.cluster.machines) is known
     stage.accept(task_count=8)
     stage.place()
     stage.leader.renter.rent()
@@ -526,7 +526,7 @@
     stage.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
         stage.exchange(worker)
-    stage.leader.ctx.picture.expire(stage.clock())
+    stage.leader.ctx.cluster.expire(stage.clock())
     assert len(stage.leader.renter.to_give_up(stage.clock())) == silent
 
 
@@ -542,7 +542,7 @@
         stage.later(2.0)
         for worker in workers[4:]:
             stage.exchange(worker)
-    stage.leader.ctx.picture.expire(stage.clock())
+    stage.leader.ctx.cluster.expire(stage.clock())
     chosen = stage.leader.renter.to_give_up(stage.clock())
     assert sorted((machine.id, why) for machine, why in chosen) == [
         (worker.name, "silent") for worker in workers[:4]
@@ -582,7 +582,7 @@
     stage.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         stage.exchange(worker)
-    assert stage.leader.cut_from_workers(stage.clock()) is cut
+    assert stage.leader.is_cut_from_workers(stage.clock()) is cut
 
 
 def test_a_machine_that_fails_several_jobs_is_set_aside(stage: Stage) -> None:
@@ -592,7 +592,7 @@
     stage.exchange(worker)
     worker.finish("error")
     stage.exchange(worker)
-    assert stage.leader.ctx.picture.machines[MachineId(worker.name)].quarantined
+    assert stage.leader.ctx.cluster.machines[MachineId(worker.name)].quarantined
 
 
 def test_a_job_that_fails_everywhere_backs_off(stage: Stage) -> None:
@@ -605,21 +605,21 @@
     for worker in workers:
         worker.finish("error")
         stage.exchange(worker)
-    found = stage.leader.ctx.book.get(job)
+    found = stage.leader.ctx.job_table.get(job)
     assert found is not None
     first = found.backoff_s
     assert found.backoff_until > stage.clock() and first >= 2.0
     stage.place()
-    assert not any(stage.holds(worker.name) for worker in workers)
+    assert not any(stage.assignments(worker.name) for worker in workers)
     # Later it tries again, and on the same machines: new ones were rented for it for ever.
     stage.later(first + 0.1)
     for worker in workers:
         stage.exchange(worker)
     stage.place()
-    assert sum(len(stage.holds(worker.name)) for worker in workers) == 1  # one tells
+    assert sum(len(stage.assignments(worker.name)) for worker in workers) == 1  # one tells
     stage.leader.renter.rent()
     assert not stage.cloud.requests
-    assert not any(m.quarantined for m in stage.leader.ctx.picture.machines.values())
+    assert not any(m.quarantined for m in stage.leader.ctx.cluster.machines.values())
 
 
 @pytest.mark.parametrize(("faulty", "others", "at_fault"), [(3, 0, True), (3, 5, False)])
@@ -629,7 +629,7 @@
     """Among hundreds of machines it met three at once, and cleared each of its fault."""
     workers = [stage.worker(f"i-{n:06d}") for n in range(faulty + others)]
     stage.ready(*workers)
-    found = stage.leader.ctx.book.get(stage.accept(task_count=8 * len(workers)))
+    found = stage.leader.ctx.job_table.get(stage.accept(task_count=8 * len(workers)))
     stage.place()
     for worker in workers * 2:
         stage.exchange(worker)
@@ -637,7 +637,7 @@
         worker.finish("error")
         stage.exchange(worker)
     assert found is not None and bool(found.backoff_s) is at_fault
-    suspects = [m for m in stage.leader.ctx.picture.machines.values() if m.faults]
+    suspects = [m for m in stage.leader.ctx.cluster.machines.values() if m.faults]
     assert len(suspects) == (0 if at_fault else faulty)
 
 
@@ -651,9 +651,9 @@
     told.machines[worker.name].append(5)  # a place that there is not
     again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageHint)
     leader = stage.new_leader(6, again)
-    assert leader.ctx.picture.machines[MachineId(worker.name)].warmth("img-7") == WARM
-    assert leader.ctx.picture.machines[MachineId(worker.name)].warmth("img-8") == COLD
-    assert MachineId("i-000999") not in leader.ctx.picture.machines
+    assert leader.ctx.cluster.machines[MachineId(worker.name)].warmth("img-7") == WARM
+    assert leader.ctx.cluster.machines[MachineId(worker.name)].warmth("img-8") == COLD
+    assert MachineId("i-000999") not in leader.ctx.cluster.machines
 
 
 # -- election -----------------------------------------------------------------------------------
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 
 from ryewing import catalogue
 from ryewing.jobs import DONE_PREFIX, JobRecord, final_key, live_key
-from ryewing.packed import Packed
+from ryewing.paged_records import PagedRecords
 from ryewing.renter import REQUEST_PREFIX
 from ryewing.settings import BadSettings, load
 from ryewing.store import Put, Rejected, StoreDown
@@ -83,7 +83,7 @@
     """A store as written under wide limits: the records, and which value holds what."""
     store = FakeStore()
     store.limits = msgspec.structs.replace(store.limits, value_kb=kb, txn_ops=16)
-    packed = Packed(prefix, kb)
+    packed = PagedRecords(prefix, kb)
     records = {f"i-{n:06d}": {"flavour": "c32", "site": "a", "n": n} for n in range(names)}
     for name, record in records.items():
         packed.put(name, record)
@@ -91,7 +91,7 @@
     return store, records
 
 
-def apply(packed: Packed, store: FakeStore, ops_max: int, stop_after: int = 10_000) -> int:
+def apply(packed: PagedRecords, store: FakeStore, ops_max: int, stop_after: int = 10_000) -> int:
     """Write what is wanted, up to so many transactions; return how many it took."""
     for done in range(stop_after):
         number = next(packed.changed(), None)
@@ -123,13 +123,13 @@
         store, records = wide_store(MACHINE_PREFIX, 8.0, 120)
         if fallen:
             store.limits = msgspec.structs.replace(store.limits, value_kb=kb, txn_ops=ops)
-        packed = Packed(MACHINE_PREFIX, kb)
+        packed = PagedRecords(MACHINE_PREFIX, kb)
         packed.load(store.listing(MACHINE_PREFIX)[0])
         took = apply(packed, store, ops, end_after)
         read = as_production_reads(store, MACHINE_PREFIX)
         assert read.keys() == records.keys()
         assert all(said == [records[name]] * len(said) for name, said in read.items())
-        again = Packed(MACHINE_PREFIX, kb)
+        again = PagedRecords(MACHINE_PREFIX, kb)
         found, twice = again.load(store.listing(MACHINE_PREFIX)[0])
         assert {name for name, said in read.items() if len(said) > 1} == twice
         assert len(found) == len(records) + len(twice)
@@ -158,8 +158,8 @@
     )
     stage.store.txn({}, [Put("m/10", {"i-000001": MachineRecord("c32", "a")})])
     leader = stage.new_leader(6)
-    assert leader.ctx.book.jobs[job].done_count == 2
-    machine = leader.ctx.picture.machines[MachineId("i-000001")]
+    assert leader.ctx.job_table.jobs[job].done_count == 2
+    machine = leader.ctx.cluster.machines[MachineId("i-000001")]
     assert machine.recorded and machine.may_hold_until is not None
     stage.write()
     kept = as_production_reads(stage.store, "d/") | as_production_reads(stage.store, "m/")
@@ -170,7 +170,7 @@
 def test_what_is_made_of_two_copies_is_kept_before_one_of_them_is_dropped() -> None:
     store = FakeStore()
     store.txn({}, [Put("d/0", {"run-1/0": "gA=="}), Put("d/1", {"run-1/0": "AQ=="})])
-    packed = Packed(DONE_PREFIX, 8.0)
+    packed = PagedRecords(DONE_PREFIX, 8.0)
     found, twice = packed.load(store.listing(DONE_PREFIX)[0])
     assert twice == {"run-1/0"} and len(found) == 2
     packed.put("run-1/0", "gQ==")
@@ -182,7 +182,7 @@
 def test_a_reading_that_failed_is_done_again_from_the_start() -> None:
     """Read twice, each record was taken for said twice, and dropped."""
     store, records = wide_store(MACHINE_PREFIX, 8.0, 40)
-    packed = Packed(MACHINE_PREFIX, 1.0)
+    packed = PagedRecords(MACHINE_PREFIX, 1.0)
     for _ in range(2):
         found, twice = packed.load(store.listing(MACHINE_PREFIX)[0])
         assert len(found) == len(records) and not twice
@@ -194,7 +194,7 @@
 
 def test_a_first_write_that_was_applied_unseen_makes_its_value_wait() -> None:
     """Its answer was lost; meanwhile a record in it was given to another value."""
-    packed = Packed(MACHINE_PREFIX, 1.0)
+    packed = PagedRecords(MACHINE_PREFIX, 1.0)
     for n in range(12):
         packed.put(f"i-{n}", {"addr": ""})
     unseen = packed.change(0, 8, 65536)
@@ -211,7 +211,7 @@
 
 def test_a_late_copy_of_a_write_changes_nothing_after_parting() -> None:
     store, records = wide_store(MACHINE_PREFIX, 8.0, 120)
-    packed = Packed(MACHINE_PREFIX, 2.0)
+    packed = PagedRecords(MACHINE_PREFIX, 2.0)
     packed.load(store.listing(MACHINE_PREFIX)[0])
     sent: list[tuple[dict[str, KeyVersion], list[Put]]] = []
     while (number := next(packed.changed(), None)) is not None:
@@ -268,12 +268,12 @@
         large, small = small, large
     stage.narrow(value_kb=1.0)
     for name in (large, small):
-        stage.leader.ctx.book.jobs[name].finish(1)
-        stage.leader.ctx.book.touch(stage.leader.ctx.book.jobs[name])
+        stage.leader.ctx.job_table.jobs[name].finish(1)
+        stage.leader.ctx.job_table.touch(stage.leader.ctx.job_table.jobs[name])
     for _ in range(12):
         stage.leader.writer.write_once()
-    assert not stage.leader.ctx.book.jobs[small].unwritten
-    assert stage.leader.ctx.book.jobs[large].unwritten
+    assert not stage.leader.ctx.job_table.jobs[small].unwritten
+    assert stage.leader.ctx.job_table.jobs[large].unwritten
     refused = len(stage.store.rejected)
     for _ in range(5):
         stage.leader.writer.write_once()
@@ -281,7 +281,7 @@
     stage.later(ASIDE_S + 1)
     stage.narrow(value_kb=8.0)
     stage.write()
-    assert not stage.leader.ctx.book.jobs[large].unwritten
+    assert not stage.leader.ctx.job_table.jobs[large].unwritten
 
 
 @pytest.mark.parametrize("limits", [{"txn_ops": 3}, {"value_kb": 1.0}, {"txn_ops": 2}])
@@ -296,7 +296,7 @@
         stage.exchange(worker)
     for n, worker in enumerate(workers):
         worker.machine_type = worker.machine_type
-        stage.leader.ctx.picture.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
+        stage.leader.ctx.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
         stage.leader.writer.to_record.add(MachineId(worker.name))
         stage.end(worker)
     stage.write()
@@ -476,4 +476,4 @@
     before = stage.store.writes
     stage.ready(*workers)
     assert stage.store.writes - before <= machines / 10 + 2
-    assert all(machine.recorded for machine in stage.leader.ctx.picture.machines.values())
+    assert all(machine.recorded for machine in stage.leader.ctx.cluster.machines.values())
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -448,7 +448,7 @@
     cluster.run(8.0)
     assert second.tasks, "the job waits for a machine that is gone"
     leader = cluster.nodes[cluster.leader_name].leader
-    assert leader is not None and first.name not in leader.ctx.picture.machines
+    assert leader is not None and first.name not in leader.ctx.cluster.machines
     assert not any(
         first.name.encode() in value
         for key, (value, _, _) in cluster.store.data.items()
@@ -531,13 +531,13 @@
     for number in range(1, 3):
         cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(10.0)
-    held = [worker for worker in cluster.workers.values() if worker.tasks]
-    assert len(held) == 2
+    assignment = [worker for worker in cluster.workers.values() if worker.tasks]
+    assert len(assignment) == 2
     for number in range(3, 6):
         cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(2.0)
-    held[0].hangs = True
-    held[1].unreachable |= set(NAMES)
+    assignment[0].hangs = True
+    assignment[1].unreachable |= set(NAMES)
     cluster.cancel("n-1", "run-1")
     cluster.cancel("n-2", "run-2")
     cluster.cloud_down = True
@@ -545,7 +545,7 @@
     cluster.run(6.0)
     cluster.submit("n-1", "run-6", gpus=4.0, cpus=1.0)
     cluster.run(9.0)
-    held[0].hangs = False
+    assignment[0].hangs = False
     cluster.run(35.0)
 
 
@@ -702,7 +702,7 @@
         cluster.store.plant(f"j/run-{number}", msgspec.json.encode(record))
     cluster.run(2.0)
     leader = cluster.nodes["n-0"].leader
-    assert leader is not None and not leader.ctx.book.jobs
+    assert leader is not None and not leader.ctx.job_table.jobs
     assert cluster.submit("n-1", "run-5") == 201
 
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -8,10 +8,19 @@
 import pytest
 from gevent import socket
 
-from ryewing.mesh import ASKS_AT_ONCE, Ack, Ask, JobState, MeshServer, Peer, PeerSilent, PollJob
+from ryewing.mesh import (
+    REQUESTS_AT_ONCE,
+    Ack,
+    JobState,
+    MeshServer,
+    Peer,
+    PeerSilent,
+    PollJob,
+    Request,
+)
 from ryewing.settings import Address
 
-SOON_S = 0.3
+SHORT_WAIT_S = 0.3
 PATIENT_S = 30.0
 
 
@@ -28,7 +37,7 @@
 def answering(address: Address = ("127.0.0.1", 0)) -> MeshServer:
     """A controller that answers every poll."""
 
-    def handle(ask: Ask) -> JobState | Ack:
+    def handle(ask: Request) -> JobState | Ack:
         return JobState("running") if isinstance(ask, PollJob) else Ack(True)
 
     server = MeshServer(address, handle, 100)
@@ -43,17 +52,17 @@
 
     def ask() -> None:
         try:
-            peer.ask(PollJob("run-1"), PATIENT_S)
+            peer.request(PollJob("run-1"), PATIENT_S)
         except PeerSilent as error:
             outcomes.append(str(error))
 
-    asks = [gevent.spawn(ask) for _ in range(10 * ASKS_AT_ONCE)]
+    asks = [gevent.spawn(ask) for _ in range(10 * REQUESTS_AT_ONCE)]
     for _ in range(5):
         gevent.sleep(0)
-    assert peer.under_way == ASKS_AT_ONCE
-    assert len(outcomes) == 9 * ASKS_AT_ONCE  # told at once, so that the store can be read
+    assert peer.in_flight == REQUESTS_AT_ONCE
+    assert len(outcomes) == 9 * REQUESTS_AT_ONCE  # told at once, so that the store can be read
     gevent.killall(asks)
-    assert peer.under_way == 0
+    assert peer.in_flight == 0
 
 
 def test_a_peer_that_is_back_is_asked_over_a_new_connection() -> None:
@@ -61,19 +70,19 @@
     server = answering()
     address: Address = server._server.address
     peer = Peer(address)
-    together = [gevent.spawn(peer.ask, PollJob("run-1"), PATIENT_S) for _ in range(4)]
+    together = [gevent.spawn(peer.request, PollJob("run-1"), PATIENT_S) for _ in range(4)]
     gevent.joinall(together, raise_error=True)
     assert len(peer._idle) == 4
     server.stop()  # as a process that ends
     server = answering(address)
     with pytest.raises(PeerSilent):
-        peer.ask(PollJob("run-1"), PATIENT_S)
-    assert peer.ask(PollJob("run-1"), PATIENT_S) == JobState("running")
+        peer.request(PollJob("run-1"), PATIENT_S)
+    assert peer.request(PollJob("run-1"), PATIENT_S) == JobState("running")
     server.stop()
 
 
 def test_a_deadline_leaves_nothing_behind(silent: Address) -> None:
     peer = Peer(silent)
     with pytest.raises(PeerSilent):
-        peer.ask(PollJob("run-1"), SOON_S)
-    assert peer.under_way == 0 and not peer._idle
+        peer.request(PollJob("run-1"), SHORT_WAIT_S)
+    assert peer.in_flight == 0 and not peer._idle
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -15,7 +15,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.reads = self.asks = 0
-        get, ask = StoreLink.get, FakePeer.ask
+        get, ask = StoreLink.get, FakePeer.request
 
         def counted_get(link: StoreLink, key: str) -> Any:
             self.reads += 1
@@ -26,7 +26,7 @@
             return ask(peer, what, deadline_s)
 
         monkeypatch.setattr(StoreLink, "get", counted_get)
-        monkeypatch.setattr(FakePeer, "ask", counted_ask)
+        monkeypatch.setattr(FakePeer, "request", counted_ask)
 
 
 def poll_all(cluster: Cluster, refs: list[str], node: str | None = None) -> None:
--- a/tests/test_pure.py
+++ b/tests/test_pure.py
@@ -13,12 +13,12 @@
 
 from ryewing import placement, preemption, queueing
 from ryewing.budget import Budget
-from ryewing.fleet import Shelf, options_for, to_return, wishes
-from ryewing.jobs import Book, Job, JobRecord, impossible
+from ryewing.capacity import NO_RESERVE, MachineCapacity, Quota
+from ryewing.cluster_state import RUNNING, Assignment, ClusterState, Machine
+from ryewing.fleet import CapacityBackoff, options_for, plan_rentals, to_return
+from ryewing.jobs import Job, JobRecord, JobTable, impossible
 from ryewing.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
-from ryewing.picture import RUNNING, Hold, Machine, Picture
 from ryewing.policy import BadPolicy, load
-from ryewing.rooms import NO_RESERVE, Quota, Room
 from ryewing.settings import BadSettings, Settings, Team
 from ryewing.settings import load as load_settings
 from ryewing.stops import RESEND_S, Stops
@@ -314,11 +314,11 @@
 
 
 def test_guess_correction_is_bounded() -> None:
-    book = Book()
-    first = book.put(JobRecord(job_spec("run-1", estimated_s=10.0), 0.0), KeyVersion(1))
+    job_table = JobTable()
+    first = job_table.put(JobRecord(job_spec("run-1", estimated_s=10.0), 0.0), KeyVersion(1))
     for _ in range(500):
-        book.took(first, 10_000.0)
-    later = book.put(JobRecord(job_spec("run-2", estimated_s=10.0), 0.0), KeyVersion(2))
+        job_table.took(first, 10_000.0)
+    later = job_table.put(JobRecord(job_spec("run-2", estimated_s=10.0), 0.0), KeyVersion(2))
     assert 15.0 < later.estimate_s() <= 20.0
 
 
@@ -349,23 +349,23 @@
     """Machines and jobs for placement cases."""
 
     def __init__(self) -> None:
-        self.book = Book()
+        self.job_table = JobTable()
         self.stops = Stops()
-        self.picture = Picture(Term(5), 20.0, self.book, self.stops)
+        self.cluster = ClusterState(Term(5), 20.0, self.job_table, self.stops)
 
     def machine(
         self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
     ) -> Machine:
-        machine = self.picture.add(MachineId(name), machine_type, Zone(zone), spot, T0)
-        machine.heeded, machine.recorded = 0, True
+        machine = self.cluster.add(MachineId(name), machine_type, Zone(zone), spot, T0)
+        machine.acknowledged, machine.recorded = 0, True
         return machine
 
     def job(self, ref: str, **changes: Any) -> Job:
-        return self.book.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
+        return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def put(self, one: Job, machine: Machine, count: int) -> None:
         for index in one.take(count):
-            self.picture.hold(machine, TaskId(one.id, index), Attempt(1), RUNNING, T0)
+            self.cluster.assign(machine, TaskId(one.id, index), Attempt(1), RUNNING, T0)
 
     def plan(
         self,
@@ -374,16 +374,16 @@
         sample: int = 64,
         unseen: tuple[float, float] = (0.0, 0.0),
         kept: float = 99.0,
-        moving: Sequence[Hold] = (),
+        moving: Sequence[Assignment] = (),
         **ways: Any,
     ) -> placement.Plan:
         gpu_reserve = NO_RESERVE
-        for one in self.book:
+        for one in self.job_table:
             gpu_reserve = gpu_reserve.widened(one)
-        quota = Quota(TEAMS, self.picture.team_cpus, self.picture.team_gpus, *unseen)
-        rooms = [Room(m) for m in self.picture.machines.values() if m.usable()]
+        quota = Quota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
+        capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
         return placement.Pass(
-            rooms, quota, Steady(T0 + now), random.Random(1), sample, gpu_reserve, kept, **ways
+            capacities, quota, Steady(T0 + now), random.Random(1), sample, gpu_reserve, kept, **ways
         ).run(jobs, (), moving)
 
 
@@ -487,8 +487,8 @@
     world.job("run-8", gpus=1.0, cpus=5.0)
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1, shape="group")
     plan = world.plan(urgent)
-    assert spread_of(plan) == {} and not plan.short
-    assert {held.machine.id for held in plan.stops} == {"i-2"}
+    assert spread_of(plan) == {} and not plan.unplaced
+    assert {assignment.machine.id for assignment in plan.stops} == {"i-2"}
 
 
 def test_both_steps_of_urgent_work_keep_to_one_zone() -> None:
@@ -514,7 +514,7 @@
         for n in range(3)
     ]
     plan = world.plan(*jobs)
-    assert not plan.short
+    assert not plan.unplaced
     assert len(plan.stops) == 90
 
 
@@ -546,8 +546,8 @@
     world.put(victim, machine, 1)
     one = world.job("run-1", priority=priority, team=team)
     one.guaranteed = guaranteed
-    held = next(iter(machine.holds.values()))
-    assert preemption.may_preempt(one, held) is expected
+    assignment = next(iter(machine.assignments.values()))
+    assert preemption.may_preempt(one, assignment) is expected
 
 
 def test_room_being_freed_is_claimed_once() -> None:
@@ -559,7 +559,7 @@
         world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
     )
     assert len(plan.stops) == 8  # two for the first job, the rest for the second
-    assert [(one.id, n) for one, n in plan.short] == [("run-2", 2)]
+    assert [(one.id, n) for one, n in plan.unplaced] == [("run-2", 2)]
 
 
 def test_work_per_pass_is_bounded_by_the_sample() -> None:
@@ -573,7 +573,7 @@
 def test_arrays_wait_a_little_for_the_image_and_gangs_do_not() -> None:
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
-    warm.note_image("img-1", 1.0)
+    warm.record_image("img-1", 1.0)
     world.put(world.job("run-9", task_count=8, image="other"), warm, 8)
     array = world.job("run-1", task_count=1, image_gb=1.0)
     other = world.job("run-8", task_count=6, image_gb=1.0)  # with this one, room is not plenty
@@ -587,7 +587,7 @@
 def test_nobody_waits_for_an_image_where_room_is_plenty() -> None:
     """Found on a quiet day: arrays of many tasks waited beside hundreds of free cards."""
     world = World()
-    world.machine("i-1").note_image("img-1", 5.0)
+    world.machine("i-1").record_image("img-1", 5.0)
     world.put(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
     for n in range(2, 5):
         world.machine(f"i-{n}")
@@ -614,7 +614,7 @@
     """Found on a busy day: with fetches of a minute a third of the cards in use were fetching."""
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
-    warm.note_image("img-1", 10.0)
+    warm.record_image("img-1", 10.0)
     world.put(world.job("run-9", task_count=8, image="img-9"), warm, 8)
     if fetching is not None:
         other = world.job("run-8", task_count=1, image=fetching, image_gb=10.0)
@@ -626,7 +626,7 @@
     plan = world.plan(array, filler)
     assert spread_of(plan) == expected
     if not expected and tasks == 4:
-        assert array not in [one for one, _count in plan.short]  # and nothing is rented for it
+        assert array not in [one for one, _count in plan.unplaced]  # and nothing is rented for it
         # Once it has waited for as long as a fetch takes, it may use what lies idle.
         assert spread_of(world.plan(array, filler, now=140.0)) == {}
         assert spread_of(world.plan(array, filler, now=151.0)) == {"i-2": 1}
@@ -645,7 +645,7 @@
     after = world.job("run-3", task_count=1, cpus=8.0)
     plan = world.plan(before, urgent, after)
     assert len(plan.stops) == 1
-    assert [one for one, _count in plan.short] == [before]
+    assert [one for one, _count in plan.unplaced] == [before]
 
 
 @pytest.mark.parametrize(
@@ -667,14 +667,17 @@
         for ref in images:
             one = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
             world.put(one, machine, 1)
-        assert not world.picture.fetches_share()
-    for machine in world.picture.machines.values():
+        assert not world.cluster.fetches_share()
+    for machine in world.cluster.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
-            shown = [ReportedTask(str(task), 1, status) for task, held in machine.holds.items()]
+            shown = [
+                ReportedTask(str(task), 1, status)
+                for task, assignment in machine.assignments.items()
+            ]
             tick = machine.version.sequence + 1
             report = Report(machine.id, 1, tick, 0, "c32", "a", tasks=shown)
-            world.picture.absorb(machine, report, Steady(T0 + at), as_report=True)
-    assert world.picture.fetches_share() is share
+            world.cluster.apply_report(machine, report, Steady(T0 + at), as_report=True)
+    assert world.cluster.fetches_share() is share
 
 
 def test_a_gang_that_lacks_a_member_gets_it_where_the_image_is() -> None:
@@ -682,7 +685,7 @@
     world = World()
     world.machine("i-1")  # without cards, so first by rights
     warm, other = world.machine("i-2", GPU), world.machine("i-3")
-    warm.note_image("img-1", 5.0)
+    warm.record_image("img-1", 5.0)
     world.job("run-9", gpus=1.0)  # there is work with cards, less important
     gang = world.job(
         "run-1", shape="group", priority="urgent", task_count=2, cpus=20.0, image_gb=5.0
@@ -721,7 +724,7 @@
     array = world.job("run-1", task_count=8, image_gb=5.0)  # 25 s at 0.2 GB/s
     plan = world.plan(array)
     assert spread_of(plan) == {"i-1": 1}
-    assert not plan.short
+    assert not plan.unplaced
     assert spread_of(world.plan(world.job("run-2", task_count=8, image_gb=1.0))) == {"i-1": 8}
 
 
@@ -743,12 +746,12 @@
     slow, other = world.machine("i-1"), world.machine("i-2")
     world.put(world.job("run-9", task_count=1), slow, 1)  # the fuller one, so first by rights
     many = world.job("run-8", task_count=50)
-    world.book.took(many, 20.0)
+    world.job_table.took(many, 20.0)
     for _ in range(2):
-        slow.note_pace(many, 40.0)
+        slow.record_pace(many, 40.0)
     assert not slow.slow()  # two tasks are chance
-    slow.note_pace(many, 40.0)
-    other.note_pace(many, 24.0)
+    slow.record_pace(many, 40.0)
+    other.record_pace(many, 24.0)
     assert slow.slow() and not other.slow()
     assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
     assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
@@ -836,26 +839,26 @@
     world = World()
     booting = [world.machine("i-1")]
     short = [(job(task_count=8), 8)]
-    assert wishes(short, booting, FLAVOURS, Shelf(), policy(), T0) == []
-    [wish] = wishes(short, [], FLAVOURS, Shelf(), policy(), T0)
-    assert wish.count == 1 and wish.options[0][0] == "c32"
+    assert plan_rentals(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
+    [plan] = plan_rentals(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    assert plan.count == 1 and plan.options[0][0] == "c32"
 
 
 def test_spot_machines_only_for_jobs_that_may() -> None:
-    assert all(not o[2] for o in options_for(job(), FLAVOURS, Shelf(), T0))
-    assert options_for(job(spot=True), FLAVOURS, Shelf(), T0)[0][2]
+    assert all(not o[2] for o in options_for(job(), FLAVOURS, CapacityBackoff(), T0))
+    assert options_for(job(spot=True), FLAVOURS, CapacityBackoff(), T0)[0][2]
 
 
 def test_no_capacity_turns_to_the_next_option_and_back() -> None:
-    shelf, one = Shelf(), job()
-    first = options_for(one, FLAVOURS, shelf, T0)[0]
-    shelf.refused(first, T0)
-    assert options_for(one, FLAVOURS, shelf, T0)[0] != first
-    assert options_for(one, FLAVOURS, shelf, Steady(T0 + 21.0))[0] == first
+    backoff, one = CapacityBackoff(), job()
+    first = options_for(one, FLAVOURS, backoff, T0)[0]
+    backoff.refused(first, T0)
+    assert options_for(one, FLAVOURS, backoff, T0)[0] != first
+    assert options_for(one, FLAVOURS, backoff, Steady(T0 + 21.0))[0] == first
 
 
 @pytest.mark.parametrize(
-    ("idle_s", "waiting", "holds", "returned"),
+    ("idle_s", "waiting", "assignments", "returned"),
     [
         (10.0, False, False, False),
         (50.0, False, False, True),
@@ -864,12 +867,12 @@
     ],
 )
 def test_idle_machines_are_returned(
-    idle_s: float, waiting: bool, holds: bool, returned: bool
+    idle_s: float, waiting: bool, assignments: bool, returned: bool
 ) -> None:
     world = World()
     machine = world.machine("i-1")
     machine.heard_at = T0
-    if holds:
+    if assignments:
         world.put(world.job("run-9"), machine, 1)
     short = [(job(), 1)] if waiting else []
     chosen = to_return([machine], short, policy(), Steady(T0 + idle_s))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,14 +12,14 @@
 
 from ryewing import placement
 from ryewing.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
+from ryewing.capacity import MachineCapacity, Quota
 from ryewing.cloud import RELEASE_MAX
+from ryewing.cluster_state import RUNNING, ClusterState
 from ryewing.dispatch import SENDS_AT_ONCE
-from ryewing.jobs import DONE_PREFIX, Book, Job, JobRecord, live_key
+from ryewing.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
 from ryewing.mesh import ImageHint
 from ryewing.node import API_SHARE, MESH_SHARE
-from ryewing.packed import Packed
-from ryewing.picture import RUNNING, Picture
-from ryewing.rooms import Quota, Room
+from ryewing.paged_records import PagedRecords
 from ryewing.stops import Stops
 from ryewing.store import Put, StoreDown
 from ryewing.units import (
@@ -47,32 +47,32 @@
     """Machines of two types, three zones and two kinds, and jobs on them."""
 
     def __init__(self, size: int) -> None:
-        self.book = Book()
-        self.picture = Picture(Term(5), 20.0, self.book, Stops())
+        self.job_table = JobTable()
+        self.cluster = ClusterState(Term(5), 20.0, self.job_table, Stops())
         for n in range(size):
             machine_type = GPU if n % 4 == 0 else CPU
-            machine = self.picture.add(
+            machine = self.cluster.add(
                 MachineId(f"i-{n:06d}"), machine_type, Zone("abc"[n % 3]), n % 5 == 0, T0
             )
-            machine.heeded, machine.recorded = 0, True
+            machine.acknowledged, machine.recorded = 0, True
 
     def job(self, ref: str, **changes: Any) -> Job:
-        return self.book.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
+        return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def fill(self, one: Job) -> None:
         """Fill every machine that has no cards with a job's tasks."""
         numbers = iter(range(one.spec.task_count))
-        for machine in self.picture.machines.values():
+        for machine in self.cluster.machines.values():
             while not machine.machine_type.gpus and machine.cpus >= one.spec.cpus:
                 task = TaskId(one.id, next(numbers))
-                self.picture.hold(machine, task, Attempt(1), RUNNING, T0)
+                self.cluster.assign(machine, task, Attempt(1), RUNNING, T0)
 
     def plan(self, *jobs: Job) -> placement.Plan:
         teams = {team.name: team for team in settings().params.teams}
-        rooms = [Room(machine) for machine in self.picture.machines.values()]
+        capacities = [MachineCapacity(machine) for machine in self.cluster.machines.values()]
         quota = Quota(teams, {}, {})
         now = Steady(T0 + 100.0)
-        return placement.Pass(rooms, quota, now, random.Random(7), policy().sample).run(jobs)
+        return placement.Pass(capacities, quota, now, random.Random(7), policy().sample).run(jobs)
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -82,7 +82,7 @@
     fleet = Fleet(size)
     ordinary = sum(
         m.zone == "a" and not m.spot and m.machine_type is CPU
-        for m in fleet.picture.machines.values()
+        for m in fleet.cluster.machines.values()
     )
     if full:
         fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
@@ -97,12 +97,12 @@
         zone="a",
     )
     plan = fleet.plan(gang)
-    assert not plan.short
+    assert not plan.unplaced
     if full:
-        assert len({held.machine.id for held in plan.stops}) == ordinary
+        assert len({assignment.machine.id for assignment in plan.stops}) == ordinary
     else:
         assert sum(n for batch in plan.batches for _machine, n in batch.parts) == ordinary
-    assert plan.looked <= 2 * ordinary
+    assert plan.machines_examined <= 2 * ordinary
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -111,11 +111,11 @@
     fleet = Fleet(size)
     fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
     ordinary = [
-        m for m in fleet.picture.machines.values()
+        m for m in fleet.cluster.machines.values()
         if m.zone == "a" and not m.spot and m.machine_type is CPU
     ]  # fmt: skip
     for machine in ordinary[::2]:
-        fleet.picture.clear_out(machine, T0)
+        fleet.cluster.drop_all(machine, T0)
     gang = fleet.job(
         "run-1",
         priority="urgent",
@@ -127,8 +127,8 @@
         zone="a",
     )
     plan = fleet.plan(gang)
-    assert not plan.short
-    assert {held.machine.id for held in plan.stops} == {m.id for m in ordinary[1::2]}
+    assert not plan.unplaced
+    assert {assignment.machine.id for assignment in plan.stops} == {m.id for m in ordinary[1::2]}
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -142,15 +142,15 @@
         for n in range(waiting)
     ]
     plan = fleet.plan(*jobs)
-    assert [one for one, _count in plan.short] == jobs
-    assert plan.looked == 0
+    assert [one for one, _count in plan.unplaced] == jobs
+    assert plan.machines_examined == 0
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_an_array_looks_at_a_sample(size: int) -> None:
     fleet = Fleet(size)
     plan = fleet.plan(fleet.job("run-1", task_count=100_000, spot=True))
-    assert plan.looked <= 2 * policy().sample  # machines without cards, then those with
+    assert plan.machines_examined <= 2 * policy().sample  # machines without cards, then those with
     assert sum(n for batch in plan.batches for _machine, n in batch.parts) >= policy().sample
 
 
@@ -159,24 +159,24 @@
 def test_jobs_that_wait_for_images_look_at_samples(size: int, waiting: int) -> None:
     """Twice a pass: at machines with the image, and at what lies idle. Never at all of them."""
     fleet = Fleet(size)
-    for n, machine in enumerate(fleet.picture.machines.values()):
-        machine.note_image(f"img-{n % 7}", 4.0)
+    for n, machine in enumerate(fleet.cluster.machines.values()):
+        machine.record_image(f"img-{n % 7}", 4.0)
     jobs = [
         fleet.job(f"run-1{n}", task_count=90, image=f"img-{n % 9}", image_gb=10.0, spot=True)
         for n in range(waiting)
     ]
     plan = fleet.plan(*jobs)
     assert plan.batches
-    assert plan.looked <= 3 * policy().sample * waiting
+    assert plan.machines_examined <= 3 * policy().sample * waiting
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_what_a_successor_is_told_of_images_is_small(size: int) -> None:
     fleet = Fleet(size)
-    for n, machine in enumerate(fleet.picture.machines.values()):
+    for n, machine in enumerate(fleet.cluster.machines.values()):
         for k in range(8):
-            machine.note_image(f"some-longer-image-name-{(n + k) % 40:02d}", 1.0)
-    hint = msgspec.msgpack.encode(ImageHint(1, *fleet.picture.images()))
+            machine.record_image(f"some-longer-image-name-{(n + k) % 40:02d}", 1.0)
+    hint = msgspec.msgpack.encode(ImageHint(1, *fleet.cluster.images()))
     assert len(hint) <= 2000 + 32 * size  # names once, then a byte for each image of a machine
 
 
@@ -200,10 +200,10 @@
     before = stage.store.writes
     stage.ready(*workers)
     assert stage.store.writes - before <= size // 20 + 1
-    assert all(m.usable() for m in stage.leader.ctx.picture.machines.values())
+    assert all(m.usable() for m in stage.leader.ctx.cluster.machines.values())
     stage.new_leader(6)
-    assert len(stage.leader.ctx.picture.machines) == size
-    assert all(m.recorded for m in stage.leader.ctx.picture.machines.values())
+    assert len(stage.leader.ctx.cluster.machines) == size
+    assert all(m.recorded for m in stage.leader.ctx.cluster.machines.values())
 
 
 @pytest.mark.parametrize("jobs", [8, 64, 256])
@@ -213,27 +213,27 @@
         name = JobId(f"run-{n}")
         record = JobRecord(job_spec(str(name), task_count=800), 0.0)
         result = stage.store.txn({}, [Put(live_key(name), record)])
-        found = stage.leader.ctx.book.put(record, KeyVersion(result.revision))
+        found = stage.leader.ctx.job_table.put(record, KeyVersion(result.revision))
         found.finish(n)
-        stage.leader.ctx.book.touch(found)
+        stage.leader.ctx.job_table.touch(found)
     before = stage.store.writes
     stage.write()
     assert stage.store.writes - before <= jobs // 16 + 1
-    assert not any(one.unwritten for one in stage.leader.ctx.book)
+    assert not any(one.unwritten for one in stage.leader.ctx.job_table)
     stage.new_leader(6)
-    assert all(one.done_count == 1 for one in stage.leader.ctx.book)
+    assert all(one.done_count == 1 for one in stage.leader.ctx.job_table)
 
 
 def test_finishes_of_jobs_that_are_gone_do_not_stop_a_take_over(stage: Stage) -> None:
     """Found on a rough day: dropping them while reading ended every term at its beginning."""
     for n in range(3):
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
-        found = stage.leader.ctx.book.put(record, KeyVersion(1))
+        found = stage.leader.ctx.job_table.put(record, KeyVersion(1))
         found.finish(0)
-        stage.leader.ctx.book.touch(found)
+        stage.leader.ctx.job_table.touch(found)
     stage.write()
     stage.new_leader(6)  # none of the jobs is in the store
-    assert not stage.leader.ctx.book.jobs
+    assert not stage.leader.ctx.job_table.jobs
     stage.write()
     assert all(bytes(entry.data) == b"{}" for entry in stage.store.listing(DONE_PREFIX)[0])
 
@@ -247,14 +247,14 @@
     stage.place()
     stage.exchange(worker)
     stage.exchange(worker)
-    assert len(stage.holds()) == tasks
+    assert len(stage.assignments()) == tasks
     parsed: list[str] = []
 
     def counted(text: str) -> TaskId | None:
         parsed.append(text)
         return parse_task(text)
 
-    monkeypatch.setattr("ryewing.picture.parse_task", counted)
+    monkeypatch.setattr("ryewing.cluster_state.parse_task", counted)
     for _ in range(5):
         stage.exchange(worker)
     assert not parsed
@@ -262,7 +262,7 @@
     worker.tasks[key] = ReportedTask(*key, "ended", "done")
     stage.exchange(worker)
     assert len(parsed) <= 1
-    assert len(stage.holds()) == tasks - 1
+    assert len(stage.assignments()) == tasks - 1
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -288,24 +288,24 @@
     """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
     workers = [stage.worker(f"i-{n:06d}") for n in range(250)]
     stage.ready(*workers)
-    machines = list(stage.leader.ctx.picture.machines.values())
+    machines = list(stage.leader.ctx.cluster.machines.values())
     stage.leader.renter.release([(machine, "silent") for machine in machines])
     assert len(stage.cloud.released) == RELEASE_MAX
-    assert len(stage.leader.ctx.picture.machines) == 250 - RELEASE_MAX
-    assert not any(m.leaving for m in stage.leader.ctx.picture.machines.values())
+    assert len(stage.leader.ctx.cluster.machines) == 250 - RELEASE_MAX
+    assert not any(m.leaving for m in stage.leader.ctx.cluster.machines.values())
 
 
 # -- records that share a value -----------------------------------------------------------------
 
 
-def written(packed: Packed, store: dict[str, Entry], key_version: int) -> int:
+def written(packed: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
     """Make every wanted change; return how many."""
     count = 0
     while wanted := list(packed.changed()):
         change = packed.change(wanted[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
-            held = store.get(key)
-            assert condition == (held.key_version if held is not None else 0)
+            assignment = store.get(key)
+            assert condition == (assignment.key_version if assignment is not None else 0)
         for put in change.ops:
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
@@ -320,7 +320,7 @@
 
 @pytest.mark.parametrize("count", [1, 50, 500])
 def test_packed_records_come_back_and_go(count: int) -> None:
-    packed = Packed(MACHINE_PREFIX, STATE.value_kb)
+    packed = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     store: dict[str, Entry] = {}
     for n in range(count):
         packed.put(f"i-{n:06d}", {"flavour": "c32", "n": n})
@@ -329,7 +329,7 @@
     for n in range(count):  # records that grow beyond the value go to others
         packed.put(f"i-{n:06d}", {"flavour": "c32", "n": n, "addr": "10.1.0.2:9000"})
     assert changes <= written(packed, store, 2) <= 2 * changes
-    again = Packed(MACHINE_PREFIX, STATE.value_kb)
+    again = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     records, twice = again.load(store.values())
     names = [name for name, _record in records]
     assert len(names) == len(set(names)) == count and not twice
@@ -340,7 +340,7 @@
 
 
 def test_a_change_made_while_a_write_is_under_way_is_written_too() -> None:
-    packed = Packed(DONE_PREFIX, STATE.value_kb)
+    packed = PagedRecords(DONE_PREFIX, STATE.value_kb)
     number = packed.put("run-1/0", "AA==")
     change = packed.change(number, 8, 1024)
     packed.put("run-1/0", "gA==")
@@ -375,7 +375,7 @@
     [(conditions, writes)] = held_back
     assert not real(conditions, writes).ok  # type: ignore[arg-type]
     stage.new_leader(6)
-    assert set(stage.leader.ctx.picture.machines) == {"i-000001", "i-000002"}
+    assert set(stage.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
 
 
 def test_a_write_that_was_applied_unseen_is_found_out(stage: Stage) -> None:
@@ -387,6 +387,6 @@
     stage.store.lose_answers = False
     hear(stage, second)
     stage.write()
-    assert all(m.recorded for m in stage.leader.ctx.picture.machines.values())
+    assert all(m.recorded for m in stage.leader.ctx.cluster.machines.values())
     stage.new_leader(6)
-    assert set(stage.leader.ctx.picture.machines) == {"i-000001", "i-000002"}
+    assert set(stage.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -13,9 +13,9 @@
 from stage import Stage, starts, verbs
 from standins import FakeWorker, policy, settings
 
+from ryewing.cluster_state import PLANNED, RUNNING, SENT
 from ryewing.dispatch import ORDERS_MAX
 from ryewing.leadership import campaign, may_campaign, read_view
-from ryewing.picture import PLANNED, RUNNING, SENT
 from ryewing.store import Store, StoreDown
 from ryewing.transport import Reply
 from ryewing.units import JobId, MachineId, NodeName, Term, token_of
@@ -46,9 +46,9 @@
     deaf = stage.ready_worker()
     stage.accept(task_count=4)
     assert placed_in_rounds(stage, deaf, 12) == 1
-    assert stage.holds() == {}
-    machine = stage.leader.ctx.picture.machines[MachineId(deaf.name)]
-    assert not machine.usable() and machine.unheeding_since is not None
+    assert stage.assignments() == {}
+    machine = stage.leader.ctx.cluster.machines[MachineId(deaf.name)]
+    assert not machine.usable() and machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
     stage.place()
     stage.leader.renter.rent()
@@ -66,7 +66,7 @@
     stage.accept(task_count=1)
     unanswered(stage, deaf)
     stage.place()
-    assert stage.holds() == {}
+    assert stage.assignments() == {}
     stage.exchange(deaf)  # it hears this
     stage.exchange(deaf)  # and shows it
     stage.place()
@@ -118,14 +118,14 @@
     stage.begin(worker, task_count=2)
     newest = worker.report()
     stage.leader.on_report(newest)
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     heard_at, until = machine.heard_at, machine.may_hold_until
     assert heard_at is not None and until is not None
     stage.later(age_s)
     if alive:
         stage.exchange(worker)
         heard_at, until = machine.heard_at, machine.may_hold_until
-    stage.leader.ctx.picture.expire(stage.clock())
+    stage.leader.ctx.cluster.expire(stage.clock())
     gone = not alive and age_s > LEASE_S
     copy_of = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
@@ -135,7 +135,7 @@
     if not alive and age_s > 4.5:
         assert answer is None
         assert machine.may_hold_until == (None if gone else until)
-    assert sorted(stage.holds().values()) == ([] if gone else [RUNNING, RUNNING])
+    assert sorted(stage.assignments().values()) == ([] if gone else [RUNNING, RUNNING])
     assert machine.handshaken
 
 
@@ -146,11 +146,11 @@
     stage.exchange(worker)
     held_back = worker.report()
     stage.later(LEASE_S + 1.0)
-    stage.leader.ctx.picture.expire(stage.clock())
-    assert stage.holds() == {}
+    stage.leader.ctx.cluster.expire(stage.clock())
+    assert stage.assignments() == {}
     assert stage.leader.on_report(held_back) is None
-    assert stage.holds() == {}
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    assert stage.assignments() == {}
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert machine.may_hold_until is None
     worker.session += 1  # whereas the worker itself would come in a new session
     worker.tasks.clear()
@@ -163,12 +163,12 @@
     stage.place()
     before = worker.report()
     stage.leader.on_report(before)
-    [phase] = stage.holds().values()
+    [phase] = stage.assignments().values()
     assert phase == SENT
     for late in (1.0, 6.0):
         stage.later(late)
         stage.leader.on_report(copy.deepcopy(before))
-        assert list(stage.holds().values()) == [SENT]
+        assert list(stage.assignments().values()) == [SENT]
 
 
 def test_copies_at_the_next_leader_give_no_work_and_end_with_their_lease(stage: Stage) -> None:
@@ -177,16 +177,16 @@
     late = worker.report()
     stage.new_leader(6)
     assert stage.leader.on_report(late) is not None  # it might be the worker itself
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert not machine.handshaken and not machine.usable()
-    found = stage.leader.ctx.book.get(job)
+    found = stage.leader.ctx.job_table.get(job)
     assert found is not None and found.shortfall == 0  # what it may hold blocks
     for _ in range(4):
         stage.later(6.0)
         assert stage.leader.on_report(copy.deepcopy(late)) is None
     bound = policy().hold_s + LEASE_S
     stage.later(bound)
-    stage.leader.ctx.picture.expire(stage.clock())
+    stage.leader.ctx.cluster.expire(stage.clock())
     assert found.shortfall == 1  # and no longer than it may
     assert stage.leader.on_report(copy.deepcopy(late)) is None
     assert found.shortfall == 1
@@ -206,8 +206,8 @@
     for _ in range(4):
         answer = stage.leader.on_report(copy.deepcopy(late))
         assert answer is None or not answer.commands
-        assert not stage.leader.ctx.picture.machines
-        found = stage.leader.ctx.book.get(job)
+        assert not stage.leader.ctx.cluster.machines
+        found = stage.leader.ctx.job_table.get(job)
         assert found is not None and found.shortfall == 1
         stage.write()
         assert not stage.leader.writer.to_record
@@ -215,7 +215,7 @@
     stage.exchange(worker)
     stage.exchange(worker)
     assert found is not None and found.shortfall == 0
-    assert MachineId(worker.name) in stage.leader.ctx.picture.machines
+    assert MachineId(worker.name) in stage.leader.ctx.cluster.machines
 
 
 def test_a_restarted_worker_is_told_by_its_direct_answer(stage: Stage) -> None:
@@ -230,22 +230,22 @@
     worker.tasks.clear()
     stage.later(0.3)
     stage.leader.on_report(worker.report())
-    assert len(stage.holds()) == 2  # not believed yet
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    assert len(stage.assignments()) == 2  # not believed yet
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
     stage.leader.dispatch.send(machine)
-    assert stage.holds() == {} and machine.handshaken
+    assert stage.assignments() == {} and machine.handshaken
     stage.leader.on_report(copy.deepcopy(old))  # a late copy from before
     stage.leader.dispatch.send(machine)
-    assert stage.holds() == {}
+    assert stage.assignments() == {}
     stage.place()
-    assert list(stage.holds().values()) == [PLANNED, PLANNED]
+    assert list(stage.assignments().values()) == [PLANNED, PLANNED]
 
 
 def test_a_direct_answer_overtaken_by_a_report_is_no_restart(stage: Stage) -> None:
     worker = stage.ready_worker()
     stage.begin(worker, task_count=2)
     stage.exchange(worker)
-    machine = stage.leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
 
     class Overtaken:
         """The report that follows the answer arrives before it."""
@@ -257,7 +257,7 @@
 
     stage.leader.dispatch.workers = Overtaken()  # type: ignore[assignment]
     stage.leader.dispatch.send(machine)
-    assert list(stage.holds().values()) == [RUNNING, RUNNING]
+    assert list(stage.assignments().values()) == [RUNNING, RUNNING]
 
 
 @pytest.mark.parametrize(
@@ -331,7 +331,7 @@
     job = stage.accept(task_count=4)
     stage.place()
     leader = stage.leader
-    machine = leader.ctx.picture.machines[MachineId(worker.name)]
+    machine = leader.ctx.cluster.machines[MachineId(worker.name)]
     if act == "halt":
         stage.exchange(worker)
         leader.intake.take_cancel(job)  # a stop for each task, to be sent directly
@@ -412,11 +412,11 @@
     reports = [held_back, runs.report()]
     for report in reports if old_first else reversed(reports):
         assert stage.leader.on_report(report) is not None
-    found = stage.leader.ctx.book.get(name)
+    found = stage.leader.ctx.job_table.get(name)
     assert found is not None and found.shortfall == 0
     if cancelled:
         stage.leader.take_cancel(name)
-        stage.leader.dispatch.send(stage.leader.ctx.picture.machines[MachineId(runs.name)])
+        stage.leader.dispatch.send(stage.leader.ctx.cluster.machines[MachineId(runs.name)])
         assert [reported.status for reported in runs.tasks.values()] == [
             "ended"
         ]  # by a direct halt
@@ -448,7 +448,7 @@
     was.tasks.clear()
     stage.exchange(was)
     stage.write()
-    assert not stage.leader.ctx.book.dirty and not stage.lost
+    assert not stage.leader.ctx.job_table.dirty and not stage.lost
 
 
 def test_halts_are_not_crowded_out_by_what_has_ended(stage: Stage) -> None:
