--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -24,7 +24,7 @@
     live_key,
 )
 from ryewing.leadership import Holder, TermRecord
-from ryewing.packed import Packed
+from ryewing.paged_records import PagedRecords
 from ryewing.store import Put
 from ryewing.units import JobId, KeyVersion, MachineId, WallTime
 from ryewing.wire import MachineTypeList, RentalRequest
@@ -70,7 +70,7 @@
     stage.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
     leader = stage.new_leader(6)
     assert leader.renter.load_types() == [CPU, GPU]
-    gang = leader.ctx.book.jobs[JobId("run-000412")]
+    gang = leader.ctx.job_table.jobs[JobId("run-000412")]
     assert (
         gang.gang
         and gang.spec.same_zone
@@ -78,10 +78,10 @@
         and gang.accepted_at == 1000.5
     )
     assert gang.spec.machine_types == ["c32"] and gang.inherited
-    assert leader.ctx.book.jobs[JobId("run-000413")].cancelled
-    counted = leader.ctx.book.jobs[JobId("run-000414")]
+    assert leader.ctx.job_table.jobs[JobId("run-000413")].cancelled
+    counted = leader.ctx.job_table.jobs[JobId("run-000414")]
     assert [n for n in range(20) if counted.is_done(n)] == [0, 1, 9, 19]
-    one, other = (leader.ctx.picture.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
+    one, other = (leader.ctx.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
     assert one.recorded and one.may_hold_until is not None and one.address == "10.1.0.2:9000"
     assert not other.recorded and other.spot and other.zone == "b"
     assert leader.renter.pending_requests["r-3-1"] == RentalRequest("r-3-1", "c32", "a", True, 12)
@@ -97,7 +97,7 @@
     (b"\x82\xa4type\xa4poll\xa3job\xa5run-1", mesh.PollJob("run-1")),
     (b"\x82\xa4type\xa6cancel\xa3job\xa5run-1", mesh.CancelNotice("run-1")),
     (b"\x83\xa4type\xa6leader\xa4node\xa3n-1\xa4term\x07", mesh.LeaderNotice("n-1", 7)),
-    (b"\x81\xa4type\xa4load", mesh.LoadAsk()),
+    (b"\x81\xa4type\xa4load", mesh.LoadQuery()),
     (
         b"\x84\xa4type\xa6images\xa4term\x07\xa6images\x91\x92\xa5img-1\xcb?\xe0\x00\x00\x00\x00"
         b"\x00\x00\xa8machines\x81\xa8i-000001\x91\x00",
@@ -105,7 +105,7 @@
     ),
     (
         b"\x84\xa4type\xa5relay\xa6method\xa4POST\xa4path\xa4/txn\xa4body\xc4\x02{}",
-        mesh.RelayAsk("POST", "/txn", b"{}"),
+        mesh.RelayRequest("POST", "/txn", b"{}"),
     ),
     (
         b"\x84\xa4type\xa5state\xa6status\xa7running\xa4done\x01\xa7running\x03",
@@ -113,13 +113,16 @@
     ),
     (b"\x84\xa4type\xa5state\xa6status\xc0\xa4done\xc0\xa7running\xc0", mesh.JobState()),
     (b"\x82\xa4type\xa3ack\xa2ok\xc3", mesh.Ack(True)),
-    (b"\x83\xa4type\xa7relayed\xa6status\xcc\xc8\xa4body\xc4\x02{}", mesh.RelayAnswer(200, b"{}")),
+    (
+        b"\x83\xa4type\xa7relayed\xa6status\xcc\xc8\xa4body\xc4\x02{}",
+        mesh.RelayResponse(200, b"{}"),
+    ),
 ]
 
 
 @pytest.mark.parametrize(("frame", "said"), FRAMES)
 def test_mesh_frames_of_the_earlier_version_are_understood(frame: bytes, said: Any) -> None:
-    kind = Union[mesh.Ask, mesh.Answer]
+    kind = Union[mesh.Request, mesh.Response]
     assert msgspec.msgpack.decode(frame, type=kind) == said
 
 
@@ -250,10 +253,10 @@
 
 def test_an_earlier_leader_can_take_over_at_every_step_of_parting(stage: Stage) -> None:
     """It reads each value whole, under any number, and what no value has would be lost to it."""
-    wide = Packed(MACHINE_PREFIX, 16.0)
+    wide = PagedRecords(MACHINE_PREFIX, 16.0)
     for n in range(100):
         wide.put(f"i-{n:06d}", MachineRecord("c32", "a", False, f"10.1.0.{n}:9000", True))
-    done = Packed(DONE_PREFIX, 16.0)
+    done = PagedRecords(DONE_PREFIX, 16.0)
     for n in range(40):
         record = JobRecord(job_spec(f"run-{n}", task_count=800), 0.0)
         one = Job(record, KeyVersion(1))
@@ -280,7 +283,7 @@
     """The old one fills values up under the old limits; the new one parts them again."""
     stage.announce(value_kb=1.0, txn_ops=2)
     for term in range(6, 14):
-        wide = Packed(MACHINE_PREFIX, 8.0)
+        wide = PagedRecords(MACHINE_PREFIX, 8.0)
         wide.load(stage.store.listing(MACHINE_PREFIX)[0])  # production's layout, filled as it does
         for n in range(30):
             name = f"i-{term:03d}{n:03d}"
@@ -289,7 +292,7 @@
             change = wide.change(number, 8, 65536)
             assert stage.store.txn(change.conditions, list(change.ops)).ok
         leader = stage.new_leader(term)
-        assert len(leader.ctx.picture.machines) == 30 * (term - 5)
+        assert len(leader.ctx.cluster.machines) == 30 * (term - 5)
         stage.write()
         assert all(
             len(bytes(entry.data)) <= 1024 for entry in stage.store.listing(MACHINE_PREFIX)[0]
