--- a/src/ryewing/capacity.py
+++ b/src/ryewing/capacity.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from .cluster_state import COLD, Assignment, Machine
 from .jobs import EPSILON, Job, count_fitting
+from .machine import COLD, Assignment, Machine
 from .settings import Team
 from .units import TeamName
 from .wire import PRIORITIES, JobSpec
--- a/src/ryewing/cluster_state.py
+++ b/src/ryewing/cluster_state.py
@@ -8,17 +8,28 @@
 from __future__ import annotations
 
 import logging
-from collections import Counter, OrderedDict
 from collections.abc import Iterator
 
+from .failures import FailureJudge
 from .jobs import Job, JobTable
+from .machine import (
+    ENDED,
+    FETCHING,
+    LIVE_PHASES,
+    PLANNED,
+    RUNNING,
+    SENT,
+    Assignment,
+    EndedAttempt,
+    Machine,
+    ran_well,
+)
 from .stops import Stops
 from .units import (
     DRIFT,
     MAX_TOKEN_BUMPS,
     NEVER_HEARD,
     Attempt,
-    JobId,
     MachineId,
     ReportVersion,
     Steady,
@@ -32,260 +43,16 @@
     token_bumps_of,
     token_of,
 )
-from .wire import JobSpec, MachineType, Report, ReportedTask
+from .wire import MachineType, Report, ReportedTask
 
 log = logging.getLogger("ryewing.cluster_state")
 
-PLANNED = "planned"
-SENT = "sent"
-FETCHING = "fetching"
-GATHERING = "gathering"
-RUNNING = "running"
-SAVING = "saving"
-ENDED = "ended"
-LIVE_PHASES = frozenset((FETCHING, GATHERING, RUNNING, SAVING))
 LEASE_MARGIN_S = 0.5
-PACE_WEIGHT, PACE_MAX, SLOW_PACE = 0.2, 3.0, 1.4
-FAILS_ANYWHERE = 3
-"""A job that failed on so many machines is thought to fail on every one."""
-BACKOFF_MIN_S, BACKOFF_MAX_S = 2.0, 60.0
-"""How long a job that fails everywhere is left alone after its first probe, and at the most: below
-the 90 s for which no job may wait beside room for it."""
-RAN_WELL_S = 15.0
-"""A replica that ran for so long did not fail at its start."""
-KEPT_MAX = 64
-AVOID_S = 75.0
-"""How long a machine where a task failed gets none of the job's: below the 90 s for which no job
-may wait beside room for it, since machines that fail tasks may recover."""
-WARM, FETCHED_NOW, COLD = range(3)
-SLOWDOWN_WEIGHT, SLOWDOWN_FROM_S, SHARED_SLOWDOWN = 0.05, 5.0, 1.2
-"""How fast it is learned whether fetches at once share a machine's rate, from which length on (a
-report tells of the end seconds late), and what says that they do: full sharing doubles them."""
-
-
-class Assignment:
-    """One task attempt on a machine: planned, assumed, or reported."""
-
-    __slots__ = (
-        "attempt",
-        "job",
-        "machine",
-        "phase",
-        "planned_at",
-        "running_since",
-        "sent_after",
-        "start_observed",
-        "task",
-    )
-
-    def __init__(
-        self,
-        machine: Machine,
-        task: TaskId,
-        attempt: Attempt,
-        job: Job | None,
-        phase: str,
-        now: Steady,
-    ) -> None:
-        self.machine = machine
-        self.task = task
-        self.attempt = attempt
-        self.job = job
-        self.phase = phase
-        self.planned_at = now
-        self.sent_after: ReportVersion | None = None
-        """The report whose response carried the start; a later report settles it."""
-        self.running_since: Steady | None = None
-        self.start_observed = False
-        """Its run was seen to begin; a task found running after a take-over was not."""
-
-
-def ran_well(assignment: Assignment, now: Steady) -> bool:
-    """Tell whether a task ran for a while; of a replica that was found running nothing else is
-    known."""
-    if assignment.running_since is None:
-        return False
-    found_serving = (
-        not assignment.start_observed and assignment.job is not None and assignment.job.endless
-    )
-    return found_serving or now - assignment.running_since >= RAN_WELL_S
-
-
-class EndedAttempt:
-    """An ended attempt that the worker reports until it is cleared."""
-
-    __slots__ = ("attempt", "done", "task")
-
-    def __init__(self, task: TaskId, attempt: Attempt, done: bool) -> None:
-        self.task = task
-        self.attempt = attempt
-        self.done = done
-
-
-class ImageFetch:
-    """An image on its way to a machine, as its tasks show it."""
-
-    __slots__ = ("alone", "began")
-
-    def __init__(self, began: Steady, alone: bool) -> None:
-        self.began = began
-        self.alone = alone
-        """No other image was fetched there meanwhile."""
-
-
-class Machine:
-    """One machine as far as it is known."""
-
-    __slots__ = (
-        "acknowledged",
-        "address",
-        "assignments",
-        "cpus",
-        "ended",
-        "expired_session",
-        "faults",
-        "fetches",
-        "gpus",
-        "heard_at",
-        "id",
-        "idle_since",
-        "images",
-        "images_in_use",
-        "last_reported",
-        "leaving",
-        "machine_type",
-        "may_hold_until",
-        "memory_gb",
-        "notice_s",
-        "noticed_at",
-        "pace",
-        "quarantined",
-        "recorded",
-        "rented_at",
-        "required_acknowledgement",
-        "retiring",
-        "retiring_since",
-        "spot",
-        "token_bumped_at",
-        "token_bumps",
-        "unacknowledged_since",
-        "version",
-        "zone",
-    )
-
-    def __init__(
-        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: Steady
-    ) -> None:
-        self.id = name
-        self.machine_type = machine_type
-        self.zone = zone
-        self.spot = spot
-        self.address = ""
-        self.version = NEVER_HEARD
-        self.expired_session = 0
-        """The newest session that is surely over: what is said of it is an old copy."""
-        self.acknowledged = -1
-        """The highest nudge of our term that its messages have shown; -1: nothing of our term."""
-        self.required_acknowledgement = 0
-        """The nudge that it has to show before it gets work: that our answers reach it is seen by
-        nothing else."""
-        self.unacknowledged_since: Steady | None = None
-        """Since when its messages come although it doesn't hear ours."""
-        self.recorded = False
-        """The store holds the machine, so that a successor knows that it may have tasks."""
-        self.heard_at: Steady | None = None
-        self.may_hold_until: Steady | None = None
-        """Until then its lease may run. None: the worker was never answered by anybody."""
-        self.rented_at = now
-        self.idle_since = now
-        self.notice_s: float | None = None
-        self.noticed_at = now
-        self.pace = 1.0
-        """How long tasks take here, as against the same jobs' tasks elsewhere."""
-        self.token_bumps = 0
-        self.token_bumped_at: Steady | None = None
-        self.leaving = False
-        self.retiring = False
-        """No more work is wanted here: it is returned once what runs has ended."""
-        self.retiring_since = now
-        self.quarantined = False
-        self.assignments: dict[TaskId, Assignment] = {}
-        self.last_reported: dict[tuple[str, int], ReportedTask] = {}
-        """Attempts as its newest message showed them: only what differs in the next is news."""
-        self.ended: dict[tuple[str, int], EndedAttempt] = {}
-        self.images: OrderedDict[str, float] = OrderedDict()
-        self.images_in_use: Counter[str] = Counter()
-        """Images of the tasks that are here, so also of those being fetched."""
-        self.fetches: dict[str, ImageFetch] = {}
-        """Images seen to be fetched."""
-        self.faults: set[JobId] = set()
-        """Jobs that failed here since a task last finished, and that may be sound themselves."""
-        self.cpus = machine_type.cpus
-        self.gpus = machine_type.gpus
-        self.memory_gb = machine_type.memory_gb
-
-    @property
-    def handshaken(self) -> bool:
-        """Tell whether a message with our term's token came: it refuses older starts since."""
-        return self.acknowledged >= 0
-
-    @property
-    def acknowledges(self) -> bool:
-        """Tell whether it was seen to hear us, since there was last reason to doubt it."""
-        return self.acknowledged >= self.required_acknowledgement
-
-    def usable(self) -> bool:
-        """Tell whether new tasks may be planned for it."""
-        return (
-            self.acknowledges
-            and self.recorded
-            and not self.leaving
-            and not self.retiring
-            and not self.quarantined
-            and self.notice_s is None
-        )
-
-    def record_pace(self, job: Job, took_s: float) -> None:
-        """Compare a finished task with what its job's tasks were seen to take so far."""
-        if job.run_seen_s:
-            ratio = min(PACE_MAX, took_s / job.run_seen_s)
-            self.pace += PACE_WEIGHT * (ratio - self.pace)
-
-    def record_fetch(self, spec: JobSpec, fetching: bool, now: Steady) -> float | None:
-        """Take note of a fetch's begin, or its end: then how much longer than thought it took.
-
-        Only of fetches beside others, since whether these share the machine's rate is not known.
-        """
-        if fetching:
-            if spec.image not in self.fetches and spec.image not in self.images:
-                for name in [n for n in self.fetches if not self.images_in_use[n]]:
-                    del self.fetches[name]  # given up
-                for other in self.fetches.values():
-                    other.alone = False
-                self.fetches[spec.image] = ImageFetch(now, not self.fetches)
-            return None
-        fetch = self.fetches.pop(spec.image, None)
-        thought = spec.image_gb / max(self.machine_type.fetch_gb_per_s, 1e-3)
-        if fetch is None or fetch.alone or thought < SLOWDOWN_FROM_S:
-            return None
-        return (now - fetch.began) / thought
-
-    def slow(self) -> bool:
-        """Tell whether tasks take much longer here; types and chance make a tenth or two."""
-        return self.pace > SLOW_PACE
-
-    def warmth(self, image: str) -> int:
-        """Tell whether an image is probably here, is being fetched, or neither."""
-        if image in self.images:
-            return WARM
-        return FETCHED_NOW if self.images_in_use[image] > 0 else COLD
-
-    def record_image(self, image: str, size_gb: float) -> None:
-        """A task of this image ran here: the image is cached, the least used ones may go."""
-        self.images[image] = size_gb
-        self.images.move_to_end(image)
-        while len(self.images) > 1 and sum(self.images.values()) > self.machine_type.cache_gb:
-            self.images.popitem(last=False)
+"""How much longer than its lease a worker is thought to hold its tasks."""
+SLOWDOWN_WEIGHT = 0.05
+"""How much one fetch counts for whether fetches at once share a machine's rate."""
+SHARED_SLOWDOWN = 1.2
+"""From which on they are thought to share it; full sharing doubles what two fetches take."""
 
 
 class ClusterState:
@@ -295,6 +62,7 @@
         self.term = term
         self.job_table = job_table
         self.stops = stops
+        self.failures = FailureJudge(self)
         self.machines: dict[MachineId, Machine] = {}
         self.fetch_slowdown = 1.0
         """How much longer fetches beside others took than alone, as learned."""
@@ -648,139 +416,10 @@
         elif assignment is None or not known:
             return
         elif job.endless and reported.cause in ("done", "error"):
-            self._replica_ended(machine, job, reported.cause, well, assignment.planned_at, now)
+            self.failures.replica_ended(
+                machine, job, reported.cause, well, assignment.planned_at, now
+            )
         else:
-            self._failed(machine, job, reported.cause or "", assignment.planned_at, now)
-
-    def _replica_ended(
-        self, machine: Machine, job: Job, cause: str, well: bool, planned_at: Steady, now: Steady
-    ) -> None:
-        """Judge the end of a replica: one that ran well for a while runs again at once, anywhere.
-
-        None ever finishes, so that a job has finished nothing says nothing here: a good service was
-        thought faulty for a few bad machines. Its replicas that run well elsewhere count instead.
-        """
-        log.warning(
-            "job=%s machine=%s event=replica-ended cause=%s well=%s",
-            job.id,
-            machine.id,
-            cause,
-            well,
-        )
-        if cause == "done":
-            # The worker keeps the result: started there again it would end at once.
-            if len(job.result_kept_by) >= KEPT_MAX:
-                job.result_kept_by.clear()
-            job.result_kept_by.add(machine.id)
-        if well:
-            return
-        job.failed_on[machine.id] = now
-        if job.backoff_s:
-            self._probe_failed(job, planned_at, now)
-            return
-        if cause == "error":
-            machine.faults.add(job.id)
-        lately = {name for name, at in job.failed_on.items() if now - at < AVOID_S}
-        elsewhere = set(job.live.values()) - lately
-        if len(lately) >= max(FAILS_ANYWHERE, len(elsewhere) + 1) and not self.serves(job, now):
-            self._back_off(job, now)
-
-    def serves(self, job: Job, now: Steady) -> bool:
-        """Tell whether a task of the job runs well, and has for a while."""
-        return any(
-            assignment.phase == RUNNING and ran_well(assignment, now)
-            for assignment in self.assignments_of(job)
-        )
-
-    def _back_off(self, job: Job, now: Steady) -> None:
-        """The job is at fault, not the machines that it failed on: back off, longer each time."""
-        self.clear_faults(job)
-        job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, job.backoff_s * 2))
-        job.backoff_until = Steady(now + job.backoff_s)
-        if not job.gang:
-            for assignment in self.assignments_of(job):
-                if assignment.phase == PLANNED:
-                    self.drop(assignment, now)  # nothing was sent: it need not fail as well
-        log.warning(
-            "job=%s event=backed-off for_s=%g machines=%d",
-            job.id,
-            job.backoff_s,
-            len(job.failed_on),
-        )
-
-    def clear_faults(self, job: Job) -> None:
-        """Hold a job's failures against no machine: the job is known or likely to be at fault."""
-        for name in job.failed_on:
-            machine = self.machines.get(name)
-            if machine is not None:
-                machine.faults.discard(job.id)
-
-    def is_sound(self, job_id: JobId, now: Steady) -> bool:
-        """Tell whether a job's failures say something about machines.
-
-        It succeeded elsewhere, or failed on a single one. A job that is not live any more was
-        completed, or else its failures were forgiven.
-        """
-        job = self.job_table.get(job_id)
-        if job is None or job.done_count:
-            return True
-        return not job.backoff_s and (len(job.failed_on) == 1 or self.serves(job, now))
-
-    def recovered(self, job: Job, now: Steady) -> bool:
-        """See whether a job that backed off runs well after all; if so, take the delay back."""
-        well = [h for h in self.assignments_of(job) if h.phase == RUNNING and ran_well(h, now)]
-        if not well:
-            return False
-        job.backoff_s = 0.0
-        if job.endless:
-            job.failed_on.clear()
-        for assignment in well:
-            job.failed_on.pop(assignment.machine.id, None)
-        return True
-
-    def probing(self, job: Job) -> bool:
-        """Tell whether a task placed since the job last backed off has yet to show how it ends."""
-        return any(
-            assignment.planned_at >= job.backoff_until for assignment in self.assignments_of(job)
-        )
-
-    def _probe_failed(self, job: Job, planned_at: Steady, now: Steady) -> None:
-        """A task of a job that backs off has failed too: one step for each probe.
-
-        Found in a replay: each of the tasks placed before the first backoff doubled it, so that it
-        stood at its maximum within half a second, and each was held against its machine anew.
-        """
-        if planned_at >= job.backoff_until:
-            self._back_off(job, now)
-
-    def _failed(
-        self, machine: Machine, job: Job, cause: str, planned_at: Steady, now: Steady
-    ) -> None:
-        """Judge a failure: by the job if it fails on several machines, else by the machine."""
-        if cause in ("no_room", "in_use", "unknown"):
-            # The worker knows better than our sums, or the job's description is not there yet:
-            # look again after its next reports instead of at once.
-            job.backoff_until = Steady(max(job.backoff_until, now + 1.0))
-            log.warning("job=%s machine=%s event=refused cause=%s", job.id, machine.id, cause)
-            return
-        if cause != "error":
-            return
-        if machine.id not in job.failed_on and not job.backoff_s:
-            log.warning("job=%s machine=%s event=task-failed", job.id, machine.id)
-        job.failed_on[machine.id] = now
-        if job.backoff_s:
-            self._probe_failed(job, planned_at, now)
-            return
-        machine.faults.add(job.id)
-        if job.done_count or len(job.failed_on) < FAILS_ANYWHERE:
-            return
-        elsewhere = {
-            assignment.machine.id
-            for assignment in self.assignments_of(job)
-            if assignment.phase == RUNNING
-        } - job.failed_on.keys()
-        if len(job.failed_on) > len(elsewhere):
-            # Not so if it finished tasks or runs on more machines than it failed on: among
-            # hundreds, a large array meets several faulty ones at once, and each of them was
-            # cleared of its fault by that.
-            self._back_off(job, now)
+            self.failures.task_failed(
+                machine, job, reported.cause or "", assignment.planned_at, now
+            )
--- a/src/ryewing/dispatch.py
+++ b/src/ryewing/dispatch.py
@@ -13,7 +13,7 @@
 from gevent.pool import Group
 
 from .budget import Budget
-from .cluster_state import PLANNED, RUNNING, SAVING, SENT, Assignment, Machine
+from .machine import PLANNED, RUNNING, SAVING, SENT, Assignment, Machine
 from .term import TermContext
 from .units import (
     MAX_TOKEN_BUMPS,
@@ -140,7 +140,7 @@
         Found in a replay: a new leader did not know yet which jobs fail everywhere, and set sound
         machines aside on which two of them had failed.
         """
-        if sum(self.ctx.cluster.is_sound(job, now) for job in machine.faults) < FAULTS_MAX:
+        if sum(self.ctx.cluster.failures.is_sound(job, now) for job in machine.faults) < FAULTS_MAX:
             return
         aside = sum(m.quarantined for m in self.ctx.cluster.machines.values())
         if aside >= max(1, len(self.ctx.cluster.machines) // 8):
--- a/src/ryewing/fleet.py
+++ b/src/ryewing/fleet.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Sequence
 
 from .capacity import allows
-from .cluster_state import Machine
 from .jobs import Job, count_fitting, fits_machine_type
+from .machine import Machine
 from .policy import Policy
 from .units import MachineId, Steady, Zone
 from .wire import JobSpec, MachineType
--- a/src/ryewing/intake.py
+++ b/src/ryewing/intake.py
@@ -71,7 +71,7 @@
         self.ctx.job_table.touch(job)
         if not job.done_count:
             # Its user calls off a job that never finished anything: the mistake may be its own.
-            self.ctx.cluster.clear_faults(job)
+            self.ctx.cluster.failures.clear_faults(job)
         now = steady_now()
         for assignment in self.ctx.cluster.assignments_of(job):
             self.dispatch.stop_assignment(assignment, 0.0, "cancelled", now)
--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader.py
@@ -14,8 +14,8 @@
 import gevent
 import msgspec
 
-from .cluster_state import BACKOFF_MAX_S, BACKOFF_MIN_S
 from .dispatch import Dispatch
+from .failures import BACKOFF_MAX_S, BACKOFF_MIN_S
 from .intake import Intake
 from .jobs import DONE_PREFIX, LIVE_PREFIX, read_record
 from .leadership import Leadership
--- /dev/null
+++ b/src/ryewing/machine.py
@@ -0,0 +1,265 @@
+"""One machine as far as the leader knows it: what runs there, its images and how well it does."""
+
+from __future__ import annotations
+
+from collections import Counter, OrderedDict
+
+from .jobs import Job
+from .units import (
+    NEVER_HEARD,
+    Attempt,
+    JobId,
+    MachineId,
+    ReportVersion,
+    Steady,
+    TaskId,
+    Zone,
+)
+from .wire import JobSpec, MachineType, ReportedTask
+
+PLANNED = "planned"
+SENT = "sent"
+FETCHING = "fetching"
+GATHERING = "gathering"
+RUNNING = "running"
+SAVING = "saving"
+ENDED = "ended"
+LIVE_PHASES = frozenset((FETCHING, GATHERING, RUNNING, SAVING))
+RAN_WELL_S = 15.0
+"""A replica that ran for so long did not fail at its start."""
+WARM, FETCHED_NOW, COLD = range(3)
+"""Whether a machine has an image, is fetching it, or neither: the smaller the sooner."""
+PACE_WEIGHT = 0.2
+"""How much one finished task counts for its machine's pace."""
+MAX_PACE = 3.0
+"""What one task may count at the most."""
+SLOW_PACE = 1.4
+"""Where tasks take so many times as long as elsewhere, the machine is slow."""
+SLOWDOWN_FROM_S = 5.0
+"""How long a fetch has to take to tell whether fetches share a machine's rate: a report tells of
+its end seconds late."""
+
+
+class Assignment:
+    """One task attempt on a machine: planned, assumed, or reported."""
+
+    __slots__ = (
+        "attempt",
+        "job",
+        "machine",
+        "phase",
+        "planned_at",
+        "running_since",
+        "sent_after",
+        "start_observed",
+        "task",
+    )
+
+    def __init__(
+        self,
+        machine: Machine,
+        task: TaskId,
+        attempt: Attempt,
+        job: Job | None,
+        phase: str,
+        now: Steady,
+    ) -> None:
+        self.machine = machine
+        self.task = task
+        self.attempt = attempt
+        self.job = job
+        self.phase = phase
+        self.planned_at = now
+        self.sent_after: ReportVersion | None = None
+        """The report whose response carried the start; a later report settles it."""
+        self.running_since: Steady | None = None
+        self.start_observed = False
+        """Its run was seen to begin; a task found running after a take-over was not."""
+
+
+def ran_well(assignment: Assignment, now: Steady) -> bool:
+    """Tell whether a task ran for a while; of a replica that was found running nothing else is
+    known."""
+    if assignment.running_since is None:
+        return False
+    found_serving = (
+        not assignment.start_observed and assignment.job is not None and assignment.job.endless
+    )
+    return found_serving or now - assignment.running_since >= RAN_WELL_S
+
+
+class EndedAttempt:
+    """An ended attempt that the worker reports until it is cleared."""
+
+    __slots__ = ("attempt", "done", "task")
+
+    def __init__(self, task: TaskId, attempt: Attempt, done: bool) -> None:
+        self.task = task
+        self.attempt = attempt
+        self.done = done
+
+
+class ImageFetch:
+    """An image on its way to a machine, as its tasks show it."""
+
+    __slots__ = ("alone", "began")
+
+    def __init__(self, began: Steady, alone: bool) -> None:
+        self.began = began
+        self.alone = alone
+        """No other image was fetched there meanwhile."""
+
+
+class Machine:
+    """One machine as far as it is known."""
+
+    __slots__ = (
+        "acknowledged",
+        "address",
+        "assignments",
+        "cpus",
+        "ended",
+        "expired_session",
+        "faults",
+        "fetches",
+        "gpus",
+        "heard_at",
+        "id",
+        "idle_since",
+        "images",
+        "images_in_use",
+        "last_reported",
+        "leaving",
+        "machine_type",
+        "may_hold_until",
+        "memory_gb",
+        "notice_s",
+        "noticed_at",
+        "pace",
+        "quarantined",
+        "recorded",
+        "rented_at",
+        "required_acknowledgement",
+        "retiring",
+        "retiring_since",
+        "spot",
+        "token_bumped_at",
+        "token_bumps",
+        "unacknowledged_since",
+        "version",
+        "zone",
+    )
+
+    def __init__(
+        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: Steady
+    ) -> None:
+        self.id = name
+        self.machine_type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.address = ""
+        self.version = NEVER_HEARD
+        self.expired_session = 0
+        """The newest session that is surely over: what is said of it is an old copy."""
+        self.acknowledged = -1
+        """The highest nudge of our term that its messages have shown; -1: nothing of our term."""
+        self.required_acknowledgement = 0
+        """The nudge that it has to show before it gets work: that our answers reach it is seen by
+        nothing else."""
+        self.unacknowledged_since: Steady | None = None
+        """Since when its messages come although it doesn't hear ours."""
+        self.recorded = False
+        """The store holds the machine, so that a successor knows that it may have tasks."""
+        self.heard_at: Steady | None = None
+        self.may_hold_until: Steady | None = None
+        """Until then its lease may run. None: the worker was never answered by anybody."""
+        self.rented_at = now
+        self.idle_since = now
+        self.notice_s: float | None = None
+        self.noticed_at = now
+        self.pace = 1.0
+        """How long tasks take here, as against the same jobs' tasks elsewhere."""
+        self.token_bumps = 0
+        self.token_bumped_at: Steady | None = None
+        self.leaving = False
+        self.retiring = False
+        """No more work is wanted here: it is returned once what runs has ended."""
+        self.retiring_since = now
+        self.quarantined = False
+        self.assignments: dict[TaskId, Assignment] = {}
+        self.last_reported: dict[tuple[str, int], ReportedTask] = {}
+        """Attempts as its newest message showed them: only what differs in the next is news."""
+        self.ended: dict[tuple[str, int], EndedAttempt] = {}
+        self.images: OrderedDict[str, float] = OrderedDict()
+        self.images_in_use: Counter[str] = Counter()
+        """Images of the tasks that are here, so also of those being fetched."""
+        self.fetches: dict[str, ImageFetch] = {}
+        """Images seen to be fetched."""
+        self.faults: set[JobId] = set()
+        """Jobs that failed here since a task last finished, and that may be sound themselves."""
+        self.cpus = machine_type.cpus
+        self.gpus = machine_type.gpus
+        self.memory_gb = machine_type.memory_gb
+
+    @property
+    def handshaken(self) -> bool:
+        """Tell whether a message with our term's token came: it refuses older starts since."""
+        return self.acknowledged >= 0
+
+    @property
+    def acknowledges(self) -> bool:
+        """Tell whether it was seen to hear us, since there was last reason to doubt it."""
+        return self.acknowledged >= self.required_acknowledgement
+
+    def usable(self) -> bool:
+        """Tell whether new tasks may be planned for it."""
+        return (
+            self.acknowledges
+            and self.recorded
+            and not self.leaving
+            and not self.retiring
+            and not self.quarantined
+            and self.notice_s is None
+        )
+
+    def record_pace(self, job: Job, took_s: float) -> None:
+        """Compare a finished task with what its job's tasks were seen to take so far."""
+        if job.run_seen_s:
+            ratio = min(MAX_PACE, took_s / job.run_seen_s)
+            self.pace += PACE_WEIGHT * (ratio - self.pace)
+
+    def record_fetch(self, spec: JobSpec, fetching: bool, now: Steady) -> float | None:
+        """Take note of a fetch's begin, or its end: then how much longer than thought it took.
+
+        Only of fetches beside others, since whether these share the machine's rate is not known.
+        """
+        if fetching:
+            if spec.image not in self.fetches and spec.image not in self.images:
+                for name in [n for n in self.fetches if not self.images_in_use[n]]:
+                    del self.fetches[name]  # given up
+                for other in self.fetches.values():
+                    other.alone = False
+                self.fetches[spec.image] = ImageFetch(now, not self.fetches)
+            return None
+        fetch = self.fetches.pop(spec.image, None)
+        thought = spec.image_gb / max(self.machine_type.fetch_gb_per_s, 1e-3)
+        if fetch is None or fetch.alone or thought < SLOWDOWN_FROM_S:
+            return None
+        return (now - fetch.began) / thought
+
+    def slow(self) -> bool:
+        """Tell whether tasks take much longer here; types and chance make a tenth or two."""
+        return self.pace > SLOW_PACE
+
+    def warmth(self, image: str) -> int:
+        """Tell whether an image is probably here, is being fetched, or neither."""
+        if image in self.images:
+            return WARM
+        return FETCHED_NOW if self.images_in_use[image] > 0 else COLD
+
+    def record_image(self, image: str, size_gb: float) -> None:
+        """A task of this image ran here: the image is cached, the least used ones may go."""
+        self.images[image] = size_gb
+        self.images.move_to_end(image)
+        while len(self.images) > 1 and sum(self.images.values()) > self.machine_type.cache_gb:
+            self.images.popitem(last=False)
--- a/src/ryewing/placement/images.py
+++ b/src/ryewing/placement/images.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 
 from ..capacity import Candidates, GpuReserve, MachineCapacity
-from ..cluster_state import COLD
 from ..jobs import Job
+from ..machine import COLD
 from ..queueing import demand
 from ..units import Steady
 
--- a/src/ryewing/placement/passes.py
+++ b/src/ryewing/placement/passes.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 
 from ..capacity import Candidates, MachineCapacity
-from ..cluster_state import Assignment
 from ..jobs import Job
+from ..machine import Assignment
 from .images import LONG_FETCH_S
 from .plan import Plan, Unplaced
 from .replicas import ReplicaPlacer
--- a/src/ryewing/placement/plan.py
+++ b/src/ryewing/placement/plan.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..cluster_state import Assignment, Machine
 from ..jobs import Job
+from ..machine import Assignment, Machine
 
 
 class BatchPart(NamedTuple):
--- a/src/ryewing/placement/replicas.py
+++ b/src/ryewing/placement/replicas.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ..capacity import MachineCapacity, gpu_cost
-from ..cluster_state import Assignment
 from ..jobs import Job
+from ..machine import Assignment
 from .state import SHORT_WAIT_S, PassState
 from .tasks import TaskPlacer
 
--- a/src/ryewing/placement/selection.py
+++ b/src/ryewing/placement/selection.py
@@ -5,8 +5,8 @@
 from functools import partial
 
 from ..capacity import MachineCapacity, gpu_cost, stranded_gpus
-from ..cluster_state import COLD
 from ..jobs import Job
+from ..machine import COLD
 from ..units import Zone
 from .state import Choice, PassState
 
--- a/src/ryewing/placement/state.py
+++ b/src/ryewing/placement/state.py
@@ -19,8 +19,8 @@
     allows,
     fetch_s,
 )
-from ..cluster_state import COLD, FETCHED_NOW, WARM, Machine
 from ..jobs import Job
+from ..machine import COLD, FETCHED_NOW, WARM, Machine
 from ..units import MachineId, Steady, Zone
 from ..wire import DAEMON, JobSpec
 from .images import LONG_FETCH_S, ImageSurvey
--- a/src/ryewing/placement/victims.py
+++ b/src/ryewing/placement/victims.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from ..capacity import GpuReserve, MachineCapacity, stranded_gpus
-from ..cluster_state import COLD, WARM, Assignment
 from ..jobs import Job, count_fitting
+from ..machine import COLD, WARM, Assignment
 from ..preemption import lost_work, may_preempt, saving_s, stop_order
 from ..units import Zone
 from ..wire import JobSpec
--- a/src/ryewing/placer.py
+++ b/src/ryewing/placer.py
@@ -14,18 +14,10 @@
 
 from . import placement, preemption, queueing
 from .capacity import NO_RESERVE, MachineCapacity, Quota, allows
-from .cluster_state import (
-    AVOID_S,
-    FETCHING,
-    PLANNED,
-    RUNNING,
-    SAVING,
-    WARM,
-    Assignment,
-    Machine,
-)
 from .dispatch import Dispatch
+from .failures import AVOID_S
 from .jobs import Job, fits_machine_type
+from .machine import FETCHING, PLANNED, RUNNING, SAVING, WARM, Assignment, Machine
 from .term import TermContext
 from .units import Attempt, JobId, MachineId, Steady, TaskId, attempt_of, steady_now, wall_now
 from .wire import JobSpec
@@ -289,11 +281,11 @@
 
         Found in a replay: a task was placed in each pass until the first of them had failed.
         """
-        if self.ctx.cluster.recovered(job, now):
+        if self.ctx.cluster.failures.recovered(job, now):
             return True
         if job.endless:
             return not job.live
-        return job.gang or not self.ctx.cluster.probing(job)
+        return job.gang or not self.ctx.cluster.failures.probing(job)
 
     def _complete_gang(self, job: Job, now: Steady) -> bool:
         """See to a gang with some tasks missing; True if they may be replaced.
--- a/src/ryewing/preemption.py
+++ b/src/ryewing/preemption.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
-from .cluster_state import SAVING, Assignment
 from .jobs import EPSILON, Job
+from .machine import SAVING, Assignment
 from .settings import Team
 from .units import Steady
 
--- a/src/ryewing/renter.py
+++ b/src/ryewing/renter.py
@@ -12,8 +12,8 @@
 
 from . import catalogue, fleet
 from .cloud import RELEASE_MAX, RENT_MAX, Cloud, CloudDown, NoCapacity
-from .cluster_state import Machine
 from .dispatch import Dispatch
+from .machine import Machine
 from .placer import Placer
 from .settings import parse_address
 from .store import Put, StoreDown
--- a/src/ryewing/writer.py
+++ b/src/ryewing/writer.py
@@ -14,7 +14,6 @@
 import msgspec
 
 from .budget import Budget
-from .cluster_state import Machine
 from .jobs import (
     CANCELLED,
     CHUNK,
@@ -27,6 +26,7 @@
     final_key,
     live_key,
 )
+from .machine import Machine
 from .paged_records import PagedRecords
 from .store import Put, Rejected, Remove, StoreDown, readable
 from .term import TermContext
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -457,12 +457,12 @@
             self.store.tend()
             for name, node in self.nodes.items():
                 if name not in self.dead | self.frozen:
-                    self._probe_failed(name, node)
+                    self._step_node(name, node)
             for worker in list(self.workers.values()):
                 worker.tend()
             self.referee.look()
 
-    def _probe_failed(self, name: str, node: Node) -> None:
+    def _step_node(self, name: str, node: Node) -> None:
         if node.leader is None:
             self._follow(node)
         leader = node.leader
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -14,9 +14,9 @@
 
 from ryewing import placement, queueing
 from ryewing.capacity import MachineCapacity, Quota
-from ryewing.cluster_state import RAN_WELL_S, RUNNING, Assignment, Machine
 from ryewing.fleet import CapacityBackoff, plan_rentals, to_retire
 from ryewing.jobs import final_key, impossible
+from ryewing.machine import RAN_WELL_S, RUNNING, Assignment, Machine
 from ryewing.placement import SHORT_WAIT_S
 from ryewing.placer import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
 from ryewing.settings import Objective
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -9,8 +9,9 @@
 from stage import Stage
 from standins import FakeWorker
 
-from ryewing.cluster_state import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S, RAN_WELL_S
+from ryewing.failures import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.jobs import Job
+from ryewing.machine import RAN_WELL_S
 from ryewing.mesh import ImageHint
 from ryewing.units import JobId, MachineId
 
@@ -56,7 +57,7 @@
     stage: Stage, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
-    caplog.set_level(logging.INFO, logger="ryewing.cluster_state")
+    caplog.set_level(logging.INFO, logger="ryewing.failures")
     workers = workers_of(stage, 5)
     job = failed_job(stage, workers)
     assert job.backoff_s == BACKOFF_MIN_S
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -14,8 +14,9 @@
 
 from ryewing import placement, queueing
 from ryewing.capacity import MachineCapacity, Quota
-from ryewing.cluster_state import RUNNING, Assignment, ClusterState
+from ryewing.cluster_state import ClusterState
 from ryewing.jobs import Job, JobRecord, JobTable
+from ryewing.machine import RUNNING, Assignment
 from ryewing.settings import Team
 from ryewing.stops import Stops
 from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -11,9 +11,9 @@
 from standins import policy, settings
 
 from ryewing.cloud import CloudDown
-from ryewing.cluster_state import COLD, GATHERING, PLANNED, RUNNING, SENT, WARM
 from ryewing.jobs import JobRecord, final_key, live_key
 from ryewing.leadership import campaign, read_view
+from ryewing.machine import COLD, GATHERING, PLANNED, RUNNING, SENT, WARM
 from ryewing.mesh import ImageHint
 from ryewing.renter import REQUEST_PREFIX
 from ryewing.store import Put, StoreDown
--- a/tests/test_pure.py
+++ b/tests/test_pure.py
@@ -14,10 +14,11 @@
 from ryewing import placement, preemption, queueing
 from ryewing.budget import Budget
 from ryewing.capacity import NO_RESERVE, MachineCapacity, Quota
-from ryewing.cluster_state import RUNNING, Assignment, ClusterState, Machine
+from ryewing.cluster_state import ClusterState
 from ryewing.fleet import CapacityBackoff, options_for, plan_rentals, to_return
 from ryewing.jobs import Job, JobRecord, JobTable, impossible
 from ryewing.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
+from ryewing.machine import RUNNING, Assignment, Machine
 from ryewing.policy import BadPolicy, load
 from ryewing.settings import BadSettings, Settings, Team
 from ryewing.settings import load as load_settings
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,9 +14,10 @@
 from ryewing.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
 from ryewing.capacity import MachineCapacity, Quota
 from ryewing.cloud import RELEASE_MAX
-from ryewing.cluster_state import RUNNING, ClusterState
+from ryewing.cluster_state import ClusterState
 from ryewing.dispatch import SENDS_AT_ONCE
 from ryewing.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
+from ryewing.machine import RUNNING
 from ryewing.mesh import ImageHint
 from ryewing.node import API_SHARE, MESH_SHARE
 from ryewing.paged_records import PagedRecords
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -13,9 +13,9 @@
 from stage import Stage, starts, verbs
 from standins import FakeWorker, policy, settings
 
-from ryewing.cluster_state import PLANNED, RUNNING, SENT
 from ryewing.dispatch import ORDERS_MAX
 from ryewing.leadership import campaign, may_campaign, read_view
+from ryewing.machine import PLANNED, RUNNING, SENT
 from ryewing.store import Store, StoreDown
 from ryewing.transport import Reply
 from ryewing.units import JobId, MachineId, NodeName, Term, token_of
