--- /dev/null
+++ b/tests/test_budget.py
@@ -0,0 +1,28 @@
+"""Token buckets."""
+
+from __future__ import annotations
+
+import pytest
+from standins import job_spec
+from worlds import T0
+
+from ryewing.budget import Budget
+from ryewing.capacity import Quota
+from ryewing.settings import Team
+from ryewing.units import (
+    Steady,
+)
+
+
+def test_budget_refills_and_tells_the_wait() -> None:
+    now = [T0]
+    budget = Budget(10.0, 5.0, lambda: now[0])
+    assert [budget.take() for _ in range(6)] == [True] * 5 + [False]
+    assert budget.wait_s(2.0) == pytest.approx(0.2)
+    now[0] = Steady(T0 + 0.2)
+    assert budget.take(2.0) and not budget.take()
+
+
+def test_team_without_limit_has_no_limit() -> None:
+    quota = Quota({"t": Team("t")}, {}, {})
+    assert quota.headroom(job_spec(team="t"), 1000) == 1000
--- a/tests/test_meetings.py
+++ b/tests/test_compound_failures.py
@@ -1,45 +1,23 @@
-"""Meetings of troubles: courses of events over controllers, store, workers and users.
+"""Compound failures: courses of events over controllers, store, workers and users.
 
-Each row is one meeting, and asserts the rules of the protocol by what users were told and workers
-ran. `docs/design.md`, "Meetings", says which row stands for which.
+Each row asserts the rules of the protocol by what users were told and workers ran.
+`docs/design.md`, "Compound failures", says which row stands for which.
 """
 
 from __future__ import annotations
 
 import copy
-from collections.abc import Callable
 from typing import Any
 
 import msgspec
 import pytest
-from cluster import NAMES, Cluster, TimedWorker
+from cluster import NAMES, Cluster
+from scenarios import Course, running, serving
 from standins import job_spec
 
 from ryewing.jobs import JobRecord
-from ryewing.store import Put
-from ryewing.units import Revision
 from ryewing.wire import ReportedTask
 
-Course = Callable[[Cluster], None]
-
-
-def serving(cluster: Cluster, machines: int = 1) -> TimedWorker:
-    """Bring up a leader and machines that may be given work."""
-    for number in range(1, machines + 1):
-        cluster.worker(f"i-{number:06d}")
-    cluster.run(4.0)
-    assert cluster.leader_name == NAMES[0]
-    return cluster.workers["i-000001"]
-
-
-def running(cluster: Cluster, ref: str = "run-1") -> TimedWorker:
-    """Bring up a leader, and a job that runs on a machine."""
-    worker = serving(cluster)
-    cluster.submit(NAMES[0], ref)
-    cluster.run(8.0)
-    assert [reported for reported, _ in worker.tasks] == [f"{ref}/0"]
-    return worker
-
 
 def test_without_troubles(cluster: Cluster) -> None:
     """The course of a job, at every controller."""
@@ -58,277 +36,6 @@
     assert not worker.tasks
 
 
-# -- a cancellation, and who knows of it ----------------------------------------------------------
-
-
-def cancelled_while_the_next_leader_reads(cluster: Cluster) -> None:
-    """A new leader has read the jobs but not yet the rest when the cancel is told to it."""
-    running(cluster)
-    cluster.submit("n-0", "run-2", cpus=30.0)
-    cluster.run(1.0)
-    cluster.dead.add("n-0")
-
-    def cancels(key: str) -> None:
-        if key == "j/":
-            cluster.cancel("n-2", "run-1")
-            cluster.cancel("n-2", "run-2")
-
-    cluster.links["n-1"].before_answer = cancels
-
-    def asked() -> None:
-        cluster.ask_all("run-1")
-        cluster.ask_all("run-2")
-
-    cluster.after_load = asked
-    cluster.links["n-2"].refused = True  # so that the other one takes over
-    cluster.run(3.0)
-    cluster.links["n-2"].refused = False
-    while cluster.nodes["n-1"].leader is None:
-        cluster.run(0.25)
-    cluster.links["n-1"].before_answer = None
-    cluster.ask_all("run-1")
-    cluster.ask_all("run-2")
-
-
-def cancelled_before_the_leader_knows_the_job(cluster: Cluster) -> None:
-    """The leader's watch lags: it hears of the cancel before it hears of the job."""
-    serving(cluster)
-    link = cluster.links["n-0"]
-    link.stale_watch = Revision(cluster.store.revision)
-    cluster.submit("n-1")
-    accepted = Revision(cluster.store.revision)
-    cluster.cancel("n-2")
-    link.stale_watch = accepted  # an answer that was made between the two
-    cluster.run(1.0)
-    cluster.ask_all()
-    cluster.run(5.0)
-
-
-def cancelled_while_a_watch_brings_the_job(cluster: Cluster) -> None:
-    """The answer that brings the job was made before the cancel, and arrives after it was told."""
-    serving(cluster)
-    assert cluster.submit("n-1") == 201
-
-    def cancelled() -> None:
-        assert cluster.cancel("n-2") == 200
-
-    cluster.links["n-0"].during_watch = cancelled
-    leader = cluster.nodes["n-0"].leader
-    assert leader is not None
-    leader.intake.watch_once()
-    cluster.ask_all()
-
-
-def cancelled_before_its_acceptance_is_told(cluster: Cluster) -> None:
-    """The submission is written, repeated elsewhere and cancelled before its answer is there."""
-    serving(cluster)
-
-    def cancelled() -> None:
-        assert cluster.submit("n-1") == 200
-        assert cluster.cancel("n-1") == 200
-
-    cluster.links["n-1"].after_txn = cancelled
-    cluster.submit("n-1")
-    cluster.ask_all()
-
-
-def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: Cluster) -> None:
-    """It follows the store all the time; its peers' users must not wait for ever."""
-    worker = running(cluster)
-    worker.deaf = True  # so that the end of its task can't be written yet
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
-    for _ in range(16):
-        if cluster.cancel("n-1") == 200:
-            break
-        cluster.run(1.0)
-    assert cluster.referee.final == {"run-1": "cancelled"}, "never answered"
-    assert worker.tasks
-    cluster.ask_all()
-
-
-def _written_but_not_told(cluster: Cluster) -> None:
-    """A cancel is in the store; the one who wrote it does not know, nor does the leader."""
-    running(cluster)
-    cluster.links["n-0"].mute_watch = True
-    cluster.links["n-1"].answer_lost = True
-    assert cluster.cancel("n-1") == 503
-    cluster.links["n-1"].answer_lost = False
-
-
-def cancelled_as_a_poll_finds_it(cluster: Cluster) -> None:
-    """Who can't ask the leader reads the store, where the cancel is."""
-    _written_but_not_told(cluster)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
-    cluster.poll("n-2")
-    cluster.poll("n-0")
-
-
-def cancelled_as_a_repeated_submission_finds_it(cluster: Cluster) -> None:
-    """A repeat of the submission never asks the leader."""
-    _written_but_not_told(cluster)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
-    cluster.submit("n-2")
-    cluster.submit("n-1")
-    cluster.poll("n-0")
-    cluster.submit("n-0")
-
-
-def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: Cluster) -> None:
-    """Its lease is in order, its watch hangs, and the others can't reach it."""
-    running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
-    cluster.links["n-0"].mute_watch = True
-    for _ in range(80):
-        cluster.cancel("n-1")
-        cluster.poll("n-0")
-        cluster.run(0.5)
-    assert cluster.referee.final == {"run-1": "cancelled"}, "never answered"
-
-
-def a_leader_that_can_renew_but_not_follow(cluster: Cluster) -> None:
-    """It may do nothing, and keeps others from it: it must make room."""
-    serving(cluster)
-    cluster.links["n-0"].mute_watch = True
-    cluster.run(5.0)
-    assert cluster.submit("n-1") == 201
-    cluster.run(30.0)
-    assert cluster.leader_name != "n-0"
-    assert cluster.workers["i-000001"].tasks
-
-
-def cancelled_by_a_clock_that_is_ahead(cluster: Cluster) -> None:
-    """The cancel's time of writing is long past: its transaction was carried out late."""
-    running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
-    link = cluster.links["n-1"]
-    link.late = True
-    cluster.cancel("n-1")
-    cluster.run(30.0)
-    cluster.links["n-0"].mute_watch = True
-    link.catch_up()
-    cluster.cancel("n-1")
-    cluster.poll("n-0")
-
-
-def cancelled_on_its_way_while_a_poll_waits(cluster: Cluster) -> None:
-    """The leader's answer to a poll is overtaken by a cancel told at the node that asked."""
-    running(cluster)
-
-    def cancelled() -> None:
-        assert cluster.cancel("n-1") == 200
-
-    cluster.before_peer_answer["n-0"] = cancelled
-    cluster.poll("n-1")
-
-
-def cancelled_in_the_moment_of_the_take_over(cluster: Cluster) -> None:
-    """One controller's work changes hands twice while users cancel."""
-    running(cluster)
-    for number in range(2, 8):
-        cluster.submit("n-1", f"run-{number}", cpus=2.0)
-    cluster.run(4.0)
-    for number, name in ((2, "n-0"), (3, "n-1"), (4, "n-2")):
-        cluster.cancel(name, f"run-{number}")
-        cluster.dead.add(name)
-        for _ in range(20):
-            other = next(n for n in NAMES if n not in cluster.dead)
-            cluster.cancel(other, f"run-{number + 3}")
-            for ref in range(1, 8):
-                cluster.poll(other, f"run-{ref}")
-            cluster.run(0.25)
-        cluster.boot(name)
-
-
-def cancelled_as_the_last_task_ends(cluster: Cluster) -> None:
-    """The end is written or about to be while users cancel, ask and repeat the submission."""
-    for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
-        ref = f"run-{number}"
-        worker = running(cluster, ref)
-        cluster.end(worker)
-        worker.report_now()
-        leader = cluster.nodes["n-0"].leader
-        assert leader is not None
-        # The end is written after the cancel, and then between its reading and its writing.
-        write = leader.writer.write_once
-        if number == 1:
-            link.after_txn = lambda write=write: write() and None
-        else:
-            link.before_answer = lambda _key, write=write: write() and None
-        cluster.cancel("n-2", ref)
-        link.before_answer = None
-        cluster.ask_all(ref)
-        cluster.run(1.0)
-        cluster.ask_all(ref)
-    assert cluster.referee.final == {"run-1": "cancelled", "run-2": "done"}
-
-
-def asked_as_the_last_task_ends(cluster: Cluster) -> None:
-    """The end is written while a reader of the store looks for the job."""
-    worker = running(cluster)
-    cluster.end(worker)
-    worker.report_now()
-    leader = cluster.nodes["n-0"].leader
-    assert leader is not None
-    cluster.cut.add(frozenset(("n-0", "n-2")))
-
-    def ends(_key: str) -> None:
-        leader.writer.write_once()
-
-    cluster.links["n-2"].before_answer = ends
-    cluster.poll("n-2")
-    cluster.links["n-2"].before_answer = None
-    cluster.ask_all()
-
-
-def ended_by_a_write_that_comes_late(cluster: Cluster) -> None:
-    """The end's transaction gets no answer, another try meets a conflict, the first one comes."""
-    worker = running(cluster)
-    leader = cluster.nodes["n-0"].leader
-    assert leader is not None
-    cluster.links["n-0"].late = True
-    cluster.end(worker)
-    cluster.run(1.0)
-    late, cluster.links["n-0"]._held = cluster.links["n-0"]._held[:1], []
-    cluster.links["n-0"].late = False
-    # A record that another transaction has changed meanwhile makes the next try fail as a whole.
-    key = next(key for key in cluster.store.data if key.startswith("m/"))
-    cluster.store.txn({}, [Put(key, msgspec.json.decode(cluster.store.data[key][0]))])
-    cluster.worker("i-000002")
-    cluster.workers["i-000002"].report_now()
-    cluster.workers["i-000002"].report_now()
-    leader.writer.write_once()
-    for conditions, writes in late:
-        cluster.store.txn(conditions, writes)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
-    cluster.ask_all()
-    cluster.poll("n-2")
-    cluster.poll("n-0")
-
-
-def accepted_without_an_answer(cluster: Cluster) -> None:
-    """A submission is carried out and only its answer is lost, or it comes late."""
-    serving(cluster)
-    for ref, lost in (("run-1", True), ("run-2", False)):
-        link = cluster.links["n-1"]
-        link.answer_lost, link.late = lost, not lost
-        assert cluster.submit("n-1", ref) == 503
-        link.answer_lost = link.late = False
-        cluster.submit("n-2", ref)
-        cluster.ask_all(ref)
-        if lost:
-            cluster.cancel("n-2", ref)
-        else:
-            cluster.run(6.0)
-            cluster.end(cluster.workers["i-000001"])
-            cluster.run(2.0)
-        cluster.ask_all(ref)
-        link.catch_up()
-        cluster.boot("n-1")  # one that remembers nothing
-        link = cluster.links["n-1"]
-        cluster.ask_all(ref)
-    assert cluster.referee.final == {"run-1": "cancelled", "run-2": "done"}
-
-
 # -- the leader, refused alone, and an outage -----------------------------------------------------
 
 
@@ -627,22 +334,6 @@
 
 
 COURSES: list[Course] = [
-    cancelled_while_the_next_leader_reads,
-    cancelled_before_the_leader_knows_the_job,
-    cancelled_while_a_watch_brings_the_job,
-    cancelled_before_its_acceptance_is_told,
-    cancelled_beside_a_leader_that_nobody_else_reaches,
-    cancelled_as_a_poll_finds_it,
-    cancelled_as_a_repeated_submission_finds_it,
-    cancelled_while_the_leader_renews_but_hears_no_changes,
-    a_leader_that_can_renew_but_not_follow,
-    cancelled_by_a_clock_that_is_ahead,
-    cancelled_on_its_way_while_a_poll_waits,
-    cancelled_in_the_moment_of_the_take_over,
-    cancelled_as_the_last_task_ends,
-    asked_as_the_last_task_ends,
-    ended_by_a_write_that_comes_late,
-    accepted_without_an_answer,
     cancelled_at_the_refusal,
     an_old_report_reaches_the_next_leader,
     an_old_report_of_a_machine_that_is_gone,
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -219,3 +219,59 @@
     assert len(inherited.live) == 1
     fail_all(stage, workers)
     assert inherited.backoff_s == 2 * BACKOFF_MIN_S
+
+
+def test_a_machine_that_fails_several_jobs_is_set_aside(stage: Stage) -> None:
+    worker = stage.ready_worker()
+    for n in (1, 2):
+        stage.begin(worker, f"run-{n}", task_count=1)
+    stage.exchange(worker)
+    worker.finish("error")
+    stage.exchange(worker)
+    assert stage.leader.ctx.cluster.machines[MachineId(worker.name)].quarantined
+
+
+def test_a_job_that_fails_everywhere_backs_off(stage: Stage) -> None:
+    workers = [stage.worker(f"i-{n:06d}") for n in range(3)]
+    stage.ready(*workers)
+    job = stage.accept(task_count=24)
+    stage.place()
+    for worker in workers * 2:
+        stage.exchange(worker)
+    for worker in workers:
+        worker.finish("error")
+        stage.exchange(worker)
+    found = stage.leader.ctx.job_table.get(job)
+    assert found is not None
+    first = found.backoff_s
+    assert found.backoff_until > stage.clock() and first >= 2.0
+    stage.place()
+    assert not any(stage.assignments(worker.name) for worker in workers)
+    # Later it tries again, and on the same machines: new ones were rented for it for ever.
+    stage.later(first + 0.1)
+    for worker in workers:
+        stage.exchange(worker)
+    stage.place()
+    assert sum(len(stage.assignments(worker.name)) for worker in workers) == 1  # one tells
+    stage.leader.renter.rent()
+    assert not stage.cloud.requests
+    assert not any(m.quarantined for m in stage.leader.ctx.cluster.machines.values())
+
+
+@pytest.mark.parametrize(("faulty", "others", "at_fault"), [(3, 0, True), (3, 5, False)])
+def test_several_faulty_machines_are_no_fault_of_a_large_array(
+    stage: Stage, faulty: int, others: int, at_fault: bool
+) -> None:
+    """Among hundreds of machines it met three at once, and cleared each of its fault."""
+    workers = [stage.worker(f"i-{n:06d}") for n in range(faulty + others)]
+    stage.ready(*workers)
+    found = stage.leader.ctx.job_table.get(stage.accept(task_count=8 * len(workers)))
+    stage.place()
+    for worker in workers * 2:
+        stage.exchange(worker)
+    for worker in workers[:faulty]:
+        worker.finish("error")
+        stage.exchange(worker)
+    assert found is not None and bool(found.backoff_s) is at_fault
+    suspects = [m for m in stage.leader.ctx.cluster.machines.values() if m.faults]
+    assert len(suspects) == (0 if at_fault else faulty)
--- /dev/null
+++ b/tests/test_fleet.py
@@ -0,0 +1,56 @@
+"""Which machines to rent and to return."""
+
+from __future__ import annotations
+
+import pytest
+from standins import job, policy
+from worlds import FLAVOURS, T0, World
+
+from ryewing.fleet import CapacityBackoff, options_for, plan_rentals, to_return
+from ryewing.units import (
+    Steady,
+)
+
+
+def test_renting_counts_what_is_booting() -> None:
+    world = World()
+    booting = [world.machine("i-1")]
+    short = [(job(task_count=8), 8)]
+    assert plan_rentals(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
+    [plan] = plan_rentals(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    assert plan.count == 1 and plan.options[0][0] == "c32"
+
+
+def test_spot_machines_only_for_jobs_that_may() -> None:
+    assert all(not o[2] for o in options_for(job(), FLAVOURS, CapacityBackoff(), T0))
+    assert options_for(job(spot=True), FLAVOURS, CapacityBackoff(), T0)[0][2]
+
+
+def test_no_capacity_turns_to_the_next_option_and_back() -> None:
+    backoff, one = CapacityBackoff(), job()
+    first = options_for(one, FLAVOURS, backoff, T0)[0]
+    backoff.refused(first, T0)
+    assert options_for(one, FLAVOURS, backoff, T0)[0] != first
+    assert options_for(one, FLAVOURS, backoff, Steady(T0 + 21.0))[0] == first
+
+
+@pytest.mark.parametrize(
+    ("idle_s", "waiting", "assignments", "returned"),
+    [
+        (10.0, False, False, False),
+        (50.0, False, False, True),
+        (50.0, True, False, False),
+        (50.0, False, True, False),
+    ],
+)
+def test_idle_machines_are_returned(
+    idle_s: float, waiting: bool, assignments: bool, returned: bool
+) -> None:
+    world = World()
+    machine = world.machine("i-1")
+    machine.heard_at = T0
+    if assignments:
+        world.put(world.job("run-9"), machine, 1)
+    short = [(job(), 1)] if waiting else []
+    chosen = to_return([machine], short, policy(), Steady(T0 + idle_s))
+    assert (chosen == [machine]) is returned
--- /dev/null
+++ b/tests/test_jobs.py
@@ -0,0 +1,50 @@
+"""Jobs: finishes, records, and which tasks come next."""
+
+from __future__ import annotations
+
+from standins import job, job_spec
+
+from ryewing.jobs import JobRecord, JobTable
+from ryewing.units import (
+    KeyVersion,
+    MachineId,
+)
+
+
+def test_take_never_gives_a_task_twice() -> None:
+    one = job(task_count=6)
+    first = one.take(2)
+    for index in first:
+        one.live[index] = MachineId("i-1")
+    one.finish(4)
+    del one.live[first[0]]
+    one.hand_back(first[0])
+    one.hand_back(first[0])
+    rest = one.take(10)
+    assert len(rest) == len(set(rest))
+    assert sorted([*rest, first[1], 4]) == list(range(6))
+
+
+def test_finished_tasks_survive_in_chunks() -> None:
+    big = job(task_count=100_000)
+    for index in (0, 8191, 8192, 99_999):
+        assert big.finish(index)
+    assert not big.finish(0)
+    chunks = big.dirty_chunks()
+    assert chunks == [0, 1, 12]
+    again = job(task_count=100_000)
+    for chunk in chunks:
+        text = big.chunk_text(chunk)
+        assert len(text) < 2048
+        again.load_chunk(chunk, text)
+    assert again.done_count == 4 and not again.unwritten
+    assert again.is_done(99_999) and not again.is_done(1)
+
+
+def test_guess_correction_is_bounded() -> None:
+    job_table = JobTable()
+    first = job_table.put(JobRecord(job_spec("run-1", estimated_s=10.0), 0.0), KeyVersion(1))
+    for _ in range(500):
+        job_table.took(first, 10_000.0)
+    later = job_table.put(JobRecord(job_spec("run-2", estimated_s=10.0), 0.0), KeyVersion(2))
+    assert 15.0 < later.estimate_s() <= 20.0
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -10,15 +10,13 @@
 from stage import Stage, starts, verbs
 from standins import policy, settings
 
-from ryewing.cloud import CloudDown
 from ryewing.jobs import JobRecord, final_key, live_key
 from ryewing.leadership import campaign, read_view
 from ryewing.machine import COLD, GATHERING, PLANNED, RUNNING, SENT, WARM
 from ryewing.mesh import ImageHint
-from ryewing.renter import REQUEST_PREFIX
 from ryewing.store import Put, StoreDown
 from ryewing.units import KeyVersion, MachineId, NodeName, Term, token_of
-from ryewing.wire import ListedMachine, ReportedTask
+from ryewing.wire import ReportedTask
 from ryewing.writer import MACHINE_PREFIX, MachineRecord
 
 
@@ -400,247 +398,6 @@
     assert found is not None and (found.done_count, found.shortfall) == (8, 4)
 
 
-# -- renting ------------------------------------------------------------------------------------
-
-
-def rent(stage: Stage) -> None:
-    stage.place()
-    stage.leader.renter.rent()
-
-
-def test_a_successor_repeats_a_recorded_wish_under_its_name(stage: Stage) -> None:
-    stage.accept(task_count=8)
-    stage.leader.renter.id = lambda request: None  # type: ignore[method-assign]  # dies before asking
-    rent(stage)
-    assert len(stage.store.listing(REQUEST_PREFIX)[0]) == 1
-    assert not stage.cloud.requests
-    stage.new_leader(6)
-    for request in list(stage.leader.renter.pending_requests.values()):
-        stage.leader.renter.id(request)
-    rent(stage)  # what is booting counts
-    assert len(stage.cloud.requests) == 1
-    stage.write()
-    assert stage.store.listing(REQUEST_PREFIX)[0] == []
-    assert len(stage.store.listing(MACHINE_PREFIX)[0]) == 1
-
-
-def test_names_of_requests_differ_between_terms(stage: Stage) -> None:
-    stage.accept(task_count=8)
-    rent(stage)
-    stage.new_leader(6)
-    stage.accept("run-2", task_count=50)
-    rent(stage)
-    names = [request.id for request in stage.cloud.requests]
-    assert len(names) == len(set(names)) >= 2
-
-
-def test_an_unanswered_request_is_repeated_not_renewed(stage: Stage) -> None:
-    stage.accept(task_count=8)
-
-    def no_answer(_hire: Any) -> Any:
-        raise CloudDown("timeout")
-
-    real, stage.cloud.rent = stage.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
-    with pytest.raises(CloudDown):
-        rent(stage)
-    stage.cloud.rent = real  # type: ignore[method-assign]
-    [pending] = stage.leader.renter.pending_requests.values()
-    stage.leader.renter.id(pending)
-    assert [request.id for request in stage.cloud.requests] == [pending.id]
-
-
-def test_nothing_is_rented_without_the_lease(stage: Stage) -> None:
-    stage.accept(task_count=8)
-    rent_wish = stage.leader.renter.pending_requests
-    stage.place()
-    stage.later(3.1, renewed=False)
-    stage.leader.renter.rent()
-    assert not stage.cloud.requests
-    assert len(rent_wish) == 1  # recorded, to be asked for once the lease is confirmed
-
-
-def test_a_booting_machine_keeps_a_successor_from_nothing(stage: Stage) -> None:
-    """Found on a rolling restart: each new leader waited for machines that had never reported."""
-    stage.accept(task_count=8)
-    rent(stage)
-    stage.write()
-    stage.new_leader(6)
-    assert len(stage.leader.ctx.cluster.machines) == 1
-    assert stage.leader.placer.ready_to_place()
-
-
-def test_a_failed_release_leaves_the_machine_in_use(stage: Stage) -> None:
-    """Found on a quiet day: refused for the cloud's rate, machines were left out for good."""
-    worker = stage.ready_worker()
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
-
-    def refused(_machines: Any) -> None:
-        raise CloudDown("429")
-
-    stage.cloud.release = refused  # type: ignore[assignment,method-assign]
-    with pytest.raises(CloudDown):
-        stage.leader.renter.release([(machine, "idle")])
-    assert machine.usable()
-
-
-@pytest.mark.parametrize(
-    ("lists", "heard", "known"),
-    [
-        ([True], False, True),
-        ([True, False], False, True),  # a list may be older than the one before it
-        ([True, False, True, False], False, True),
-        ([True, False, False], False, False),
-        ([True, False, False], True, True),
-        ([True, False, False, True], False, True),
-    ],
-)
-def test_what_a_predecessor_returned_is_not_waited_for(
-    stage: Stage, lists: list[bool], heard: bool, known: bool
-) -> None:
-    """Lists are old: a new leader took up machines that were gone, and counted them as booting."""
-    worker = stage.worker()
-    for shown in lists:
-        host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
-        stage.cloud.listed = [host] if shown else []
-        stage.leader.renter._list()
-        if heard:
-            stage.exchange(worker)
-    assert (MachineId(worker.name) in stage.leader.ctx.cluster.machines) is known
-    stage.accept(task_count=8)
-    stage.place()
-    stage.leader.renter.rent()
-    assert bool(stage.cloud.requests) is not known
-
-
-@pytest.mark.parametrize(("machines", "silent", "given_up"), [(9, 2, 2), (9, 6, 0)])
-def test_silent_machines_are_released_unless_they_are_many(
-    stage: Stage, machines: int, silent: int, given_up: int
-) -> None:
-    """Many silent at once may mean that the fault is here: nothing is released in haste."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(machines)]
-    stage.ready(*workers)
-    stage.later(policy().silence_s + 1.0)
-    for worker in workers[silent:]:
-        stage.exchange(worker)
-    assert len(stage.leader.renter.to_give_up(stage.clock())) == given_up
-    stage.later(settings().params.workers.lease_s)
-    for worker in workers[silent:]:
-        stage.exchange(worker)
-    stage.leader.ctx.cluster.expire(stage.clock())
-    assert len(stage.leader.renter.to_give_up(stage.clock())) == silent
-
-
-def test_machines_of_an_earlier_term_are_given_up_once_their_lease_is_over(stage: Stage) -> None:
-    """Found in inc-08d3: those never heard since a take-over were waited for like booting ones."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(6)]
-    stage.ready(*workers)
-    stage.new_leader(6)
-    for worker in workers[4:] * 2:
-        stage.exchange(worker)
-    bound = policy().hold_s + settings().params.workers.lease_s
-    for _ in range(int(bound / 2) + 3):
-        stage.later(2.0)
-        for worker in workers[4:]:
-            stage.exchange(worker)
-    stage.leader.ctx.cluster.expire(stage.clock())
-    chosen = stage.leader.renter.to_give_up(stage.clock())
-    assert sorted((machine.id, why) for machine, why in chosen) == [
-        (worker.name, "silent") for worker in workers[:4]
-    ]
-
-
-def test_machines_falling_silent_one_after_another_are_not_released(stage: Stage) -> None:
-    """Found on a day of our own: the first of many to fall silent looked like few."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(9)]
-    stage.ready(*workers)
-    for worker in workers[3:]:
-        stage.later(0.3)
-        stage.exchange(worker)
-    stage.later(policy().silence_s - 1.0)  # the first three are silent, the others only late
-    assert stage.leader.renter.to_give_up(stage.clock()) == []
-
-
-def test_asking_many_silent_machines_never_waits(stage: Stage) -> None:
-    """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(100)]
-    stage.ready(*workers)
-    del stage.leader.dispatch.send_soon
-    spawned: list[object] = []
-    stage.leader.dispatch._senders.spawn = lambda *args: spawned.append(args)
-    stage.later(policy().silence_s)
-    stage.leader.dispatch.probe(stage.clock())
-    stage.leader.dispatch.probe(stage.clock())
-    assert len(spawned) == 100  # one each, at once, and none twice
-
-
-@pytest.mark.parametrize(("silent", "cut"), [(2, False), (6, False), (7, True), (9, True)])
-def test_a_leader_that_hears_hardly_any_worker_resigns(
-    stage: Stage, silent: int, cut: bool
-) -> None:
-    workers = [stage.worker(f"i-{n:06d}") for n in range(9)]
-    stage.ready(*workers)
-    stage.later(policy().silence_s + 1.0)
-    for worker in workers[silent:]:
-        stage.exchange(worker)
-    assert stage.leader.is_cut_from_workers(stage.clock()) is cut
-
-
-def test_a_machine_that_fails_several_jobs_is_set_aside(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    for n in (1, 2):
-        stage.begin(worker, f"run-{n}", task_count=1)
-    stage.exchange(worker)
-    worker.finish("error")
-    stage.exchange(worker)
-    assert stage.leader.ctx.cluster.machines[MachineId(worker.name)].quarantined
-
-
-def test_a_job_that_fails_everywhere_backs_off(stage: Stage) -> None:
-    workers = [stage.worker(f"i-{n:06d}") for n in range(3)]
-    stage.ready(*workers)
-    job = stage.accept(task_count=24)
-    stage.place()
-    for worker in workers * 2:
-        stage.exchange(worker)
-    for worker in workers:
-        worker.finish("error")
-        stage.exchange(worker)
-    found = stage.leader.ctx.job_table.get(job)
-    assert found is not None
-    first = found.backoff_s
-    assert found.backoff_until > stage.clock() and first >= 2.0
-    stage.place()
-    assert not any(stage.assignments(worker.name) for worker in workers)
-    # Later it tries again, and on the same machines: new ones were rented for it for ever.
-    stage.later(first + 0.1)
-    for worker in workers:
-        stage.exchange(worker)
-    stage.place()
-    assert sum(len(stage.assignments(worker.name)) for worker in workers) == 1  # one tells
-    stage.leader.renter.rent()
-    assert not stage.cloud.requests
-    assert not any(m.quarantined for m in stage.leader.ctx.cluster.machines.values())
-
-
-@pytest.mark.parametrize(("faulty", "others", "at_fault"), [(3, 0, True), (3, 5, False)])
-def test_several_faulty_machines_are_no_fault_of_a_large_array(
-    stage: Stage, faulty: int, others: int, at_fault: bool
-) -> None:
-    """Among hundreds of machines it met three at once, and cleared each of its fault."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(faulty + others)]
-    stage.ready(*workers)
-    found = stage.leader.ctx.job_table.get(stage.accept(task_count=8 * len(workers)))
-    stage.place()
-    for worker in workers * 2:
-        stage.exchange(worker)
-    for worker in workers[:faulty]:
-        worker.finish("error")
-        stage.exchange(worker)
-    assert found is not None and bool(found.backoff_s) is at_fault
-    suspects = [m for m in stage.leader.ctx.cluster.machines.values() if m.faults]
-    assert len(suspects) == (0 if at_fault else faulty)
-
-
 def test_a_successor_is_told_which_machines_have_which_images(stage: Stage) -> None:
     """Found with rolling restarts: each leader fetched anew, or waited for the few it knew warm."""
     worker = stage.ready_worker()
@@ -656,9 +413,6 @@
     assert MachineId("i-000999") not in leader.ctx.cluster.machines
 
 
-# -- election -----------------------------------------------------------------------------------
-
-
 def test_one_of_two_candidates_wins(stage: Stage) -> None:
     store: Any = stage.store
     view = read_view(store)
--- /dev/null
+++ b/tests/test_leadership.py
@@ -0,0 +1,74 @@
+"""Election and authority."""
+
+from __future__ import annotations
+
+import pytest
+from standins import policy, settings
+from worlds import T0
+
+from ryewing.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
+from ryewing.units import (
+    KeyVersion,
+    NodeName,
+    Revision,
+    Steady,
+    Term,
+)
+
+
+@pytest.mark.parametrize(
+    ("renewed_s", "followed_s", "start", "answer"),
+    [
+        (0.0, 0.0, True, True),
+        (2.9, 2.9, True, True),
+        (3.0, 3.0, False, True),  # the lease may have ended: no starts, no renting
+        (14.9, 14.9, False, True),  # state outage: workers are kept alive
+        (15.0, 15.0, False, False),  # the hold is over: 421 or 503
+        (500.0, 500.0, False, False),  # a process that was paused past everything
+        (0.0, FOLLOW_S - 0.1, True, True),  # a slow watch beside renewals
+        (0.0, FOLLOW_S, False, True),  # one that hangs: others may have cancelled
+        (0.0, 14.9, False, True),
+        (0.0, 15.0, False, False),  # and its cancelled tasks must be gone in time
+        (15.0, 0.0, False, False),
+        (0.0, None, False, False),  # the jobs were never read
+        (None, 0.0, False, False),
+    ],
+)
+def test_authority_by_time_since_renewal_and_since_the_jobs_are_known(
+    renewed_s: float | None, followed_s: float | None, start: bool, answer: bool
+) -> None:
+    authority = Authority(3.0, 15.0)
+    now = Steady(T0 + 1000.0)
+    if renewed_s is not None:
+        authority.confirm(Steady(now - renewed_s))
+    if followed_s is not None:
+        authority.follow(Steady(now - followed_s))
+    assert (authority.may_start(now), authority.may_answer(now)) == (start, answer)
+
+
+def test_authority_counts_from_the_latest_send() -> None:
+    authority = Authority(3.0, 15.0)
+    for note in (authority.confirm, authority.follow):
+        note(Steady(T0 + 2.0))
+        note(T0)  # an older renewal's answer that came later
+    assert authority.may_start(Steady(T0 + 4.5))
+    assert authority.may_answer(Steady(T0 + 16.5))
+
+
+def test_hold_leaves_a_cancel_its_time() -> None:
+    workers = settings().params.workers
+    assert policy().hold_s + workers.lease_s < workers.cancel_s - 1.0
+
+
+@pytest.mark.parametrize(
+    ("holder", "expected"),
+    [
+        (None, True),  # the lease has ended
+        (Holder("n-1", "b1", 4), False),  # another node: wait for its lease
+        (Holder("n-0", "me", 4), False),  # this very process
+        (Holder("n-0", "earlier", 4), True),  # an earlier process of this node is dead
+    ],
+)
+def test_who_may_campaign(holder: Holder | None, expected: bool) -> None:
+    view = View(holder, KeyVersion(3), Term(4), KeyVersion(3), Revision(9))
+    assert may_campaign(view, NodeName("n-0"), "me") is expected
--- /dev/null
+++ b/tests/worlds.py
@@ -0,0 +1,90 @@
+"""Machines and jobs for tables of placement, and the order of jobs."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from collections.abc import Sequence
+from typing import Any
+
+from standins import CPU, GPU, job_spec, settings
+
+from ryewing import placement, queueing
+from ryewing.capacity import NO_RESERVE, MachineCapacity, Quota
+from ryewing.cluster_state import ClusterState
+from ryewing.jobs import Job, JobRecord, JobTable
+from ryewing.machine import RUNNING, Assignment, Machine
+from ryewing.stops import Stops
+from ryewing.units import (
+    Attempt,
+    KeyVersion,
+    MachineId,
+    Steady,
+    TaskId,
+    Term,
+    WallTime,
+    Zone,
+)
+from ryewing.wire import MachineType
+
+T0 = Steady(1000.0)
+
+FLAVOURS = {"c32": CPU, "g4": GPU}
+TEAMS = {team.name: team for team in settings().params.teams}
+
+
+class World:
+    """Machines and jobs for placement cases."""
+
+    def __init__(self) -> None:
+        self.job_table = JobTable()
+        self.stops = Stops()
+        self.cluster = ClusterState(Term(5), 20.0, self.job_table, self.stops)
+
+    def machine(
+        self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
+    ) -> Machine:
+        machine = self.cluster.add(MachineId(name), machine_type, Zone(zone), spot, T0)
+        machine.acknowledged, machine.recorded = 0, True
+        return machine
+
+    def job(self, ref: str, **changes: Any) -> Job:
+        return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
+
+    def put(self, one: Job, machine: Machine, count: int) -> None:
+        for index in one.take(count):
+            self.cluster.assign(machine, TaskId(one.id, index), Attempt(1), RUNNING, T0)
+
+    def plan(
+        self,
+        *jobs: Job,
+        now: float = 100.0,
+        sample: int = 64,
+        unseen: tuple[float, float] = (0.0, 0.0),
+        kept: float = 99.0,
+        moving: Sequence[Assignment] = (),
+        **ways: Any,
+    ) -> placement.Plan:
+        gpu_reserve = NO_RESERVE
+        for one in self.job_table:
+            gpu_reserve = gpu_reserve.widened(one)
+        quota = Quota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
+        capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
+        inputs = placement.PassInputs(
+            capacities, quota, Steady(T0 + now), random.Random(1), sample, gpu_reserve, kept, **ways
+        )
+        return placement.Pass(inputs).run(jobs, (), moving)
+
+
+def spread_of(plan: placement.Plan) -> Counter[str]:
+    counts: Counter[str] = Counter()
+    for batch in plan.batches:
+        for machine, count in batch.parts:
+            counts[machine.id] += count
+    return counts
+
+
+def order_of(jobs: list[Job], total: float, now: float) -> list[str]:
+    supply = queueing.Supply(total, 0.0)
+    ordered = queueing.order(jobs, settings().params.objectives, supply, supply, WallTime(now))
+    return [one.id for one in ordered]
