--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import msgspec
-from standins import (
+from fakes import (
     CPU,
     GPU,
     RAW_SETTINGS,
@@ -225,7 +225,7 @@
         before = set(self.tasks)
         done = super().execute(token, commands)
         for key in set(self.tasks) - before:
-            self._cluster.referee.started(self, key)
+            self._cluster.rules.started(self, key)
         return done
 
     def tend(self) -> None:
@@ -321,7 +321,7 @@
         """Nothing is kept here."""
 
 
-class Referee:
+class RuleChecker:
     """What users were told and what workers ran, against the rules."""
 
     def __init__(self, cluster: Cluster) -> None:
@@ -334,18 +334,18 @@
         self.ended_done: dict[str, set[int]] = {}
         self.runs: dict[str, Any] = {}
 
-    def _break(self, rule: str, what: str) -> None:
+    def _violation(self, rule: str, what: str) -> None:
         self.broken.append(f"{rule} at {self._cluster.clock() - 1000:.2f}: {what}")
 
     def told(self, node: str, job: str, status: int, answer: Any) -> None:
         """A user was answered."""
         if status == 404 and job in self.accepted:
-            self._break("forgotten", f"{node}: {job}")
+            self._violation("forgotten", f"{node}: {job}")
         if status not in (200, 201):
             return
         state = answer["status"]
         if job in self.final and state != self.final[job]:
-            self._break("went_back", f"{node}: {job} {self.final[job]} -> {state}")
+            self._violation("went_back", f"{node}: {job} {self.final[job]} -> {state}")
         self.accepted.add(job)
         if state in (DONE, CANCELLED):
             self.final.setdefault(job, state)
@@ -354,14 +354,14 @@
         if state == DONE and self.ended_done.get(job, set()) != set(
             range(self.runs[job].task_count)
         ):
-            self._break("not_done", f"{node}: {job}")
+            self._violation("not_done", f"{node}: {job}")
 
     def started(self, worker: TimedWorker, key: tuple[str, int]) -> None:
         """A worker has begun an attempt."""
         task = parse_task(key[0])
         assert task is not None
         if task.job in self.told_cancelled:
-            self._break("ran_cancelled", f"{worker.name} starts {key[0]}")
+            self._violation("ran_cancelled", f"{worker.name} starts {key[0]}")
         for other in self._cluster.workers.values():
             for (reported, attempt), found in other.tasks.items():
                 if (
@@ -373,7 +373,7 @@
                         key[1],
                     )
                 ):
-                    self._break("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
+                    self._violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
 
     def look(self) -> None:
         """Look at what is on the machines now."""
@@ -390,12 +390,12 @@
                     continue
                 told = self.told_cancelled.get(task.job)
                 if told is not None and cluster.clock() > told + cancel_s:
-                    self._break("ran_cancelled", f"{reported} on {worker.name}")
+                    self._violation("ran_cancelled", f"{reported} on {worker.name}")
                 wanted = self.runs[task.job]
                 used[wanted.team] += wanted.gpus
         for team in cluster.settings.params.teams:
             if team.gpus_max and used[team.name] > team.gpus_max:
-                self._break("quota", f"{team.name}: {used[team.name]} cards")
+                self._violation("quota", f"{team.name}: {used[team.name]} cards")
 
 
 class Cluster:
@@ -413,7 +413,7 @@
         self.frozen: set[str] = set()
         self.before_peer_answer: dict[str, Callable[[], None]] = {}
         self.workers: dict[str, TimedWorker] = {}
-        self.referee = Referee(self)
+        self.rules = RuleChecker(self)
         self.links: dict[str, StoreLink] = {}
         self.nodes: dict[str, Node] = {}
         self.apis: dict[str, Api] = {}
@@ -460,7 +460,7 @@
                     self._step_node(name, node)
             for worker in list(self.workers.values()):
                 worker.tend()
-            self.referee.look()
+            self.rules.look()
 
     def _step_node(self, name: str, node: Node) -> None:
         if node.leader is None:
@@ -564,7 +564,7 @@
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
         """A user submits a job, or repeats its submission."""
         wanted = job_spec(ref, **{"task_count": 1, **changes})
-        self.referee.runs.setdefault(ref, wanted)
+        self.rules.runs.setdefault(ref, wanted)
         body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
         return self._with_final_state(node, ref, "POST", "/v2/runs", body)
 
@@ -585,7 +585,7 @@
     def end(self, worker: TimedWorker) -> None:
         """What runs on a worker completes."""
         worker.finish()
-        self.referee.look()
+        self.rules.look()
         worker.next_report = self.clock()
 
     def _with_final_state(
@@ -595,7 +595,7 @@
         if node in self.dead | self.frozen:
             return 0
         status, answer = self._http(node, method, path, body)
-        self.referee.told(node, ref, status, answer)
+        self.rules.told(node, ref, status, answer)
         return status
 
     def _http(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
@@ -655,9 +655,9 @@
     def verdict(self) -> list[str]:
         """Say which rules were broken, once troubles are over."""
         self.settle()
-        for job in sorted(self.referee.accepted):
+        for job in sorted(self.rules.accepted):
             answers = {self.poll(name, job) for name in NAMES}
             if answers != {200}:
-                self.referee._break("forgotten", f"{job}: {answers}")
+                self.rules._violation("forgotten", f"{job}: {answers}")
         waits = [f"waits: {text}" for text in self.waiting_in_vain()]
-        return self.referee.broken + waits
+        return self.rules.broken + waits
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The stage on which the leader's cases play, and the cluster on which meetings of troubles do."""
+"""Fixtures: a leader with fakes round it, and a cluster of three controllers."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import pytest
 from cluster import Cluster
-from stage import Stage
-from standins import Clock
+from fakes import Clock
+from harness import LeaderHarness
 
 TERM_PARTS = (
     "budget",
@@ -31,10 +31,10 @@
 
 
 @pytest.fixture
-def stage(monkeypatch: pytest.MonkeyPatch) -> Iterator[Stage]:
+def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[LeaderHarness]:
     clock = moved_by_hand(monkeypatch, *TERM_PARTS)
     monkeypatch.setattr("ryewing.placer.wall_now", lambda: 0.0)
-    found = Stage(clock)
+    found = LeaderHarness(clock)
     yield found
     if not found.may_reject:
         assert not found.store.rejected
--- a/tests/stage.py
+++ b/tests/harness.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import msgspec
-from standins import Clock, FakeCloud, FakeStore, FakeWorker, job_spec, leadership, policy, settings
+from fakes import Clock, FakeCloud, FakeStore, FakeWorker, job_spec, leadership, policy, settings
 
 from ryewing.jobs import JobRecord, live_key
 from ryewing.leader import Leader
@@ -35,7 +35,7 @@
         """Nothing is kept here."""
 
 
-class Stage:
+class LeaderHarness:
     """A leader with stand-ins round it, driven step by step."""
 
     def __init__(self, clock: Clock) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -33,8 +33,8 @@
 
 import gevent  # noqa: E402
 import msgspec  # noqa: E402
+from fakes import RAW_SETTINGS, FakeCloud, FakeStore, FakeWorker  # noqa: E402
 from gevent.pywsgi import WSGIServer  # noqa: E402
-from standins import RAW_SETTINGS, FakeCloud, FakeStore, FakeWorker  # noqa: E402
 
 from ryewing.cloud import NoCapacity  # noqa: E402
 from ryewing.jobs import JobRecord, live_key  # noqa: E402
--- a/tests/worlds.py
+++ b/tests/placement_world.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from standins import CPU, GPU, job_spec, settings
+from fakes import CPU, GPU, job_spec, settings
 
 from ryewing import placement, queueing
 from ryewing.capacity import NO_RESERVE, MachineCapacity, Quota
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -6,7 +6,7 @@
 
 from cluster import NAMES, Cluster, TimedWorker
 
-Course = Callable[[Cluster], None]
+Scenario = Callable[[Cluster], None]
 
 
 def serving(cluster: Cluster, machines: int = 1) -> TimedWorker:
--- a/tests/services.py
+++ b/tests/services.py
@@ -1,11 +1,11 @@
-"""A service, and how it is brought up on the stage."""
+"""A service, and how it is brought up under the harness."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from stage import Stage
-from standins import FakeWorker
+from fakes import FakeWorker
+from harness import LeaderHarness
 
 from ryewing.units import JobId
 
@@ -19,14 +19,14 @@
 }
 
 
-def serve(stage: Stage, *workers: FakeWorker, **changes: Any) -> JobId:
+def serve(harness: LeaderHarness, *workers: FakeWorker, **changes: Any) -> JobId:
     """Start a service and let the workers show that it runs."""
-    name = stage.accept(**{**SERVICE, "image": "img-s", **changes})
-    stage.place()
+    name = harness.accept(**{**SERVICE, "image": "img-s", **changes})
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     return name
 
 
-def replicas(stage: Stage, name: JobId) -> dict[int, str]:
-    return dict(stage.leader.ctx.job_table.jobs[name].live)
+def replicas(harness: LeaderHarness, name: JobId) -> dict[int, str]:
+    return dict(harness.leader.ctx.job_table.jobs[name].live)
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from standins import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
+from fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 from ryewing.api import Api, Finals
 from ryewing.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from standins import job_spec
-from worlds import T0
+from fakes import job_spec
+from placement_world import T0
 
 from ryewing.budget import Budget
 from ryewing.capacity import Quota
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from cluster import NAMES, Cluster
-from scenarios import Course, running, serving
+from scenarios import Scenario, running, serving
 
 from ryewing.store import Put
 from ryewing.units import Revision
@@ -94,7 +94,7 @@
         if cluster.cancel("n-1") == 200:
             break
         cluster.run(1.0)
-    assert cluster.referee.final == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
     assert worker.tasks
     cluster.ask_all()
 
@@ -135,7 +135,7 @@
         cluster.cancel("n-1")
         cluster.poll("n-0")
         cluster.run(0.5)
-    assert cluster.referee.final == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
 
 
 def a_leader_that_can_renew_but_not_follow(cluster: Cluster) -> None:
@@ -212,7 +212,7 @@
         cluster.ask_all(ref)
         cluster.run(1.0)
         cluster.ask_all(ref)
-    assert cluster.referee.final == {"run-1": "cancelled", "run-2": "done"}
+    assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
 
 
 def asked_as_the_last_task_ends(cluster: Cluster) -> None:
@@ -279,10 +279,10 @@
         cluster.boot("n-1")  # one that remembers nothing
         link = cluster.links["n-1"]
         cluster.ask_all(ref)
-    assert cluster.referee.final == {"run-1": "cancelled", "run-2": "done"}
+    assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
 
 
-COURSES: list[Course] = [
+SCENARIOS: list[Scenario] = [
     cancelled_while_the_next_leader_reads,
     cancelled_before_the_leader_knows_the_job,
     cancelled_while_a_watch_brings_the_job,
@@ -302,7 +302,7 @@
 ]
 
 
-@pytest.mark.parametrize("course", COURSES, ids=lambda course: course.__name__)
-def test_no_rule_breaks_where_troubles_meet(cluster: Cluster, course: Course) -> None:
-    course(cluster)
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_no_rule_is_broken(cluster: Cluster, scenario: Scenario) -> None:
+    scenario(cluster)
     assert cluster.verdict() == []
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -12,8 +12,8 @@
 import msgspec
 import pytest
 from cluster import NAMES, Cluster
-from scenarios import Course, running, serving
-from standins import job_spec
+from fakes import job_spec
+from scenarios import Scenario, running, serving
 
 from ryewing.jobs import JobRecord
 from ryewing.wire import ReportedTask
@@ -26,7 +26,7 @@
     cluster.end(worker)
     cluster.run(3.0)
     cluster.ask_all()
-    assert cluster.referee.final == {"run-1": "done"}
+    assert cluster.rules.final == {"run-1": "done"}
     cluster.submit("n-1", "run-2")
     cluster.run(4.0)
     assert worker.tasks
@@ -41,10 +41,10 @@
 
 def refused_alone(
     before_s: float, outage_s: float, apart: bool, who: str = "n-0", after: str = ""
-) -> Course:
+) -> Scenario:
     """The letter's gap: a controller is refused alone, others confirm cancels, then an outage."""
 
-    def course(cluster: Cluster) -> None:
+    def scenario(cluster: Cluster) -> None:
         serving(cluster, machines=3)
         for number in range(1, 7):
             cluster.submit("n-1", f"run-{number}", cpus=16.0)
@@ -83,7 +83,7 @@
                     cluster.poll(name, f"run-{ref}")
             cluster.run(0.25)
 
-    return course
+    return scenario
 
 
 def cancelled_at_the_refusal(cluster: Cluster) -> None:
@@ -287,7 +287,7 @@
     cluster.end(second)
     cluster.run(4.0)
     assert cluster.poll("n-1") == 200
-    assert cluster.referee.final == {"run-1": "done"}
+    assert cluster.rules.final == {"run-1": "done"}
 
 
 def a_leader_that_stands_still(cluster: Cluster) -> None:
@@ -333,7 +333,7 @@
     assert not cluster.workers["i-000004"].tasks
 
 
-COURSES: list[Course] = [
+SCENARIOS: list[Scenario] = [
     cancelled_at_the_refusal,
     an_old_report_reaches_the_next_leader,
     an_old_report_of_a_machine_that_is_gone,
@@ -350,9 +350,9 @@
 ]
 
 
-@pytest.mark.parametrize("course", COURSES, ids=lambda course: course.__name__)
-def test_no_rule_breaks_where_troubles_meet(cluster: Cluster, course: Course) -> None:
-    course(cluster)
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_no_rule_is_broken(cluster: Cluster, scenario: Scenario) -> None:
+    scenario(cluster)
     assert cluster.verdict() == []
 
 
@@ -375,7 +375,7 @@
     cluster.end(worker)
     cluster.run(4.0)
     cluster.ask_all()
-    assert cluster.referee.final == {"run-1": "done"}
+    assert cluster.rules.final == {"run-1": "done"}
     assert cluster.verdict() == []
 
 
@@ -434,17 +434,17 @@
                     worker.tasks[reported, attempt] = over
                     ended.setdefault(reported.split("/")[0], cluster.clock())
                     worker.next_report = min(worker.next_report, cluster.clock() + 0.5)
-        cluster.referee.look()
+        cluster.rules.look()
         for job, at in list(ended.items()):
             if cluster.clock() >= at + 3.0:
                 assert cluster.poll("n-1", job) == 200
-                assert cluster.referee.final.get(job), f"{job} is told late"
+                assert cluster.rules.final.get(job), f"{job} is told late"
                 del ended[job]
     # Accepted: 1; ended: 2 (the live record goes, the final one comes); cancelled: 1 more.
     assert cluster.store.writes - before <= 240 * 3 + 60 + 8
     assert not [key for key in cluster.store.data if key.startswith("d/run")]
     assert cluster.verdict() == []
-    assert set(cluster.referee.final.values()) == {"done", "cancelled"}
+    assert set(cluster.rules.final.values()) == {"done", "cancelled"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -6,8 +6,8 @@
 
 import msgspec
 import pytest
-from stage import Stage
-from standins import FakeWorker
+from fakes import FakeWorker
+from harness import LeaderHarness
 
 from ryewing.failures import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.jobs import Job
@@ -16,166 +16,168 @@
 from ryewing.units import JobId, MachineId
 
 
-def workers_of(stage: Stage, count: int) -> list[FakeWorker]:
+def workers_of(harness: LeaderHarness, count: int) -> list[FakeWorker]:
     """Workers to which tasks may be given."""
-    workers = [stage.worker(f"i-{number:06d}") for number in range(count)]
-    stage.ready(*workers)
+    workers = [harness.worker(f"i-{number:06d}") for number in range(count)]
+    harness.ready(*workers)
     return workers
 
 
-def live_job(stage: Stage, ref: str, **changes: object) -> Job:
+def live_job(harness: LeaderHarness, ref: str, **changes: object) -> Job:
     """A job that was accepted."""
-    found = stage.leader.ctx.job_table.get(stage.accept(ref, **changes))
+    found = harness.leader.ctx.job_table.get(harness.accept(ref, **changes))
     assert found is not None
     return found
 
 
-def fail_all(stage: Stage, workers: list[FakeWorker], cause: str = "error") -> None:
+def fail_all(harness: LeaderHarness, workers: list[FakeWorker], cause: str = "error") -> None:
     """Let workers fetch their starts, and everything on them end."""
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     for worker in workers:
         worker.finish(cause)
-        stage.exchange(worker)
+        harness.exchange(worker)
 
 
-def failed_job(stage: Stage, workers: list[FakeWorker], ref: str = "run-1") -> Job:
+def failed_job(harness: LeaderHarness, workers: list[FakeWorker], ref: str = "run-1") -> Job:
     """A job whose whole first batch has failed."""
-    job = live_job(stage, ref, task_count=8 * len(workers) + 40)
-    stage.place()
-    fail_all(stage, workers)
+    job = live_job(harness, ref, task_count=8 * len(workers) + 40)
+    harness.place()
+    fail_all(harness, workers)
     assert job.backoff_s
     return job
 
 
-def set_aside(stage: Stage) -> list[str]:
+def set_aside(harness: LeaderHarness) -> list[str]:
     """Name the machines that are thought to be faulty."""
-    return [m.id for m in stage.leader.ctx.cluster.machines.values() if m.quarantined]
+    return [m.id for m in harness.leader.ctx.cluster.machines.values() if m.quarantined]
 
 
 def test_a_whole_batch_that_fails_is_one_step(
-    stage: Stage, caplog: pytest.LogCaptureFixture
+    harness: LeaderHarness, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
     caplog.set_level(logging.INFO, logger="ryewing.failures")
-    workers = workers_of(stage, 5)
-    job = failed_job(stage, workers)
+    workers = workers_of(harness, 5)
+    job = failed_job(harness, workers)
     assert job.backoff_s == BACKOFF_MIN_S
     lines = [record.getMessage() for record in caplog.records]
     assert sum("event=backed-off" in line for line in lines) == 1
     assert sum("event=task-failed" in line for line in lines) <= len(workers)
-    assert not any(m.faults for m in stage.leader.ctx.cluster.machines.values())
+    assert not any(m.faults for m in harness.leader.ctx.cluster.machines.values())
 
 
-def test_what_was_not_sent_yet_need_not_fail_as_well(stage: Stage) -> None:
-    workers = workers_of(stage, 4)
-    job = live_job(stage, "run-1", task_count=100)
-    stage.place()
-    fail_all(stage, workers[:3])
+def test_what_was_not_sent_yet_need_not_fail_as_well(harness: LeaderHarness) -> None:
+    workers = workers_of(harness, 4)
+    job = live_job(harness, "run-1", task_count=100)
+    harness.place()
+    fail_all(harness, workers[:3])
     assert job.backoff_s and not job.live
-    assert not stage.assignments(workers[3].name)
+    assert not harness.assignments(workers[3].name)
 
 
-def test_one_probe_at_a_time_and_a_step_for_each(stage: Stage) -> None:
+def test_one_probe_at_a_time_and_a_step_for_each(harness: LeaderHarness) -> None:
     """A task was placed in every pass until the first of them had failed."""
-    workers = workers_of(stage, 4)
-    job = failed_job(stage, workers)
+    workers = workers_of(harness, 4)
+    job = failed_job(harness, workers)
     seen = [job.backoff_s]
     for _ in range(7):
-        stage.later(job.backoff_s + 0.1)
+        harness.later(job.backoff_s + 0.1)
         for worker in workers:
-            stage.exchange(worker)
+            harness.exchange(worker)
         for _ in range(4):
-            stage.place()
+            harness.place()
             for worker in workers:
-                stage.exchange(worker)
+                harness.exchange(worker)
         assert len(job.live) == 1
-        fail_all(stage, workers)
+        fail_all(harness, workers)
         seen.append(job.backoff_s)
     assert seen == [2.0, 4.0, 8.0, 16.0, 32.0, BACKOFF_MAX_S, BACKOFF_MAX_S, BACKOFF_MAX_S]
 
 
 @pytest.mark.parametrize("ends", [True, False])
-def test_a_probe_that_does_well_widens_the_job(stage: Stage, ends: bool) -> None:
+def test_a_probe_that_does_well_widens_the_job(harness: LeaderHarness, ends: bool) -> None:
     """It ends with success, or runs for longer than what fails at its start."""
-    workers = workers_of(stage, 3)
-    job = failed_job(stage, workers)
-    stage.later(job.backoff_s + 0.1)
+    workers = workers_of(harness, 3)
+    job = failed_job(harness, workers)
+    harness.later(job.backoff_s + 0.1)
     for worker in workers:
-        stage.exchange(worker)
-    stage.place()
+        harness.exchange(worker)
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     assert len(job.live) == 1
     if ends:
         for worker in workers:
             worker.finish("done")
     else:
-        stage.later(RAN_WELL_S + 0.1)
+        harness.later(RAN_WELL_S + 0.1)
     for worker in workers:
-        stage.exchange(worker)
-    stage.write()
-    stage.place()
+        harness.exchange(worker)
+    harness.write()
+    harness.place()
     assert not job.backoff_s
     assert len(job.live) > 1
 
 
-def test_a_machine_that_has_recovered_is_used_again(stage: Stage) -> None:
+def test_a_machine_that_has_recovered_is_used_again(harness: LeaderHarness) -> None:
     """A job that had failed on every machine, and finished tasks on each, waited for ever."""
-    workers = workers_of(stage, 2)
-    job = live_job(stage, "run-1", task_count=60)
+    workers = workers_of(harness, 2)
+    job = live_job(harness, "run-1", task_count=60)
     job.finish(59)
-    stage.leader.ctx.job_table.touch(job)
-    stage.write()
-    stage.place()
+    harness.leader.ctx.job_table.touch(job)
+    harness.write()
+    harness.place()
     assert len(set(job.live.values())) == 2
-    fail_all(stage, workers)
-    stage.place()
+    fail_all(harness, workers)
+    harness.place()
     assert not job.live and not job.backoff_s
-    stage.later(AVOID_S + 0.1)
+    harness.later(AVOID_S + 0.1)
     for worker in workers:
-        stage.exchange(worker)
-    stage.place()
+        harness.exchange(worker)
+    harness.place()
     assert job.live and AVOID_S < 90.0
 
 
-def test_a_probe_goes_where_the_job_has_not_failed(stage: Stage) -> None:
+def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
     """A sound job that met several faulty machines finds out sooner."""
-    workers = workers_of(stage, 4)
-    job = live_job(stage, "run-1", task_count=60)
-    stage.place()
-    fail_all(stage, workers[:3])
+    workers = workers_of(harness, 4)
+    job = live_job(harness, "run-1", task_count=60)
+    harness.place()
+    fail_all(harness, workers[:3])
     assert job.backoff_s
-    stage.later(job.backoff_s + 0.1)
+    harness.later(job.backoff_s + 0.1)
     for worker in workers:
-        stage.exchange(worker)
-    stage.place()
-    assert [worker.name for worker in workers if stage.assignments(worker.name)] == [
+        harness.exchange(worker)
+    harness.place()
+    assert [worker.name for worker in workers if harness.assignments(worker.name)] == [
         workers[3].name
     ]
 
 
-def test_a_sound_job_that_meets_one_faulty_machine_goes_on(stage: Stage) -> None:
-    workers = workers_of(stage, 4)
-    job = live_job(stage, "run-1", task_count=60)
-    stage.place()
-    fail_all(stage, workers[:1])
-    stage.place()
+def test_a_sound_job_that_meets_one_faulty_machine_goes_on(harness: LeaderHarness) -> None:
+    workers = workers_of(harness, 4)
+    job = live_job(harness, "run-1", task_count=60)
+    harness.place()
+    fail_all(harness, workers[:1])
+    harness.place()
     assert not job.backoff_s
     for worker in workers * 2:
-        stage.exchange(worker)
-    assert sum(len(stage.assignments(worker.name)) for worker in workers[1:]) == 24
-    assert not stage.assignments(workers[0].name)
+        harness.exchange(worker)
+    assert sum(len(harness.assignments(worker.name)) for worker in workers[1:]) == 24
+    assert not harness.assignments(workers[0].name)
 
 
 @pytest.mark.parametrize("sound", [True, False])
-def test_jobs_that_fail_everywhere_set_no_machine_aside(stage: Stage, sound: bool) -> None:
+def test_jobs_that_fail_everywhere_set_no_machine_aside(
+    harness: LeaderHarness, sound: bool
+) -> None:
     """Found in inc-f5fb: a new leader set eleven sound machines aside within two seconds."""
-    workers = workers_of(stage, 9)
-    jobs = [live_job(stage, f"run-{n}", task_count=24, cpus=1.0) for n in (1, 2)]
-    stage.place()
+    workers = workers_of(harness, 9)
+    jobs = [live_job(harness, f"run-{n}", task_count=24, cpus=1.0) for n in (1, 2)]
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     if sound:
         for job in jobs:
             job.finish(23)
@@ -183,95 +185,97 @@
     assert on_both
     for worker in workers[:2] if sound else workers:
         worker.finish("error")
-        stage.exchange(worker)
-    assert bool(set_aside(stage)) is sound
+        harness.exchange(worker)
+    assert bool(set_aside(harness)) is sound
 
 
-def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(stage: Stage) -> None:
-    workers = workers_of(stage, 2)
-    job = live_job(stage, "run-1", task_count=8)
-    stage.place()
-    fail_all(stage, workers[:1])
-    machine = stage.leader.ctx.cluster.machines[MachineId(workers[0].name)]
+def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(
+    harness: LeaderHarness,
+) -> None:
+    workers = workers_of(harness, 2)
+    job = live_job(harness, "run-1", task_count=8)
+    harness.place()
+    fail_all(harness, workers[:1])
+    machine = harness.leader.ctx.cluster.machines[MachineId(workers[0].name)]
     assert machine.faults == {job.id}
-    stage.leader.take_cancel(job.id)
+    harness.leader.take_cancel(job.id)
     assert not machine.faults
 
 
-def test_a_successor_is_told_which_jobs_fail_everywhere(stage: Stage) -> None:
+def test_a_successor_is_told_which_jobs_fail_everywhere(harness: LeaderHarness) -> None:
     """Found in replays: each new leader let a whole batch of such jobs fail once more."""
-    workers = workers_of(stage, 4)
-    job = failed_job(stage, workers)
-    sound = live_job(stage, "run-2", task_count=2)
+    workers = workers_of(harness, 4)
+    job = failed_job(harness, workers)
+    sound = live_job(harness, "run-2", task_count=2)
     sound.finish(0)
-    stage.leader.ctx.job_table.touch(sound)
-    stage.write()
-    told = stage.leader.image_hint()
+    harness.leader.ctx.job_table.touch(sound)
+    harness.write()
+    told = harness.leader.image_hint()
     assert told.failing == {job.id: BACKOFF_MIN_S}
     told.failing[sound.id] = 60.0  # it has finished something since
     told.failing["run-999"] = 60.0  # gone meanwhile
     again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageHint)
-    leader = stage.new_leader(6, again)
+    leader = harness.new_leader(6, again)
     assert not leader.ctx.job_table.jobs[sound.id].backoff_s
-    stage.ready(*workers)
-    stage.place()
+    harness.ready(*workers)
+    harness.place()
     inherited = leader.ctx.job_table.jobs[JobId("run-1")]
     assert len(inherited.live) == 1
-    fail_all(stage, workers)
+    fail_all(harness, workers)
     assert inherited.backoff_s == 2 * BACKOFF_MIN_S
 
 
-def test_a_machine_that_fails_several_jobs_is_set_aside(stage: Stage) -> None:
-    worker = stage.ready_worker()
+def test_a_machine_that_fails_several_jobs_is_set_aside(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
     for n in (1, 2):
-        stage.begin(worker, f"run-{n}", task_count=1)
-    stage.exchange(worker)
+        harness.begin(worker, f"run-{n}", task_count=1)
+    harness.exchange(worker)
     worker.finish("error")
-    stage.exchange(worker)
-    assert stage.leader.ctx.cluster.machines[MachineId(worker.name)].quarantined
+    harness.exchange(worker)
+    assert harness.leader.ctx.cluster.machines[MachineId(worker.name)].quarantined
 
 
-def test_a_job_that_fails_everywhere_backs_off(stage: Stage) -> None:
-    workers = [stage.worker(f"i-{n:06d}") for n in range(3)]
-    stage.ready(*workers)
-    job = stage.accept(task_count=24)
-    stage.place()
+def test_a_job_that_fails_everywhere_backs_off(harness: LeaderHarness) -> None:
+    workers = [harness.worker(f"i-{n:06d}") for n in range(3)]
+    harness.ready(*workers)
+    job = harness.accept(task_count=24)
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     for worker in workers:
         worker.finish("error")
-        stage.exchange(worker)
-    found = stage.leader.ctx.job_table.get(job)
+        harness.exchange(worker)
+    found = harness.leader.ctx.job_table.get(job)
     assert found is not None
     first = found.backoff_s
-    assert found.backoff_until > stage.clock() and first >= 2.0
-    stage.place()
-    assert not any(stage.assignments(worker.name) for worker in workers)
+    assert found.backoff_until > harness.clock() and first >= 2.0
+    harness.place()
+    assert not any(harness.assignments(worker.name) for worker in workers)
     # Later it tries again, and on the same machines: new ones were rented for it for ever.
-    stage.later(first + 0.1)
+    harness.later(first + 0.1)
     for worker in workers:
-        stage.exchange(worker)
-    stage.place()
-    assert sum(len(stage.assignments(worker.name)) for worker in workers) == 1  # one tells
-    stage.leader.renter.rent()
-    assert not stage.cloud.requests
-    assert not any(m.quarantined for m in stage.leader.ctx.cluster.machines.values())
+        harness.exchange(worker)
+    harness.place()
+    assert sum(len(harness.assignments(worker.name)) for worker in workers) == 1  # one tells
+    harness.leader.renter.rent()
+    assert not harness.cloud.requests
+    assert not any(m.quarantined for m in harness.leader.ctx.cluster.machines.values())
 
 
 @pytest.mark.parametrize(("faulty", "others", "at_fault"), [(3, 0, True), (3, 5, False)])
 def test_several_faulty_machines_are_no_fault_of_a_large_array(
-    stage: Stage, faulty: int, others: int, at_fault: bool
+    harness: LeaderHarness, faulty: int, others: int, at_fault: bool
 ) -> None:
     """Among hundreds of machines it met three at once, and cleared each of its fault."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(faulty + others)]
-    stage.ready(*workers)
-    found = stage.leader.ctx.job_table.get(stage.accept(task_count=8 * len(workers)))
-    stage.place()
+    workers = [harness.worker(f"i-{n:06d}") for n in range(faulty + others)]
+    harness.ready(*workers)
+    found = harness.leader.ctx.job_table.get(harness.accept(task_count=8 * len(workers)))
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     for worker in workers[:faulty]:
         worker.finish("error")
-        stage.exchange(worker)
+        harness.exchange(worker)
     assert found is not None and bool(found.backoff_s) is at_fault
-    suspects = [m for m in stage.leader.ctx.cluster.machines.values() if m.faults]
+    suspects = [m for m in harness.leader.ctx.cluster.machines.values() if m.faults]
     assert len(suspects) == (0 if at_fault else faulty)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from standins import CPU, job_spec, settings
+from fakes import CPU, job_spec, settings
 
 from ryewing import placement, queueing
 from ryewing.capacity import MachineCapacity, Quota
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from standins import job, policy
-from worlds import FLAVOURS, T0, World
+from fakes import job, policy
+from placement_world import FLAVOURS, T0, World
 
 from ryewing.fleet import CapacityBackoff, options_for, plan_rentals, to_return
 from ryewing.units import (
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from standins import job, job_spec
+from fakes import job, job_spec
 
 from ryewing.jobs import JobRecord, JobTable
 from ryewing.units import (
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from standins import policy, settings
-from worlds import T0
+from fakes import policy, settings
+from placement_world import T0
 
 from ryewing.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
 from ryewing.units import (
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,8 +7,8 @@
 
 import msgspec
 import pytest
-from stage import Stage
-from standins import CPU, FakeStore, job_spec, settings
+from fakes import CPU, FakeStore, job_spec, settings
+from harness import LeaderHarness
 from test_api import Client
 
 from ryewing import catalogue
@@ -144,11 +144,11 @@
             break
 
 
-def test_what_is_said_twice_is_put_together(stage: Stage) -> None:
+def test_what_is_said_twice_is_put_together(harness: LeaderHarness) -> None:
     """A predecessor of the earlier version went on with one copy, and then with the other."""
-    job = stage.accept("run-1", task_count=16)
-    stage.accept("run-2", task_count=16)
-    stage.store.txn(
+    job = harness.accept("run-1", task_count=16)
+    harness.accept("run-2", task_count=16)
+    harness.store.txn(
         {},
         [
             Put("d/0", {"run-1/0": "AQ==", "run-2/0": "AQ=="}),
@@ -156,13 +156,13 @@
             Put("m/3", {"i-000001": MachineRecord("c32", "a", False, "10.1.0.2:9000", True)}),
         ],
     )
-    stage.store.txn({}, [Put("m/10", {"i-000001": MachineRecord("c32", "a")})])
-    leader = stage.new_leader(6)
+    harness.store.txn({}, [Put("m/10", {"i-000001": MachineRecord("c32", "a")})])
+    leader = harness.new_leader(6)
     assert leader.ctx.job_table.jobs[job].done_count == 2
     machine = leader.ctx.cluster.machines[MachineId("i-000001")]
     assert machine.recorded and machine.may_hold_until is not None
-    stage.write()
-    kept = as_production_reads(stage.store, "d/") | as_production_reads(stage.store, "m/")
+    harness.write()
+    kept = as_production_reads(harness.store, "d/") | as_production_reads(harness.store, "m/")
     assert kept["run-1/0"] == ["gQA="] or kept["run-1/0"] == ["gQ=="]
     assert [said["heard"] for said in kept["i-000001"]] == [True]
 
@@ -228,79 +228,83 @@
     assert store.data == before
 
 
-def test_a_fleet_and_its_finishes_go_on_where_the_limits_have_fallen(stage: Stage) -> None:
+def test_a_fleet_and_its_finishes_go_on_where_the_limits_have_fallen(
+    harness: LeaderHarness,
+) -> None:
     """Played: after the fall no finish was written any more, since each write was refused."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(120)]
-    stage.ready(*workers)
-    jobs = [stage.accept(f"run-{n}", task_count=40, cpus=1.0, memory_gb=1.0) for n in range(60)]
-    stage.place()
+    workers = [harness.worker(f"i-{n:06d}") for n in range(120)]
+    harness.ready(*workers)
+    jobs = [harness.accept(f"run-{n}", task_count=40, cpus=1.0, memory_gb=1.0) for n in range(60)]
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     for worker in workers[:60]:
-        stage.end(worker)
-    stage.write()
-    stage.announce(value_kb=2.0, txn_ops=4)
-    stage.new_leader(6)
-    stage.narrow(value_kb=2.0, txn_ops=4)
-    stage.ready(*workers)
+        harness.end(worker)
+    harness.write()
+    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.new_leader(6)
+    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.ready(*workers)
     for worker in workers:
-        stage.end(worker)
+        harness.end(worker)
     for _ in range(40):
-        stage.write()
-        stage.place()
+        harness.write()
+        harness.place()
         for worker in workers:
-            stage.exchange(worker)
-            stage.end(worker)
-    stage.write()
-    assert stage.finals == dict.fromkeys(jobs, "done")
-    assert max(len(value) for key, (value, *_) in stage.store.data.items() if key[1] == "/") < 2048
+            harness.exchange(worker)
+            harness.end(worker)
+    harness.write()
+    assert harness.finals == dict.fromkeys(jobs, "done")
+    assert (
+        max(len(value) for key, (value, *_) in harness.store.data.items() if key[1] == "/") < 2048
+    )
 
 
 @pytest.mark.parametrize("culprit_first", [True, False])
 def test_one_value_that_cannot_be_written_does_not_hold_up_the_others(
-    stage: Stage, culprit_first: bool
+    harness: LeaderHarness, culprit_first: bool
 ) -> None:
     """A 400 was taken for an outage, and the same transaction was tried for ever."""
-    stage.may_reject = True
+    harness.may_reject = True
     sizes = [8192, 4] if culprit_first else [4, 8192]
-    large, small = (stage.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
+    large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
     if not culprit_first:
         large, small = small, large
-    stage.narrow(value_kb=1.0)
+    harness.narrow(value_kb=1.0)
     for name in (large, small):
-        stage.leader.ctx.job_table.jobs[name].finish(1)
-        stage.leader.ctx.job_table.touch(stage.leader.ctx.job_table.jobs[name])
+        harness.leader.ctx.job_table.jobs[name].finish(1)
+        harness.leader.ctx.job_table.touch(harness.leader.ctx.job_table.jobs[name])
     for _ in range(12):
-        stage.leader.writer.write_once()
-    assert not stage.leader.ctx.job_table.jobs[small].unwritten
-    assert stage.leader.ctx.job_table.jobs[large].unwritten
-    refused = len(stage.store.rejected)
+        harness.leader.writer.write_once()
+    assert not harness.leader.ctx.job_table.jobs[small].unwritten
+    assert harness.leader.ctx.job_table.jobs[large].unwritten
+    refused = len(harness.store.rejected)
     for _ in range(5):
-        stage.leader.writer.write_once()
-    assert len(stage.store.rejected) == refused  # left alone for a while
-    stage.later(ASIDE_S + 1)
-    stage.narrow(value_kb=8.0)
-    stage.write()
-    assert not stage.leader.ctx.job_table.jobs[large].unwritten
+        harness.leader.writer.write_once()
+    assert len(harness.store.rejected) == refused  # left alone for a while
+    harness.later(ASIDE_S + 1)
+    harness.narrow(value_kb=8.0)
+    harness.write()
+    assert not harness.leader.ctx.job_table.jobs[large].unwritten
 
 
 @pytest.mark.parametrize("limits", [{"txn_ops": 3}, {"value_kb": 1.0}, {"txn_ops": 2}])
-def test_limits_that_fell_unannounced_are_found_out(stage: Stage, limits: Any) -> None:
-    stage.may_reject = True
-    workers = [stage.worker(f"i-{n:06d}") for n in range(40)]
-    stage.ready(*workers)
-    stage.narrow(**limits)
-    jobs = [stage.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
-    stage.place()
+def test_limits_that_fell_unannounced_are_found_out(harness: LeaderHarness, limits: Any) -> None:
+    harness.may_reject = True
+    workers = [harness.worker(f"i-{n:06d}") for n in range(40)]
+    harness.ready(*workers)
+    harness.narrow(**limits)
+    jobs = [harness.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
+    harness.place()
     for worker in workers:
-        stage.exchange(worker)
+        harness.exchange(worker)
     for n, worker in enumerate(workers):
         worker.machine_type = worker.machine_type
-        stage.leader.ctx.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
-        stage.leader.writer.to_record.add(MachineId(worker.name))
-        stage.end(worker)
-    stage.write()
-    assert stage.finals == dict.fromkeys(jobs, "done")
+        harness.leader.ctx.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
+        harness.leader.writer.to_record.add(MachineId(worker.name))
+        harness.end(worker)
+    harness.write()
+    assert harness.finals == dict.fromkeys(jobs, "done")
 
 
 # -- records of jobs ----------------------------------------------------------------------------
@@ -379,18 +383,20 @@
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 200
 
 
-def test_a_final_state_is_written_for_a_job_with_a_wide_record(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    job = stage.accept("run-1", image="img-" + "x" * 3000)
-    stage.announce(value_kb=2.0, txn_ops=4)
-    stage.new_leader(6)
-    stage.narrow(value_kb=2.0, txn_ops=4)
-    stage.ready(worker)
-    stage.place()
-    stage.exchange(worker)
-    stage.end(worker)
-    stage.write()
-    assert stage.store.get(final_key(job)) is not None and stage.store.get(live_key(job)) is None
+def test_a_final_state_is_written_for_a_job_with_a_wide_record(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    job = harness.accept("run-1", image="img-" + "x" * 3000)
+    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.new_leader(6)
+    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.ready(worker)
+    harness.place()
+    harness.exchange(worker)
+    harness.end(worker)
+    harness.write()
+    assert (
+        harness.store.get(final_key(job)) is not None and harness.store.get(live_key(job)) is None
+    )
 
 
 # -- machine types ------------------------------------------------------------------------------
@@ -433,31 +439,33 @@
     assert min(seen) >= 20 and len(catalogue.read(store)) == 21  # type: ignore[arg-type]
 
 
-def test_types_that_could_not_be_written_are_written_later(stage: Stage) -> None:
+def test_types_that_could_not_be_written_are_written_later(harness: LeaderHarness) -> None:
     """They were noted as known before the write: after an outage no follower learned them."""
-    stage.store.down = True
+    harness.store.down = True
     with pytest.raises(StoreDown):
-        stage.leader.renter._read_machine_types()
-    stage.store.down = False
-    stage.leader.renter._read_machine_types()
-    assert stage.store.get(catalogue.KEY) is not None
-    before = stage.store.writes
-    stage.leader.renter._read_machine_types()
-    assert stage.store.writes == before
+        harness.leader.renter._read_machine_types()
+    harness.store.down = False
+    harness.leader.renter._read_machine_types()
+    assert harness.store.get(catalogue.KEY) is not None
+    before = harness.store.writes
+    harness.leader.renter._read_machine_types()
+    assert harness.store.writes == before
 
 
-def test_a_repeated_wish_does_not_say_that_its_machines_were_never_heard(stage: Stage) -> None:
+def test_a_repeated_wish_does_not_say_that_its_machines_were_never_heard(
+    harness: LeaderHarness,
+) -> None:
     """A successor repeats the wish, and wrote 'not heard' over what its predecessor had written."""
-    names = stage.cloud.rent(RentalRequest("r-5-1", "c32", "a", False, 1))
-    stage.store.txn(
+    names = harness.cloud.rent(RentalRequest("r-5-1", "c32", "a", False, 1))
+    harness.store.txn(
         {}, [Put(REQUEST_PREFIX + "r-5-1", RentalRequest("r-5-1", "c32", "a", False, 1))]
     )
-    stage.ready(stage.worker(names[0]))
-    stage.new_leader(6)
-    for request in list(stage.leader.renter.pending_requests.values()):
-        stage.leader.renter.id(request)
-    stage.write()
-    said = as_production_reads(stage.store, MACHINE_PREFIX)[names[0]]
+    harness.ready(harness.worker(names[0]))
+    harness.new_leader(6)
+    for request in list(harness.leader.renter.pending_requests.values()):
+        harness.leader.renter.id(request)
+    harness.write()
+    said = as_production_reads(harness.store, MACHINE_PREFIX)[names[0]]
     assert [record["heard"] for record in said] == [True]
 
 
@@ -467,13 +475,13 @@
 
 @pytest.mark.parametrize("machines", [60, 260, 603])
 def test_a_start_at_the_announced_limits_takes_writes_in_proportion(
-    stage: Stage, machines: int
+    harness: LeaderHarness, machines: int
 ) -> None:
-    stage.announce(value_kb=2.0, txn_ops=4)
-    stage.new_leader(6)
-    stage.narrow(value_kb=2.0, txn_ops=4)
-    workers = [stage.worker(f"i-{n:06d}") for n in range(machines)]
-    before = stage.store.writes
-    stage.ready(*workers)
-    assert stage.store.writes - before <= machines / 10 + 2
-    assert all(machine.recorded for machine in stage.leader.ctx.cluster.machines.values())
+    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.new_leader(6)
+    harness.narrow(value_kb=2.0, txn_ops=4)
+    workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
+    before = harness.store.writes
+    harness.ready(*workers)
+    assert harness.store.writes - before <= machines / 10 + 2
+    assert all(machine.recorded for machine in harness.leader.ctx.cluster.machines.values())
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-from standins import GPU, job
-from worlds import T0, TEAMS, World, spread_of
+from fakes import GPU, job
+from placement_world import T0, TEAMS, World, spread_of
 
 from ryewing import preemption, queueing
 from ryewing.units import (
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -71,7 +71,7 @@
     poll_all(cluster, refs)
     assert costs.asks <= 2 * len(refs)
     assert costs.reads <= 2 * 2 * len(refs)
-    assert set(cluster.referee.final.values()) == {"done"}
+    assert set(cluster.rules.final.values()) == {"done"}
 
 
 def test_reports_are_answered_between_polls(cluster: Cluster) -> None:
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from standins import job
-from worlds import order_of
+from fakes import job
+from placement_world import order_of
 
 
 def test_what_can_be_on_time_goes_before_what_cannot() -> None:
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
-from stage import Stage
-from standins import policy, settings
+from fakes import policy, settings
+from harness import LeaderHarness
 
 from ryewing.cloud import CloudDown
 from ryewing.renter import REQUEST_PREFIX
@@ -15,83 +15,83 @@
 from ryewing.writer import MACHINE_PREFIX
 
 
-def rent(stage: Stage) -> None:
-    stage.place()
-    stage.leader.renter.rent()
-
-
-def test_a_successor_repeats_a_recorded_wish_under_its_name(stage: Stage) -> None:
-    stage.accept(task_count=8)
-    stage.leader.renter.id = lambda request: None  # type: ignore[method-assign]  # dies before asking
-    rent(stage)
-    assert len(stage.store.listing(REQUEST_PREFIX)[0]) == 1
-    assert not stage.cloud.requests
-    stage.new_leader(6)
-    for request in list(stage.leader.renter.pending_requests.values()):
-        stage.leader.renter.id(request)
-    rent(stage)  # what is booting counts
-    assert len(stage.cloud.requests) == 1
-    stage.write()
-    assert stage.store.listing(REQUEST_PREFIX)[0] == []
-    assert len(stage.store.listing(MACHINE_PREFIX)[0]) == 1
-
-
-def test_names_of_requests_differ_between_terms(stage: Stage) -> None:
-    stage.accept(task_count=8)
-    rent(stage)
-    stage.new_leader(6)
-    stage.accept("run-2", task_count=50)
-    rent(stage)
-    names = [request.id for request in stage.cloud.requests]
+def rent(harness: LeaderHarness) -> None:
+    harness.place()
+    harness.leader.renter.rent()
+
+
+def test_a_successor_repeats_a_recorded_wish_under_its_name(harness: LeaderHarness) -> None:
+    harness.accept(task_count=8)
+    harness.leader.renter.id = lambda request: None  # type: ignore[method-assign]  # dies before asking
+    rent(harness)
+    assert len(harness.store.listing(REQUEST_PREFIX)[0]) == 1
+    assert not harness.cloud.requests
+    harness.new_leader(6)
+    for request in list(harness.leader.renter.pending_requests.values()):
+        harness.leader.renter.id(request)
+    rent(harness)  # what is booting counts
+    assert len(harness.cloud.requests) == 1
+    harness.write()
+    assert harness.store.listing(REQUEST_PREFIX)[0] == []
+    assert len(harness.store.listing(MACHINE_PREFIX)[0]) == 1
+
+
+def test_names_of_requests_differ_between_terms(harness: LeaderHarness) -> None:
+    harness.accept(task_count=8)
+    rent(harness)
+    harness.new_leader(6)
+    harness.accept("run-2", task_count=50)
+    rent(harness)
+    names = [request.id for request in harness.cloud.requests]
     assert len(names) == len(set(names)) >= 2
 
 
-def test_an_unanswered_request_is_repeated_not_renewed(stage: Stage) -> None:
-    stage.accept(task_count=8)
+def test_an_unanswered_request_is_repeated_not_renewed(harness: LeaderHarness) -> None:
+    harness.accept(task_count=8)
 
     def no_answer(_hire: Any) -> Any:
         raise CloudDown("timeout")
 
-    real, stage.cloud.rent = stage.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
+    real, harness.cloud.rent = harness.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudDown):
-        rent(stage)
-    stage.cloud.rent = real  # type: ignore[method-assign]
-    [pending] = stage.leader.renter.pending_requests.values()
-    stage.leader.renter.id(pending)
-    assert [request.id for request in stage.cloud.requests] == [pending.id]
-
-
-def test_nothing_is_rented_without_the_lease(stage: Stage) -> None:
-    stage.accept(task_count=8)
-    rent_wish = stage.leader.renter.pending_requests
-    stage.place()
-    stage.later(3.1, renewed=False)
-    stage.leader.renter.rent()
-    assert not stage.cloud.requests
+        rent(harness)
+    harness.cloud.rent = real  # type: ignore[method-assign]
+    [pending] = harness.leader.renter.pending_requests.values()
+    harness.leader.renter.id(pending)
+    assert [request.id for request in harness.cloud.requests] == [pending.id]
+
+
+def test_nothing_is_rented_without_the_lease(harness: LeaderHarness) -> None:
+    harness.accept(task_count=8)
+    rent_wish = harness.leader.renter.pending_requests
+    harness.place()
+    harness.later(3.1, renewed=False)
+    harness.leader.renter.rent()
+    assert not harness.cloud.requests
     assert len(rent_wish) == 1  # recorded, to be asked for once the lease is confirmed
 
 
-def test_a_booting_machine_keeps_a_successor_from_nothing(stage: Stage) -> None:
+def test_a_booting_machine_keeps_a_successor_from_nothing(harness: LeaderHarness) -> None:
     """Found on a rolling restart: each new leader waited for machines that had never reported."""
-    stage.accept(task_count=8)
-    rent(stage)
-    stage.write()
-    stage.new_leader(6)
-    assert len(stage.leader.ctx.cluster.machines) == 1
-    assert stage.leader.placer.ready_to_place()
+    harness.accept(task_count=8)
+    rent(harness)
+    harness.write()
+    harness.new_leader(6)
+    assert len(harness.leader.ctx.cluster.machines) == 1
+    assert harness.leader.placer.ready_to_place()
 
 
-def test_a_failed_release_leaves_the_machine_in_use(stage: Stage) -> None:
+def test_a_failed_release_leaves_the_machine_in_use(harness: LeaderHarness) -> None:
     """Found on a quiet day: refused for the cloud's rate, machines were left out for good."""
-    worker = stage.ready_worker()
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
+    worker = harness.ready_worker()
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
 
     def refused(_machines: Any) -> None:
         raise CloudDown("429")
 
-    stage.cloud.release = refused  # type: ignore[assignment,method-assign]
+    harness.cloud.release = refused  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudDown):
-        stage.leader.renter.release([(machine, "idle")])
+        harness.leader.renter.release([(machine, "idle")])
     assert machine.usable()
 
 
@@ -107,91 +107,93 @@
     ],
 )
 def test_what_a_predecessor_returned_is_not_waited_for(
-    stage: Stage, lists: list[bool], heard: bool, known: bool
+    harness: LeaderHarness, lists: list[bool], heard: bool, known: bool
 ) -> None:
     """Lists are old: a new leader took up machines that were gone, and counted them as booting."""
-    worker = stage.worker()
+    worker = harness.worker()
     for shown in lists:
         host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
-        stage.cloud.listed = [host] if shown else []
-        stage.leader.renter._list()
+        harness.cloud.listed = [host] if shown else []
+        harness.leader.renter._list()
         if heard:
-            stage.exchange(worker)
-    assert (MachineId(worker.name) in stage.leader.ctx.cluster.machines) is known
-    stage.accept(task_count=8)
-    stage.place()
-    stage.leader.renter.rent()
-    assert bool(stage.cloud.requests) is not known
+            harness.exchange(worker)
+    assert (MachineId(worker.name) in harness.leader.ctx.cluster.machines) is known
+    harness.accept(task_count=8)
+    harness.place()
+    harness.leader.renter.rent()
+    assert bool(harness.cloud.requests) is not known
 
 
 @pytest.mark.parametrize(("machines", "silent", "given_up"), [(9, 2, 2), (9, 6, 0)])
 def test_silent_machines_are_released_unless_they_are_many(
-    stage: Stage, machines: int, silent: int, given_up: int
+    harness: LeaderHarness, machines: int, silent: int, given_up: int
 ) -> None:
     """Many silent at once may mean that the fault is here: nothing is released in haste."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(machines)]
-    stage.ready(*workers)
-    stage.later(policy().silence_s + 1.0)
+    workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
+    harness.ready(*workers)
+    harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
-        stage.exchange(worker)
-    assert len(stage.leader.renter.to_give_up(stage.clock())) == given_up
-    stage.later(settings().params.workers.lease_s)
+        harness.exchange(worker)
+    assert len(harness.leader.renter.to_give_up(harness.clock())) == given_up
+    harness.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
-        stage.exchange(worker)
-    stage.leader.ctx.cluster.expire(stage.clock())
-    assert len(stage.leader.renter.to_give_up(stage.clock())) == silent
+        harness.exchange(worker)
+    harness.leader.ctx.cluster.expire(harness.clock())
+    assert len(harness.leader.renter.to_give_up(harness.clock())) == silent
 
 
-def test_machines_of_an_earlier_term_are_given_up_once_their_lease_is_over(stage: Stage) -> None:
+def test_machines_of_an_earlier_term_are_given_up_once_their_lease_is_over(
+    harness: LeaderHarness,
+) -> None:
     """Found in inc-08d3: those never heard since a take-over were waited for like booting ones."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(6)]
-    stage.ready(*workers)
-    stage.new_leader(6)
+    workers = [harness.worker(f"i-{n:06d}") for n in range(6)]
+    harness.ready(*workers)
+    harness.new_leader(6)
     for worker in workers[4:] * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     bound = policy().hold_s + settings().params.workers.lease_s
     for _ in range(int(bound / 2) + 3):
-        stage.later(2.0)
+        harness.later(2.0)
         for worker in workers[4:]:
-            stage.exchange(worker)
-    stage.leader.ctx.cluster.expire(stage.clock())
-    chosen = stage.leader.renter.to_give_up(stage.clock())
+            harness.exchange(worker)
+    harness.leader.ctx.cluster.expire(harness.clock())
+    chosen = harness.leader.renter.to_give_up(harness.clock())
     assert sorted((machine.id, why) for machine, why in chosen) == [
         (worker.name, "silent") for worker in workers[:4]
     ]
 
 
-def test_machines_falling_silent_one_after_another_are_not_released(stage: Stage) -> None:
+def test_machines_falling_silent_one_after_another_are_not_released(harness: LeaderHarness) -> None:
     """Found on a day of our own: the first of many to fall silent looked like few."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(9)]
-    stage.ready(*workers)
+    workers = [harness.worker(f"i-{n:06d}") for n in range(9)]
+    harness.ready(*workers)
     for worker in workers[3:]:
-        stage.later(0.3)
-        stage.exchange(worker)
-    stage.later(policy().silence_s - 1.0)  # the first three are silent, the others only late
-    assert stage.leader.renter.to_give_up(stage.clock()) == []
+        harness.later(0.3)
+        harness.exchange(worker)
+    harness.later(policy().silence_s - 1.0)  # the first three are silent, the others only late
+    assert harness.leader.renter.to_give_up(harness.clock()) == []
 
 
-def test_asking_many_silent_machines_never_waits(stage: Stage) -> None:
+def test_asking_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
     """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(100)]
-    stage.ready(*workers)
-    del stage.leader.dispatch.send_soon
+    workers = [harness.worker(f"i-{n:06d}") for n in range(100)]
+    harness.ready(*workers)
+    del harness.leader.dispatch.send_soon
     spawned: list[object] = []
-    stage.leader.dispatch._senders.spawn = lambda *args: spawned.append(args)
-    stage.later(policy().silence_s)
-    stage.leader.dispatch.probe(stage.clock())
-    stage.leader.dispatch.probe(stage.clock())
+    harness.leader.dispatch._senders.spawn = lambda *args: spawned.append(args)
+    harness.later(policy().silence_s)
+    harness.leader.dispatch.probe(harness.clock())
+    harness.leader.dispatch.probe(harness.clock())
     assert len(spawned) == 100  # one each, at once, and none twice
 
 
 @pytest.mark.parametrize(("silent", "cut"), [(2, False), (6, False), (7, True), (9, True)])
 def test_a_leader_that_hears_hardly_any_worker_resigns(
-    stage: Stage, silent: int, cut: bool
+    harness: LeaderHarness, silent: int, cut: bool
 ) -> None:
-    workers = [stage.worker(f"i-{n:06d}") for n in range(9)]
-    stage.ready(*workers)
-    stage.later(policy().silence_s + 1.0)
+    workers = [harness.worker(f"i-{n:06d}") for n in range(9)]
+    harness.ready(*workers)
+    harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
-        stage.exchange(worker)
-    assert stage.leader.is_cut_from_workers(stage.clock()) is cut
+        harness.exchange(worker)
+    assert harness.leader.is_cut_from_workers(harness.clock()) is cut
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -6,10 +6,10 @@
 
 import msgspec
 import pytest
+from fakes import CPU, GPU, job_spec, policy
+from harness import LeaderHarness, starts, verbs
+from placement_world import T0, World, spread_of
 from services import SERVICE, replicas, serve
-from stage import Stage, starts, verbs
-from standins import CPU, GPU, job_spec, policy
-from worlds import T0, World, spread_of
 
 from ryewing.fleet import to_retire
 from ryewing.machine import RUNNING, Assignment, Machine
@@ -247,51 +247,51 @@
     assert world.plan(moving=[assignment]).moves == [assignment]
 
 
-def test_a_machine_about_to_go_hands_its_replica_on(stage: Stage) -> None:
-    one, other = stage.worker("i-000001"), stage.worker("i-000002")
-    stage.ready(one)
-    name = serve(stage, one, task_count=1)
+def test_a_machine_about_to_go_hands_its_replica_on(harness: LeaderHarness) -> None:
+    one, other = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(one)
+    name = serve(harness, one, task_count=1)
     one.notice_s = 10.0
-    assert "halt" not in verbs(stage.exchange(one))  # no room elsewhere: it serves on
-    stage.place()
-    assert "halt" not in verbs(stage.exchange(one))
-    stage.ready(other)
-    stage.place()
-    assert "halt" in verbs(stage.exchange(one))
-    stage.place()
-    assert not starts(stage.exchange(other))  # not before it is gone
-    stage.exchange(one)
-    stage.place()
-    assert len(starts(stage.exchange(other))) == 1
-    assert list(replicas(stage, name).values()) == [other.name]
-
-
-def test_moves_off_unwanted_machines_are_few(stage: Stage) -> None:
+    assert "halt" not in verbs(harness.exchange(one))  # no room elsewhere: it serves on
+    harness.place()
+    assert "halt" not in verbs(harness.exchange(one))
+    harness.ready(other)
+    harness.place()
+    assert "halt" in verbs(harness.exchange(one))
+    harness.place()
+    assert not starts(harness.exchange(other))  # not before it is gone
+    harness.exchange(one)
+    harness.place()
+    assert len(starts(harness.exchange(other))) == 1
+    assert list(replicas(harness, name).values()) == [other.name]
+
+
+def test_moves_off_unwanted_machines_are_few(harness: LeaderHarness) -> None:
     """A third of a service's replicas was moved within minutes, as the cards wanted went up and
     down: each move is a gap."""
-    dear = [stage.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
-    stage.ready(*dear)
-    serve(stage, *dear, task_count=8)
-    stage.leader.ctx.began = Steady(stage.clock() - 10_000.0)
-    plain = stage.worker("i-000009")
-    stage.ready(plain)
-    cluster = stage.leader.ctx.cluster
+    dear = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
+    harness.ready(*dear)
+    serve(harness, *dear, task_count=8)
+    harness.leader.ctx.began = Steady(harness.clock() - 10_000.0)
+    plain = harness.worker("i-000009")
+    harness.ready(plain)
+    cluster = harness.leader.ctx.cluster
     cluster.machines[MachineId(plain.name)].record_image("img-s", 2.0)
     for worker in dear:
         machine = cluster.machines[MachineId(worker.name)]
-        machine.retiring, machine.retiring_since = True, stage.clock()
+        machine.retiring, machine.retiring_since = True, harness.clock()
 
     def moved(after_s: float) -> int:
-        stage.later(after_s)
-        stage.exchange(plain)
-        stage.later(1.5)  # its next report is due soon
-        stage.place()
-        return sum(verbs(stage.exchange(worker)).count("halt") for worker in dear)
+        harness.later(after_s)
+        harness.exchange(plain)
+        harness.later(1.5)  # its next report is due soon
+        harness.place()
+        return sum(verbs(harness.exchange(worker)).count("halt") for worker in dear)
 
     assert moved(MOVE_AFTER_S - 4.0) == 0
     assert moved(2.0) == 1
     for worker in dear:
-        stage.exchange(worker)
+        harness.exchange(worker)
     gap = MOVE_GAP_S / (MOVE_SHARE * 8)
     assert moved(gap - 10.0) == 0
     assert moved(80.0) == 1
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 import pytest
+from fakes import CPU, job, job_spec, policy
+from harness import LeaderHarness, starts, verbs
+from placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
 from services import SERVICE, replicas, serve
-from stage import Stage, starts, verbs
-from standins import CPU, job, job_spec, policy
 from test_api import Client
-from worlds import FLAVOURS, T0, TEAMS, World, order_of, spread_of
 
 from ryewing import placement, queueing
 from ryewing.capacity import MachineCapacity, Quota
@@ -44,53 +44,55 @@
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "killed"])
-def test_a_replica_that_ends_runs_again_and_its_job_is_never_done(stage: Stage, cause: str) -> None:
-    one, other = stage.worker("i-000001"), stage.worker("i-000002")
-    stage.ready(one, other)
-    name = serve(stage, one, other, task_count=2)
+def test_a_replica_that_ends_runs_again_and_its_job_is_never_done(
+    harness: LeaderHarness, cause: str
+) -> None:
+    one, other = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(one, other)
+    name = serve(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
-    assert stage.leader.poll(name) == stage.leader.ctx.job_table.jobs[name].status()
-    stage.later(RAN_WELL_S + 1)
+    assert harness.leader.poll(name) == harness.leader.ctx.job_table.jobs[name].status()
+    harness.later(RAN_WELL_S + 1)
     for worker in (one, other):
         if worker.tasks:
             worker.finish(cause)
-            commands = stage.exchange(worker)
+            commands = harness.exchange(worker)
             assert "clear" in verbs(commands)  # nothing has to be written for it
-    stage.write()
+    harness.write()
     for _ in range(3):
-        stage.place()
+        harness.place()
         for worker in (one, other):
-            stage.exchange(worker)
-    state = stage.leader.poll(name)
+            harness.exchange(worker)
+    state = harness.leader.poll(name)
     assert state is not None and (state.status, state.done, state.running) == ("running", 0, 2)
-    assert stage.store.get(final_key(name)) is None and not stage.finals
-    assert not any(bytes(entry.data) != b"{}" for entry in stage.store.listing("d/")[0])
+    assert harness.store.get(final_key(name)) is None and not harness.finals
+    assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     again = {key[1] for worker in (one, other) for key in worker.tasks}
     assert not before & again  # a new attempt each time
 
 
-def test_a_replica_that_exited_with_done_starts_elsewhere(stage: Stage) -> None:
+def test_a_replica_that_exited_with_done_starts_elsewhere(harness: LeaderHarness) -> None:
     """Its worker keeps the result: started there again it would exit at once."""
-    one, other = stage.worker("i-000001"), stage.worker("i-000002")
-    stage.ready(one, other)
-    name = serve(stage, one, other, task_count=1)
-    [at] = replicas(stage, name).values()
+    one, other = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(one, other)
+    name = serve(harness, one, other, task_count=1)
+    [at] = replicas(harness, name).values()
     here, there = (one, other) if at == one.name else (other, one)
-    stage.later(RAN_WELL_S + 1)
+    harness.later(RAN_WELL_S + 1)
     here.finish("done")
-    stage.exchange(here)
-    stage.exchange(there)
-    stage.place()
-    assert list(replicas(stage, name).values()) == [there.name]
+    harness.exchange(here)
+    harness.exchange(there)
+    harness.place()
+    assert list(replicas(harness, name).values()) == [there.name]
 
 
-def test_a_record_of_finishes_makes_no_service_done(stage: Stage) -> None:
-    name = stage.accept(**SERVICE, task_count=2)
-    stage.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
-    leader = stage.new_leader(6)
+def test_a_record_of_finishes_makes_no_service_done(harness: LeaderHarness) -> None:
+    name = harness.accept(**SERVICE, task_count=2)
+    harness.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
+    leader = harness.new_leader(6)
     assert leader.ctx.job_table.jobs[name].shortfall == 2
-    stage.write()
-    assert stage.store.get(final_key(name)) is None and not stage.finals
+    harness.write()
+    assert harness.store.get(final_key(name)) is None and not harness.finals
 
 
 def test_a_replica_cannot_finish() -> None:
@@ -100,72 +102,74 @@
     assert service.shortfall == 2
 
 
-def test_one_that_ends_at_once_everywhere_is_backed_off_and_tried_again(stage: Stage) -> None:
-    workers = [stage.worker(f"i-{n:06d}") for n in range(8)]
-    stage.ready(*workers)
-    name = stage.accept(**SERVICE, task_count=6)
-    service = stage.leader.ctx.job_table.jobs[name]
+def test_one_that_ends_at_once_everywhere_is_backed_off_and_tried_again(
+    harness: LeaderHarness,
+) -> None:
+    workers = [harness.worker(f"i-{n:06d}") for n in range(8)]
+    harness.ready(*workers)
+    name = harness.accept(**SERVICE, task_count=6)
+    service = harness.leader.ctx.job_table.jobs[name]
     begun = 0
     for _ in range(200):
-        stage.place()
+        harness.place()
         for worker in workers:
-            begun += len(starts(stage.exchange(worker)))
+            begun += len(starts(harness.exchange(worker)))
             worker.finish("error")
-            stage.exchange(worker)
-        stage.later(1.0)
+            harness.exchange(worker)
+        harness.later(1.0)
     assert service.backoff_s == 60.0
     assert begun < 60
-    assert not any(m.faults or m.quarantined for m in stage.leader.ctx.cluster.machines.values())
-    stage.later(61.0)
+    assert not any(m.faults or m.quarantined for m in harness.leader.ctx.cluster.machines.values())
+    harness.later(61.0)
     for worker in workers * 2:
-        stage.exchange(worker)
-    stage.place()
+        harness.exchange(worker)
+    harness.place()
     assert len(service.live) == 1  # one tells whether it still does
-    stage.place()
+    harness.place()
     assert len(service.live) == 1
     for _ in range(2):
         for worker in workers:
-            stage.exchange(worker)
-        stage.later(RAN_WELL_S)
+            harness.exchange(worker)
+        harness.later(RAN_WELL_S)
     for worker in workers:
-        stage.exchange(worker)
-    stage.place()
+        harness.exchange(worker)
+    harness.place()
     assert not service.backoff_s and len(service.live) == 6
 
 
-def test_a_good_service_is_not_blamed_for_bad_machines(stage: Stage) -> None:
+def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
     """It has finished nothing, ever: judged by that, three bad machines backed it off."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(6)]
-    stage.ready(*workers)
-    name = serve(stage, *workers, task_count=32, cpus=8.0)
-    service = stage.leader.ctx.job_table.jobs[name]
+    workers = [harness.worker(f"i-{n:06d}") for n in range(6)]
+    harness.ready(*workers)
+    name = serve(harness, *workers, task_count=32, cpus=8.0)
+    service = harness.leader.ctx.job_table.jobs[name]
     assert len(set(service.live.values())) == 6
-    stage.later(RAN_WELL_S + 1)
+    harness.later(RAN_WELL_S + 1)
     for worker in workers:
-        stage.exchange(worker)
+        harness.exchange(worker)
     for bad in workers[:4]:
         for _ in range(2):
             bad.finish("error")
-            stage.exchange(bad)
-            stage.place()
-            stage.exchange(bad)
-            stage.exchange(bad)
+            harness.exchange(bad)
+            harness.place()
+            harness.exchange(bad)
+            harness.exchange(bad)
     assert not service.backoff_s
-    cluster = stage.leader.ctx.cluster
+    cluster = harness.leader.ctx.cluster
     assert cluster.machines[MachineId(workers[0].name)].faults
 
 
-def test_a_machine_that_failed_a_replica_once_is_used_again_later(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    name = serve(stage, worker, task_count=1)
+def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    name = serve(harness, worker, task_count=1)
     worker.finish("error")
-    stage.exchange(worker)
-    stage.place()
-    assert not replicas(stage, name)
-    stage.later(130.0)
-    stage.exchange(worker)
-    stage.place()
-    assert len(replicas(stage, name)) == 1
+    harness.exchange(worker)
+    harness.place()
+    assert not replicas(harness, name)
+    harness.later(130.0)
+    harness.exchange(worker)
+    harness.place()
+    assert len(replicas(harness, name)) == 1
 
 
 # -- what an end that never comes does to sums ---------------------------------------------------
@@ -272,99 +276,101 @@
 # -- take-over, cancel ---------------------------------------------------------------------------
 
 
-def test_replicas_run_on_through_a_take_over(stage: Stage) -> None:
-    workers = [stage.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
-    stage.ready(*workers)
-    name = serve(stage, *workers, task_count=4, spread=True)
+def test_replicas_run_on_through_a_take_over(harness: LeaderHarness) -> None:
+    workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
+    harness.ready(*workers)
+    name = serve(harness, *workers, task_count=4, spread=True)
     before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
-        leader = stage.new_leader(term)
+        leader = harness.new_leader(term)
         state = leader.poll(name)
         assert state is not None and state.status == "queued"  # nothing heard yet
         for worker in workers:
-            assert not starts(stage.exchange(worker))
+            assert not starts(harness.exchange(worker))
         for worker in workers:
-            assert not starts(stage.exchange(worker))
-        stage.write()
-        stage.place()
+            assert not starts(harness.exchange(worker))
+        harness.write()
+        harness.place()
         for worker in workers:
-            commands = stage.exchange(worker)
+            commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
         state = leader.poll(name)
         assert state is not None and (state.status, state.running) == ("running", 4)
     assert [set(worker.tasks) for worker in workers] == before
 
 
-def test_a_lost_machine_is_replaced_once_it_is_surely_gone(stage: Stage) -> None:
-    one, other = stage.worker("i-000001"), stage.worker("i-000002")
-    stage.ready(one, other)
-    name = serve(stage, one, other, task_count=2)
-    lost = MachineId(next(iter(replicas(stage, name).values())))
+def test_a_lost_machine_is_replaced_once_it_is_surely_gone(harness: LeaderHarness) -> None:
+    one, other = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(one, other)
+    name = serve(harness, one, other, task_count=2)
+    lost = MachineId(next(iter(replicas(harness, name).values())))
     rest = other if lost == one.name else one
     for _ in range(3):
-        stage.later(3.0)
-        stage.exchange(rest)
-        stage.place()
-        assert lost in replicas(stage, name).values()
-    stage.leader.renter.release(stage.leader.renter.to_give_up(stage.clock()))
-    assert stage.cloud.released == [lost]
-    stage.exchange(rest)
-    stage.place()
-    assert set(replicas(stage, name).values()) == {rest.name}
-
-
-def test_a_cancelled_service_ends_everywhere(stage: Stage) -> None:
-    workers = [stage.worker(f"i-{n:06d}") for n in range(3)]
-    stage.ready(*workers)
-    name = serve(stage, *workers, task_count=3)
-    assert stage.leader.take_cancel(name)
+        harness.later(3.0)
+        harness.exchange(rest)
+        harness.place()
+        assert lost in replicas(harness, name).values()
+    harness.leader.renter.release(harness.leader.renter.to_give_up(harness.clock()))
+    assert harness.cloud.released == [lost]
+    harness.exchange(rest)
+    harness.place()
+    assert set(replicas(harness, name).values()) == {rest.name}
+
+
+def test_a_cancelled_service_ends_everywhere(harness: LeaderHarness) -> None:
+    workers = [harness.worker(f"i-{n:06d}") for n in range(3)]
+    harness.ready(*workers)
+    name = serve(harness, *workers, task_count=3)
+    assert harness.leader.take_cancel(name)
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
-    stage.write()
-    assert stage.finals == {name: "cancelled"}
-    stage.place()
+    harness.write()
+    assert harness.finals == {name: "cancelled"}
+    harness.place()
     for worker in workers:
-        assert not starts(stage.exchange(worker))
+        assert not starts(harness.exchange(worker))
 
 
-def test_a_worker_is_hastened_for_a_replica_also_when_its_report_is_near(stage: Stage) -> None:
-    worker = stage.ready_worker()
+def test_a_worker_is_hastened_for_a_replica_also_when_its_report_is_near(
+    harness: LeaderHarness,
+) -> None:
+    worker = harness.ready_worker()
     sent: list[MachineId] = []
-    stage.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
-    stage.later(2.4)
-    stage.accept("run-8")
-    stage.place()
+    harness.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.later(2.4)
+    harness.accept("run-8")
+    harness.place()
     assert not sent  # due anyway
-    stage.accept("run-9", **SERVICE, task_count=1)
-    stage.place()
+    harness.accept("run-9", **SERVICE, task_count=1)
+    harness.place()
     assert sent == [machine.id]
 
 
-def test_how_soon_a_worker_reports(stage: Stage) -> None:
+def test_how_soon_a_worker_reports(harness: LeaderHarness) -> None:
     """A nudge brings a report in half a second; not while a response is under way, nor twice."""
-    worker = stage.ready_worker()
-    dispatch = stage.leader.dispatch
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
-    assert dispatch.report_in(machine, stage.clock()) == 0.5
-    stage.begin(worker, task_count=1)
+    worker = harness.ready_worker()
+    dispatch = harness.leader.dispatch
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    assert dispatch.report_in(machine, harness.clock()) == 0.5
+    harness.begin(worker, task_count=1)
     machine.token_bumped_at = None
-    assert dispatch.report_in(machine, stage.clock()) == 3.0
-    stage.exchange(worker)
-    machine.token_bumped_at = stage.clock()
-    assert dispatch.report_in(machine, Steady(stage.clock() + 1.0)) == 2.0
+    assert dispatch.report_in(machine, harness.clock()) == 3.0
+    harness.exchange(worker)
+    machine.token_bumped_at = harness.clock()
+    assert dispatch.report_in(machine, Steady(harness.clock() + 1.0)) == 2.0
 
 
-def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    name = serve(stage, worker, task_count=1)
+def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    name = serve(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
-    stage.exchange(worker)
-    service = stage.leader.ctx.job_table.jobs[name]
+    harness.exchange(worker)
+    service = harness.leader.ctx.job_table.jobs[name]
     assert not service.backoff_s and not service.failed_on
-    stage.later(1.5)
-    stage.exchange(worker)
-    stage.place()
+    harness.later(1.5)
+    harness.exchange(worker)
+    harness.place()
     assert len(service.live) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,8 +7,8 @@
 
 import msgspec
 import pytest
-from stage import Stage
-from standins import CPU, GPU, FakeWorker, job_spec, policy, settings
+from fakes import CPU, GPU, FakeWorker, job_spec, policy, settings
+from harness import LeaderHarness
 
 from ryewing import placement
 from ryewing.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
@@ -197,60 +197,60 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_machines_are_recorded_in_few_writes(stage: Stage, size: int) -> None:
+def test_machines_are_recorded_in_few_writes(harness: LeaderHarness, size: int) -> None:
     """One write each took the write rate for many seconds before a first task could start."""
-    workers = [stage.worker(f"i-{n:06d}", spot=n % 2 == 0) for n in range(size)]
-    before = stage.store.writes
-    stage.ready(*workers)
-    assert stage.store.writes - before <= size // 20 + 1
-    assert all(m.usable() for m in stage.leader.ctx.cluster.machines.values())
-    stage.new_leader(6)
-    assert len(stage.leader.ctx.cluster.machines) == size
-    assert all(m.recorded for m in stage.leader.ctx.cluster.machines.values())
+    workers = [harness.worker(f"i-{n:06d}", spot=n % 2 == 0) for n in range(size)]
+    before = harness.store.writes
+    harness.ready(*workers)
+    assert harness.store.writes - before <= size // 20 + 1
+    assert all(m.usable() for m in harness.leader.ctx.cluster.machines.values())
+    harness.new_leader(6)
+    assert len(harness.leader.ctx.cluster.machines) == size
+    assert all(m.recorded for m in harness.leader.ctx.cluster.machines.values())
 
 
 @pytest.mark.parametrize("jobs", [8, 64, 256])
-def test_finishes_of_many_jobs_share_their_writes(stage: Stage, jobs: int) -> None:
+def test_finishes_of_many_jobs_share_their_writes(harness: LeaderHarness, jobs: int) -> None:
     """A job is refilled after its finishes are written: a write each delayed every one."""
     for n in range(jobs):
         name = JobId(f"run-{n}")
         record = JobRecord(job_spec(str(name), task_count=800), 0.0)
-        result = stage.store.txn({}, [Put(live_key(name), record)])
-        found = stage.leader.ctx.job_table.put(record, KeyVersion(result.revision))
+        result = harness.store.txn({}, [Put(live_key(name), record)])
+        found = harness.leader.ctx.job_table.put(record, KeyVersion(result.revision))
         found.finish(n)
-        stage.leader.ctx.job_table.touch(found)
-    before = stage.store.writes
-    stage.write()
-    assert stage.store.writes - before <= jobs // 16 + 1
-    assert not any(one.unwritten for one in stage.leader.ctx.job_table)
-    stage.new_leader(6)
-    assert all(one.done_count == 1 for one in stage.leader.ctx.job_table)
+        harness.leader.ctx.job_table.touch(found)
+    before = harness.store.writes
+    harness.write()
+    assert harness.store.writes - before <= jobs // 16 + 1
+    assert not any(one.unwritten for one in harness.leader.ctx.job_table)
+    harness.new_leader(6)
+    assert all(one.done_count == 1 for one in harness.leader.ctx.job_table)
 
 
-def test_finishes_of_jobs_that_are_gone_do_not_stop_a_take_over(stage: Stage) -> None:
+def test_finishes_of_jobs_that_are_gone_do_not_stop_a_take_over(harness: LeaderHarness) -> None:
     """Found on a rough day: dropping them while reading ended every term at its beginning."""
     for n in range(3):
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
-        found = stage.leader.ctx.job_table.put(record, KeyVersion(1))
+        found = harness.leader.ctx.job_table.put(record, KeyVersion(1))
         found.finish(0)
-        stage.leader.ctx.job_table.touch(found)
-    stage.write()
-    stage.new_leader(6)  # none of the jobs is in the store
-    assert not stage.leader.ctx.job_table.jobs
-    stage.write()
-    assert all(bytes(entry.data) == b"{}" for entry in stage.store.listing(DONE_PREFIX)[0])
+        harness.leader.ctx.job_table.touch(found)
+    harness.write()
+    harness.new_leader(6)  # none of the jobs is in the store
+    assert not harness.leader.ctx.job_table.jobs
+    harness.write()
+    assert all(bytes(entry.data) == b"{}" for entry in harness.store.listing(DONE_PREFIX)[0])
 
 
 @pytest.mark.parametrize("tasks", [4, 16, 64])
 def test_an_unchanged_report_costs_nothing_a_task(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, tasks: int
+    harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch, tasks: int
 ) -> None:
-    worker = stage.ready_worker()
-    stage.accept(task_count=tasks, cpus=0.5, memory_gb=0.1)
-    stage.place()
-    stage.exchange(worker)
-    stage.exchange(worker)
-    assert len(stage.assignments()) == tasks
+    worker = harness.ready_worker()
+    harness.accept(task_count=tasks, cpus=0.5, memory_gb=0.1)
+    harness.place()
+    harness.exchange(worker)
+    harness.exchange(worker)
+    assert len(harness.assignments()) == tasks
     parsed: list[str] = []
 
     def counted(text: str) -> TaskId | None:
@@ -259,43 +259,45 @@
 
     monkeypatch.setattr("ryewing.cluster_state.parse_task", counted)
     for _ in range(5):
-        stage.exchange(worker)
+        harness.exchange(worker)
     assert not parsed
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "done")
-    stage.exchange(worker)
+    harness.exchange(worker)
     assert len(parsed) <= 1
-    assert len(stage.assignments()) == tasks - 1
+    assert len(harness.assignments()) == tasks - 1
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_direct_messages_are_bounded_by_rate_not_by_machines(stage: Stage, size: int) -> None:
+def test_direct_messages_are_bounded_by_rate_not_by_machines(
+    harness: LeaderHarness, size: int
+) -> None:
     """After each write every machine with an ended task was sent a message of its own."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(size)]
-    stage.ready(*workers)
-    stage.accept(task_count=size * 16)
-    stage.place()
+    workers = [harness.worker(f"i-{n:06d}") for n in range(size)]
+    harness.ready(*workers)
+    harness.accept(task_count=size * 16)
+    harness.place()
     for worker in workers * 2:
-        stage.exchange(worker)
+        harness.exchange(worker)
     sent: list[MachineId] = []
-    stage.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
+    harness.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
     for worker in workers:
-        stage.end(worker)
-    stage.write()
+        harness.end(worker)
+    harness.write()
     assert not sent
-    stage.place()
+    harness.place()
     assert len(sent) <= 60 * settings().params.resources.core_share
 
 
-def test_no_more_machines_count_as_gone_than_one_request_releases(stage: Stage) -> None:
+def test_no_more_machines_count_as_gone_than_one_request_releases(harness: LeaderHarness) -> None:
     """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(250)]
-    stage.ready(*workers)
-    machines = list(stage.leader.ctx.cluster.machines.values())
-    stage.leader.renter.release([(machine, "silent") for machine in machines])
-    assert len(stage.cloud.released) == RELEASE_MAX
-    assert len(stage.leader.ctx.cluster.machines) == 250 - RELEASE_MAX
-    assert not any(m.leaving for m in stage.leader.ctx.cluster.machines.values())
+    workers = [harness.worker(f"i-{n:06d}") for n in range(250)]
+    harness.ready(*workers)
+    machines = list(harness.leader.ctx.cluster.machines.values())
+    harness.leader.renter.release([(machine, "silent") for machine in machines])
+    assert len(harness.cloud.released) == RELEASE_MAX
+    assert len(harness.leader.ctx.cluster.machines) == 250 - RELEASE_MAX
+    assert not any(m.leaving for m in harness.leader.ctx.cluster.machines.values())
 
 
 # -- records that share a value -----------------------------------------------------------------
@@ -352,44 +354,44 @@
     assert packed.change(number, 8, 1024).conditions == {packed.key(number): 7}
 
 
-def hear(stage: Stage, worker: FakeWorker) -> None:
+def hear(harness: LeaderHarness, worker: FakeWorker) -> None:
     """Hear a machine that nobody has recorded: it is taken up once it shows our token."""
-    stage.exchange(worker)
-    stage.exchange(worker)
+    harness.exchange(worker)
+    harness.exchange(worker)
 
 
-def test_a_write_applied_late_cannot_take_back_a_newer_one(stage: Stage) -> None:
+def test_a_write_applied_late_cannot_take_back_a_newer_one(harness: LeaderHarness) -> None:
     """Its answer was lost, a newer one was written, then the network delivered it after all."""
-    first, second = stage.worker("i-000001"), stage.worker("i-000002")
-    hear(stage, first)
+    first, second = harness.worker("i-000001"), harness.worker("i-000002")
+    hear(harness, first)
     held_back: list[tuple[object, object]] = []
-    real = stage.store.txn
+    real = harness.store.txn
 
     def hold_back(conditions: object, writes: object) -> object:
         held_back.append((conditions, list(writes)))  # type: ignore[call-overload]
         raise StoreDown("no answer")
 
-    stage.store.txn = hold_back  # type: ignore[assignment,method-assign]
+    harness.store.txn = hold_back  # type: ignore[assignment,method-assign]
     with pytest.raises(StoreDown):
-        stage.leader.writer.write_once()
-    stage.store.txn = real  # type: ignore[method-assign]
-    hear(stage, second)
-    stage.write()
+        harness.leader.writer.write_once()
+    harness.store.txn = real  # type: ignore[method-assign]
+    hear(harness, second)
+    harness.write()
     [(conditions, writes)] = held_back
     assert not real(conditions, writes).ok  # type: ignore[arg-type]
-    stage.new_leader(6)
-    assert set(stage.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
+    harness.new_leader(6)
+    assert set(harness.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
 
 
-def test_a_write_that_was_applied_unseen_is_found_out(stage: Stage) -> None:
-    first, second = stage.worker("i-000001"), stage.worker("i-000002")
-    hear(stage, first)
-    stage.store.lose_answers = True
+def test_a_write_that_was_applied_unseen_is_found_out(harness: LeaderHarness) -> None:
+    first, second = harness.worker("i-000001"), harness.worker("i-000002")
+    hear(harness, first)
+    harness.store.lose_answers = True
     with pytest.raises(StoreDown):
-        stage.leader.writer.write_once()
-    stage.store.lose_answers = False
-    hear(stage, second)
-    stage.write()
-    assert all(m.recorded for m in stage.leader.ctx.cluster.machines.values())
-    stage.new_leader(6)
-    assert set(stage.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
+        harness.leader.writer.write_once()
+    harness.store.lose_answers = False
+    hear(harness, second)
+    harness.write()
+    assert all(m.recorded for m in harness.leader.ctx.cluster.machines.values())
+    harness.new_leader(6)
+    assert set(harness.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from standins import RAW_SETTINGS, policy, settings
+from fakes import RAW_SETTINGS, policy, settings
 
 from ryewing.policy import BadPolicy, load
 from ryewing.settings import BadSettings, Settings
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -163,7 +163,7 @@
                 self.begun.setdefault(task.job, now - self._began)
                 if now - self._ran_from.setdefault(key, now) >= run_s:
                     worker.end_task(key)
-        self.cluster.referee.look()
+        self.cluster.rules.look()
 
 
 @pytest.mark.parametrize(("answer_s", "leader_changes"), [(2.0, False), (3.5, True)])
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from worlds import T0
+from placement_world import T0
 
 from ryewing.stops import RESEND_S, Stops
 from ryewing.units import (
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
-from stage import Stage, starts, verbs
-from standins import FakeWorker, policy, settings
+from fakes import FakeWorker, policy, settings
+from harness import LeaderHarness, starts, verbs
 
 from ryewing.dispatch import ORDERS_MAX
 from ryewing.leadership import campaign, may_campaign, read_view
@@ -25,83 +25,83 @@
 REPORT_S = settings().params.workers.report_s
 
 
-def unanswered(stage: Stage, worker: FakeWorker) -> None:
+def unanswered(harness: LeaderHarness, worker: FakeWorker) -> None:
     """A report that arrives, and an answer that doesn't."""
-    stage.leader.on_report(worker.report())
+    harness.leader.on_report(worker.report())
 
 
-def placed_in_rounds(stage: Stage, worker: FakeWorker, rounds: int) -> int:
+def placed_in_rounds(harness: LeaderHarness, worker: FakeWorker, rounds: int) -> int:
     """Count the rounds in which a machine whose answers are lost was given starts."""
     given = 0
     for _ in range(rounds):
-        stage.later(REPORT_S)
-        stage.place()
-        answer = stage.leader.on_report(worker.report())
+        harness.later(REPORT_S)
+        harness.place()
+        answer = harness.leader.on_report(worker.report())
         given += answer is not None and bool(starts(answer.commands))
     return given
 
 
-def test_a_machine_that_does_not_hear_gets_no_more_work(stage: Stage) -> None:
+def test_a_machine_that_does_not_hear_gets_no_more_work(harness: LeaderHarness) -> None:
     """Reports arrive, answers don't: it was refilled after every report, for ever."""
-    deaf = stage.ready_worker()
-    stage.accept(task_count=4)
-    assert placed_in_rounds(stage, deaf, 12) == 1
-    assert stage.assignments() == {}
-    machine = stage.leader.ctx.cluster.machines[MachineId(deaf.name)]
+    deaf = harness.ready_worker()
+    harness.accept(task_count=4)
+    assert placed_in_rounds(harness, deaf, 12) == 1
+    assert harness.assignments() == {}
+    machine = harness.leader.ctx.cluster.machines[MachineId(deaf.name)]
     assert not machine.usable() and machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
-    stage.place()
-    stage.leader.renter.rent()
-    assert len(stage.cloud.requests) == 1
+    harness.place()
+    harness.leader.renter.rent()
+    assert len(harness.cloud.requests) == 1
     # Once it is seen to hear, by a message that shows the new token, it gets work again.
-    stage.exchange(deaf)
-    stage.exchange(deaf)
-    stage.place()
-    assert len(starts(stage.exchange(deaf))) == 4
+    harness.exchange(deaf)
+    harness.exchange(deaf)
+    harness.place()
+    assert len(starts(harness.exchange(deaf))) == 4
 
 
-def test_a_session_that_rises_although_it_was_answered_casts_doubt(stage: Stage) -> None:
-    deaf = stage.ready_worker()
+def test_a_session_that_rises_although_it_was_answered_casts_doubt(harness: LeaderHarness) -> None:
+    deaf = harness.ready_worker()
     deaf.session += 1
-    stage.accept(task_count=1)
-    unanswered(stage, deaf)
-    stage.place()
-    assert stage.assignments() == {}
-    stage.exchange(deaf)  # it hears this
-    stage.exchange(deaf)  # and shows it
-    stage.place()
-    assert len(starts(stage.exchange(deaf))) == 1
-
-
-def test_a_machine_that_never_shook_hands_is_not_counted_as_booting(stage: Stage) -> None:
-    deaf = stage.worker()
+    harness.accept(task_count=1)
+    unanswered(harness, deaf)
+    harness.place()
+    assert harness.assignments() == {}
+    harness.exchange(deaf)  # it hears this
+    harness.exchange(deaf)  # and shows it
+    harness.place()
+    assert len(starts(harness.exchange(deaf))) == 1
+
+
+def test_a_machine_that_never_shook_hands_is_not_counted_as_booting(harness: LeaderHarness) -> None:
+    deaf = harness.worker()
     for _ in range(3):
-        unanswered(stage, deaf)
-        stage.write()
-        stage.later(policy().gather_s / 2)
-    stage.accept(task_count=8)
-    stage.place()
-    stage.leader.renter.rent()
-    assert len(stage.cloud.requests) == 1
+        unanswered(harness, deaf)
+        harness.write()
+        harness.later(policy().gather_s / 2)
+    harness.accept(task_count=8)
+    harness.place()
+    harness.leader.renter.rent()
+    assert len(harness.cloud.requests) == 1
 
 
 @pytest.mark.parametrize(("deaf", "given_up"), [(1, 1), (2, 2), (6, 0)])
 def test_machines_that_do_not_hear_for_long_are_returned_unless_many(
-    stage: Stage, deaf: int, given_up: int
+    harness: LeaderHarness, deaf: int, given_up: int
 ) -> None:
     """Many at once may mean that it is our answers that are lost."""
-    workers = [stage.worker(f"i-{n:06d}") for n in range(9)]
-    stage.ready(*workers)
-    stage.accept(task_count=72)
-    stage.place()
+    workers = [harness.worker(f"i-{n:06d}") for n in range(9)]
+    harness.ready(*workers)
+    harness.accept(task_count=72)
+    harness.place()
     for _ in range(int(LEASE_S / REPORT_S) + 4):
-        stage.later(REPORT_S)
+        harness.later(REPORT_S)
         for number, worker in enumerate(workers):
             if number < deaf:
-                unanswered(stage, worker)
+                unanswered(harness, worker)
             else:
-                stage.exchange(worker)
-    chosen = stage.leader.renter.to_give_up(stage.clock())
+                harness.exchange(worker)
+    chosen = harness.leader.renter.to_give_up(harness.clock())
     assert [why for _machine, why in chosen] == ["unheeding"] * given_up
 
 
@@ -109,155 +109,159 @@
 @pytest.mark.parametrize("alive", [True, False])
 @pytest.mark.parametrize("copies", ["older", "newest"])
 def test_copies_of_reports_prove_nothing_to_the_same_leader(
-    stage: Stage, age_s: float, alive: bool, copies: str
+    harness: LeaderHarness, age_s: float, alive: bool, copies: str
 ) -> None:
     """Late copies must not renew, settle, or bring back what is gone."""
-    worker = stage.ready_worker()
+    worker = harness.ready_worker()
     older = worker.report()
-    stage.leader.on_report(older)
-    stage.begin(worker, task_count=2)
+    harness.leader.on_report(older)
+    harness.begin(worker, task_count=2)
     newest = worker.report()
-    stage.leader.on_report(newest)
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.leader.on_report(newest)
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     heard_at, until = machine.heard_at, machine.may_hold_until
     assert heard_at is not None and until is not None
-    stage.later(age_s)
+    harness.later(age_s)
     if alive:
-        stage.exchange(worker)
+        harness.exchange(worker)
         heard_at, until = machine.heard_at, machine.may_hold_until
-    stage.leader.ctx.cluster.expire(stage.clock())
+    harness.leader.ctx.cluster.expire(harness.clock())
     gone = not alive and age_s > LEASE_S
     copy_of = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
-        answer = stage.leader.on_report(copy_of)
+        answer = harness.leader.on_report(copy_of)
         assert answer is None or not starts(answer.commands)
     assert machine.heard_at == heard_at
     if not alive and age_s > 4.5:
         assert answer is None
         assert machine.may_hold_until == (None if gone else until)
-    assert sorted(stage.assignments().values()) == ([] if gone else [RUNNING, RUNNING])
+    assert sorted(harness.assignments().values()) == ([] if gone else [RUNNING, RUNNING])
     assert machine.handshaken
 
 
-def test_a_held_back_report_newer_than_any_does_not_bring_back_a_machine(stage: Stage) -> None:
+def test_a_held_back_report_newer_than_any_does_not_bring_back_a_machine(
+    harness: LeaderHarness,
+) -> None:
     """The last report of a machine that is gone, delivered well after its lease."""
-    worker = stage.ready_worker()
-    stage.begin(worker, task_count=2)
-    stage.exchange(worker)
+    worker = harness.ready_worker()
+    harness.begin(worker, task_count=2)
+    harness.exchange(worker)
     held_back = worker.report()
-    stage.later(LEASE_S + 1.0)
-    stage.leader.ctx.cluster.expire(stage.clock())
-    assert stage.assignments() == {}
-    assert stage.leader.on_report(held_back) is None
-    assert stage.assignments() == {}
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.later(LEASE_S + 1.0)
+    harness.leader.ctx.cluster.expire(harness.clock())
+    assert harness.assignments() == {}
+    assert harness.leader.on_report(held_back) is None
+    assert harness.assignments() == {}
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert machine.may_hold_until is None
     worker.session += 1  # whereas the worker itself would come in a new session
     worker.tasks.clear()
-    assert stage.leader.on_report(worker.report()) is not None
+    assert harness.leader.on_report(worker.report()) is not None
 
 
-def test_copies_settle_no_assumed_start(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    stage.accept(task_count=1)
-    stage.place()
+def test_copies_settle_no_assumed_start(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    harness.accept(task_count=1)
+    harness.place()
     before = worker.report()
-    stage.leader.on_report(before)
-    [phase] = stage.assignments().values()
+    harness.leader.on_report(before)
+    [phase] = harness.assignments().values()
     assert phase == SENT
     for late in (1.0, 6.0):
-        stage.later(late)
-        stage.leader.on_report(copy.deepcopy(before))
-        assert list(stage.assignments().values()) == [SENT]
+        harness.later(late)
+        harness.leader.on_report(copy.deepcopy(before))
+        assert list(harness.assignments().values()) == [SENT]
 
 
-def test_copies_at_the_next_leader_give_no_work_and_end_with_their_lease(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    job = stage.begin(worker, task_count=1)
+def test_copies_at_the_next_leader_give_no_work_and_end_with_their_lease(
+    harness: LeaderHarness,
+) -> None:
+    worker = harness.ready_worker()
+    job = harness.begin(worker, task_count=1)
     late = worker.report()
-    stage.new_leader(6)
-    assert stage.leader.on_report(late) is not None  # it might be the worker itself
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.new_leader(6)
+    assert harness.leader.on_report(late) is not None  # it might be the worker itself
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert not machine.handshaken and not machine.usable()
-    found = stage.leader.ctx.job_table.get(job)
+    found = harness.leader.ctx.job_table.get(job)
     assert found is not None and found.shortfall == 0  # what it may hold blocks
     for _ in range(4):
-        stage.later(6.0)
-        assert stage.leader.on_report(copy.deepcopy(late)) is None
+        harness.later(6.0)
+        assert harness.leader.on_report(copy.deepcopy(late)) is None
     bound = policy().hold_s + LEASE_S
-    stage.later(bound)
-    stage.leader.ctx.cluster.expire(stage.clock())
+    harness.later(bound)
+    harness.leader.ctx.cluster.expire(harness.clock())
     assert found.shortfall == 1  # and no longer than it may
-    assert stage.leader.on_report(copy.deepcopy(late)) is None
+    assert harness.leader.on_report(copy.deepcopy(late)) is None
     assert found.shortfall == 1
 
 
-def test_copies_in_the_name_of_an_unknown_machine_bring_nothing(stage: Stage) -> None:
+def test_copies_in_the_name_of_an_unknown_machine_bring_nothing(harness: LeaderHarness) -> None:
     """It is not recorded, so it can't hold what they tell of: not even a lease's time is waited.
 
     Only the worker itself can show our token; then it is taken up with all that it has.
     """
-    worker = stage.ready_worker()
-    job = stage.begin(worker, task_count=1)
+    worker = harness.ready_worker()
+    job = harness.begin(worker, task_count=1)
     late = worker.report()
-    stage.leader.writer.machines.drop(MachineId(worker.name))
-    stage.write()
-    stage.new_leader(6)
+    harness.leader.writer.machines.drop(MachineId(worker.name))
+    harness.write()
+    harness.new_leader(6)
     for _ in range(4):
-        answer = stage.leader.on_report(copy.deepcopy(late))
+        answer = harness.leader.on_report(copy.deepcopy(late))
         assert answer is None or not answer.commands
-        assert not stage.leader.ctx.cluster.machines
-        found = stage.leader.ctx.job_table.get(job)
+        assert not harness.leader.ctx.cluster.machines
+        found = harness.leader.ctx.job_table.get(job)
         assert found is not None and found.shortfall == 1
-        stage.write()
-        assert not stage.leader.writer.to_record
-        stage.later(6.0)
-    stage.exchange(worker)
-    stage.exchange(worker)
+        harness.write()
+        assert not harness.leader.writer.to_record
+        harness.later(6.0)
+    harness.exchange(worker)
+    harness.exchange(worker)
     assert found is not None and found.shortfall == 0
-    assert MachineId(worker.name) in stage.leader.ctx.cluster.machines
+    assert MachineId(worker.name) in harness.leader.ctx.cluster.machines
 
 
-def test_a_restarted_worker_is_told_by_its_direct_answer(stage: Stage) -> None:
+def test_a_restarted_worker_is_told_by_its_direct_answer(harness: LeaderHarness) -> None:
     """Back within a fraction of a second it counts anew: its reports looked like old copies."""
-    worker = stage.ready_worker()
-    stage.begin(worker, task_count=2)
+    worker = harness.ready_worker()
+    harness.begin(worker, task_count=2)
     for _ in range(5):
-        stage.exchange(worker)
+        harness.exchange(worker)
     old = worker.report()
-    stage.leader.on_report(old)
+    harness.leader.on_report(old)
     worker.session, worker.sequence, worker.token = 1, 0, 0
     worker.tasks.clear()
-    stage.later(0.3)
-    stage.leader.on_report(worker.report())
-    assert len(stage.assignments()) == 2  # not believed yet
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
-    stage.leader.dispatch.send(machine)
-    assert stage.assignments() == {} and machine.handshaken
-    stage.leader.on_report(copy.deepcopy(old))  # a late copy from before
-    stage.leader.dispatch.send(machine)
-    assert stage.assignments() == {}
-    stage.place()
-    assert list(stage.assignments().values()) == [PLANNED, PLANNED]
-
-
-def test_a_direct_answer_overtaken_by_a_report_is_no_restart(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    stage.begin(worker, task_count=2)
-    stage.exchange(worker)
-    machine = stage.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.later(0.3)
+    harness.leader.on_report(worker.report())
+    assert len(harness.assignments()) == 2  # not believed yet
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.leader.dispatch.send(machine)
+    assert harness.assignments() == {} and machine.handshaken
+    harness.leader.on_report(copy.deepcopy(old))  # a late copy from before
+    harness.leader.dispatch.send(machine)
+    assert harness.assignments() == {}
+    harness.place()
+    assert list(harness.assignments().values()) == [PLANNED, PLANNED]
+
+
+def test_a_direct_answer_overtaken_by_a_report_is_no_restart(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    harness.begin(worker, task_count=2)
+    harness.exchange(worker)
+    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
 
     class Overtaken:
         """The report that follows the answer arrives before it."""
 
         def send(self, *_args: object) -> Report:
             answer = worker.report()
-            stage.exchange(worker)
+            harness.exchange(worker)
             return answer
 
-    stage.leader.dispatch.workers = Overtaken()  # type: ignore[assignment]
-    stage.leader.dispatch.send(machine)
-    assert list(stage.assignments().values()) == [RUNNING, RUNNING]
+    harness.leader.dispatch.workers = Overtaken()  # type: ignore[assignment]
+    harness.leader.dispatch.send(machine)
+    assert list(harness.assignments().values()) == [RUNNING, RUNNING]
 
 
 @pytest.mark.parametrize(
@@ -265,19 +269,19 @@
     [(1.0, True, True), (3.5, False, True), (16.0, False, True), (18.0, False, False)],
 )
 def test_a_controller_with_workers_only_loses_its_authority_in_two_steps(
-    stage: Stage, cut_s: float, starts_work: bool, answers: bool
+    harness: LeaderHarness, cut_s: float, starts_work: bool, answers: bool
 ) -> None:
     """Without store and peers: no starts after its lease, no answers after the hold."""
-    worker = stage.ready_worker()
-    job = stage.accept(task_count=1)
-    stage.place()
-    stage.later(cut_s, renewed=False)
+    worker = harness.ready_worker()
+    job = harness.accept(task_count=1)
+    harness.place()
+    harness.later(cut_s, renewed=False)
     report = worker.report()
-    answer = stage.leader.on_report(report)
+    answer = harness.leader.on_report(report)
     assert (answer is not None) is answers
     assert bool(answer and starts(answer.commands)) is starts_work
     # Nothing is told from memory that a reader of the store might contradict.
-    assert (stage.leader.poll(job) is not None) is starts_work
+    assert (harness.leader.poll(job) is not None) is starts_work
 
 
 def test_a_node_alone_in_losing_the_store_makes_no_user_find_that_out_again(
@@ -325,55 +329,57 @@
 
 
 @pytest.mark.parametrize("act", ["start", "rent", "repeat", "release", "tell", "halt"])
-def test_what_was_decided_before_a_standstill_is_not_sent_after_it(stage: Stage, act: str) -> None:
+def test_what_was_decided_before_a_standstill_is_not_sent_after_it(
+    harness: LeaderHarness, act: str
+) -> None:
     """The clocks run on while a process stands still; a successor may have decided otherwise."""
-    worker = stage.ready_worker()
-    job = stage.accept(task_count=4)
-    stage.place()
-    leader = stage.leader
+    worker = harness.ready_worker()
+    job = harness.accept(task_count=4)
+    harness.place()
+    leader = harness.leader
     machine = leader.ctx.cluster.machines[MachineId(worker.name)]
     if act == "halt":
-        stage.exchange(worker)
+        harness.exchange(worker)
         leader.intake.take_cancel(job)  # a stop for each task, to be sent directly
-    stage.later(policy().hold_s + 1.0 if act == "halt" else 5.0, renewed=False)
+    harness.later(policy().hold_s + 1.0 if act == "halt" else 5.0, renewed=False)
     if act == "start":
         answer = leader.on_report(worker.report())
         assert answer is not None and not starts(answer.commands)
     elif act == "rent":
         leader.renter.id(RentalRequest("r-5-9", "c32", "a", False, 1))
-        assert not stage.cloud.requests
+        assert not harness.cloud.requests
     elif act == "repeat":
         leader.renter.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
         leader.renter.id(leader.renter.pending_requests["r-4-1"])
-        assert not stage.cloud.requests and "r-4-1" in leader.renter.pending_requests
+        assert not harness.cloud.requests and "r-4-1" in leader.renter.pending_requests
     elif act == "release":
         leader.renter.release([(machine, "idle")])
-        assert not stage.cloud.released and not machine.leaving
+        assert not harness.cloud.released and not machine.leaving
     elif act == "tell":
         assert leader.poll(job) is None
     else:
         leader.dispatch.send(machine)
         assert not leader.dispatch.workers.sent  # type: ignore[attr-defined]
-        stage.later(0.0)
+        harness.later(0.0)
         leader.dispatch.send(machine)  # as it would have been sent in time
         assert len(leader.dispatch.workers.sent) == 4  # type: ignore[attr-defined]
 
 
-def test_a_worker_that_has_moved_over_ends_the_old_term(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    old = stage.leader
-    stage.later(5.0, renewed=False)
-    stage.new_leader(6)
-    stage.exchange(worker)
-    stage.exchange(worker)
+def test_a_worker_that_has_moved_over_ends_the_old_term(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    old = harness.leader
+    harness.later(5.0, renewed=False)
+    harness.new_leader(6)
+    harness.exchange(worker)
+    harness.exchange(worker)
     assert worker.token >= token_of(Term(6))
     assert old.on_report(worker.report()) is None
-    assert "overruled" in stage.lost
+    assert "overruled" in harness.lost
 
 
-def test_a_controller_back_in_the_middle_of_an_election(stage: Stage) -> None:
+def test_a_controller_back_in_the_middle_of_an_election(harness: LeaderHarness) -> None:
     """Its own earlier bid comes late, and copies of the bid that won: neither changes anything."""
-    store: Any = stage.store
+    store: Any = harness.store
     sent: list[tuple[Any, Any]] = []
     real = store.txn
 
@@ -399,68 +405,68 @@
 @pytest.mark.parametrize("old_first", [True, False])
 @pytest.mark.parametrize("cancelled", [True, False])
 def test_a_task_told_from_two_machines_is_gone_once_it_is_gone_from_both(
-    stage: Stage, old_first: bool, cancelled: bool
+    harness: LeaderHarness, old_first: bool, cancelled: bool
 ) -> None:
     """One of the two reports is old, held back until a new leader began; which one shows later."""
-    was, runs = stage.worker("i-000001"), stage.worker("i-000002")
-    stage.ready(was, runs)
-    name = stage.accept(task_count=1)
+    was, runs = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(was, runs)
+    name = harness.accept(task_count=1)
     held_back = was.report()
     held_back.tasks = [ReportedTask(f"{name}/0", 3, "running")]
     runs.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
-    stage.new_leader(6)
+    harness.new_leader(6)
     reports = [held_back, runs.report()]
     for report in reports if old_first else reversed(reports):
-        assert stage.leader.on_report(report) is not None
-    found = stage.leader.ctx.job_table.get(name)
+        assert harness.leader.on_report(report) is not None
+    found = harness.leader.ctx.job_table.get(name)
     assert found is not None and found.shortfall == 0
     if cancelled:
-        stage.leader.take_cancel(name)
-        stage.leader.dispatch.send(stage.leader.ctx.cluster.machines[MachineId(runs.name)])
+        harness.leader.take_cancel(name)
+        harness.leader.dispatch.send(harness.leader.ctx.cluster.machines[MachineId(runs.name)])
         assert [reported.status for reported in runs.tasks.values()] == [
             "ended"
         ]  # by a direct halt
     for worker in (was, runs, was, runs):  # the handshake shows what is where
-        stage.exchange(worker)
-    stage.place()
+        harness.exchange(worker)
+    harness.place()
     for worker in (was, runs):
-        assert not starts(stage.exchange(worker))
+        assert not starts(harness.exchange(worker))
     assert found.shortfall == 0 and len(runs.tasks) == (0 if cancelled else 1)
     if not cancelled:
-        stage.end(runs)
-    stage.exchange(runs)
-    stage.write()
-    assert stage.finals == {name: "cancelled" if cancelled else "done"}
+        harness.end(runs)
+    harness.exchange(runs)
+    harness.write()
+    assert harness.finals == {name: "cancelled" if cancelled else "done"}
 
 
-def test_a_report_that_comes_after_the_end_leaves_nothing_to_write(stage: Stage) -> None:
+def test_a_report_that_comes_after_the_end_leaves_nothing_to_write(harness: LeaderHarness) -> None:
     """The other machine of the two is found empty when the job is gone: the term ended by that."""
-    was, runs = stage.worker("i-000001"), stage.worker("i-000002")
-    stage.ready(was, runs)
-    name = stage.accept(task_count=1)
+    was, runs = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(was, runs)
+    name = harness.accept(task_count=1)
     was.tasks[f"{name}/0", 3] = ReportedTask(f"{name}/0", 3, "running")
     runs.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
     for worker in (was, runs):
-        stage.exchange(worker)
-    stage.end(runs)
-    stage.write()
-    assert stage.finals == {name: "done"}
+        harness.exchange(worker)
+    harness.end(runs)
+    harness.write()
+    assert harness.finals == {name: "done"}
     was.tasks.clear()
-    stage.exchange(was)
-    stage.write()
-    assert not stage.leader.ctx.job_table.dirty and not stage.lost
+    harness.exchange(was)
+    harness.write()
+    assert not harness.leader.ctx.job_table.dirty and not harness.lost
 
 
-def test_halts_are_not_crowded_out_by_what_has_ended(stage: Stage) -> None:
+def test_halts_are_not_crowded_out_by_what_has_ended(harness: LeaderHarness) -> None:
     """One answer holds so many commands; a cancelled task goes first."""
-    worker = stage.ready_worker()
-    stage.begin(worker, "run-1", task_count=1)
+    worker = harness.ready_worker()
+    harness.begin(worker, "run-1", task_count=1)
     for number in range(ORDERS_MAX + 50):
         key = f"run-9/{number}"
         worker.tasks[key, 1] = ReportedTask(key, 1, "ended", "stopped")
-    stage.exchange(worker)
+    harness.exchange(worker)
     for number in range(ORDERS_MAX + 50):
         key = f"run-9/{number}"
         worker.tasks[key, 2] = ReportedTask(key, 2, "ended", "stopped")
-    stage.leader.take_cancel(JobId("run-1"))
-    assert "halt" in verbs(stage.exchange(worker))
+    harness.leader.take_cancel(JobId("run-1"))
+    assert "halt" in verbs(harness.exchange(worker))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -10,8 +10,8 @@
 
 import msgspec
 import pytest
-from stage import Stage
-from standins import CPU, GPU, job_spec
+from fakes import CPU, GPU, job_spec
+from harness import LeaderHarness
 
 from ryewing import mesh
 from ryewing.jobs import (
@@ -62,13 +62,13 @@
     return msgspec.Raw(value)
 
 
-def test_a_leader_goes_on_with_what_the_earlier_version_left(stage: Stage) -> None:
+def test_a_leader_goes_on_with_what_the_earlier_version_left(harness: LeaderHarness) -> None:
     batch = msgspec.json.encode(JobRecord(job_spec("run-000414", task_count=20), 0.0))
-    stage.store.txn({}, [Put("flavours", raw(TYPES)), Put("m/0", raw(MACHINES))])
-    stage.store.txn({}, [Put("j/run-000412", raw(LIVE)), Put("j/run-000413", raw(CANCELLED))])
-    stage.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHES))])
-    stage.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
-    leader = stage.new_leader(6)
+    harness.store.txn({}, [Put("flavours", raw(TYPES)), Put("m/0", raw(MACHINES))])
+    harness.store.txn({}, [Put("j/run-000412", raw(LIVE)), Put("j/run-000413", raw(CANCELLED))])
+    harness.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHES))])
+    harness.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
+    leader = harness.new_leader(6)
     assert leader.renter.load_types() == [CPU, GPU]
     gang = leader.ctx.job_table.jobs[JobId("run-000412")]
     assert (
@@ -239,19 +239,19 @@
     assert msgspec.msgpack.encode(said) == frame
 
 
-def old_reading(stage: Stage) -> tuple[dict[str, OldMachineRecord], dict[str, str]]:
+def old_reading(harness: LeaderHarness) -> tuple[dict[str, OldMachineRecord], dict[str, str]]:
     """What an old leader finds: of a record said twice, the one that it comes to last."""
     machines: dict[str, OldMachineRecord] = {}
-    for entry in stage.store.listing(MACHINE_PREFIX)[0]:
+    for entry in harness.store.listing(MACHINE_PREFIX)[0]:
         assert entry.key[2:].isdecimal()
         machines |= msgspec.json.decode(entry.data, type=dict[str, OldMachineRecord])
     finishes: dict[str, str] = {}
-    for entry in stage.store.listing(DONE_PREFIX)[0]:
+    for entry in harness.store.listing(DONE_PREFIX)[0]:
         finishes |= msgspec.json.decode(entry.data, type=dict[str, str])
     return machines, finishes
 
 
-def test_an_earlier_leader_can_take_over_at_every_step_of_parting(stage: Stage) -> None:
+def test_an_earlier_leader_can_take_over_at_every_step_of_parting(harness: LeaderHarness) -> None:
     """It reads each value whole, under any number, and what no value has would be lost to it."""
     wide = PagedRecords(MACHINE_PREFIX, 16.0)
     for n in range(100):
@@ -262,47 +262,49 @@
         one = Job(record, KeyVersion(1))
         one.finish(n)
         done.put(f"run-{n}/0", one.chunk_text(0))
-        stage.store.txn({}, [Put(live_key(one.id), record)])
-    stage.store.limits = msgspec.structs.replace(stage.store.limits, value_kb=16.0)
+        harness.store.txn({}, [Put(live_key(one.id), record)])
+    harness.store.limits = msgspec.structs.replace(harness.store.limits, value_kb=16.0)
     for packed in (wide, done):
         for number in list(packed.changed()):
-            assert stage.store.txn({}, list(packed.change(number, 8, 65536).ops)).ok
-    before = old_reading(stage)
+            assert harness.store.txn({}, list(packed.change(number, 8, 65536).ops)).ok
+    before = old_reading(harness)
     assert len(before[0]) == 100 and len(before[1]) == 40
-    stage.announce(value_kb=1.0, txn_ops=2)
-    stage.new_leader(6)
-    stage.narrow(value_kb=1.0, txn_ops=2)
+    harness.announce(value_kb=1.0, txn_ops=2)
+    harness.new_leader(6)
+    harness.narrow(value_kb=1.0, txn_ops=2)
     steps = 0
-    while stage.leader.writer.write_once():
+    while harness.leader.writer.write_once():
         steps += 1
-        assert old_reading(stage) == before
-    assert steps > 10 and old_reading(stage) == before
+        assert old_reading(harness) == before
+    assert steps > 10 and old_reading(harness) == before
 
 
-def test_an_old_and_a_new_leader_by_turns_lose_nothing(stage: Stage) -> None:
+def test_an_old_and_a_new_leader_by_turns_lose_nothing(harness: LeaderHarness) -> None:
     """The old one fills values up under the old limits; the new one parts them again."""
-    stage.announce(value_kb=1.0, txn_ops=2)
+    harness.announce(value_kb=1.0, txn_ops=2)
     for term in range(6, 14):
         wide = PagedRecords(MACHINE_PREFIX, 8.0)
-        wide.load(stage.store.listing(MACHINE_PREFIX)[0])  # production's layout, filled as it does
+        wide.load(
+            harness.store.listing(MACHINE_PREFIX)[0]
+        )  # production's layout, filled as it does
         for n in range(30):
             name = f"i-{term:03d}{n:03d}"
             wide.put(name, MachineRecord("c32", "a", False, f"10.{term}.0.{n}:9000", True))
         for number in list(wide.changed()):
             change = wide.change(number, 8, 65536)
-            assert stage.store.txn(change.conditions, list(change.ops)).ok
-        leader = stage.new_leader(term)
+            assert harness.store.txn(change.conditions, list(change.ops)).ok
+        leader = harness.new_leader(term)
         assert len(leader.ctx.cluster.machines) == 30 * (term - 5)
-        stage.write()
+        harness.write()
         assert all(
-            len(bytes(entry.data)) <= 1024 for entry in stage.store.listing(MACHINE_PREFIX)[0]
+            len(bytes(entry.data)) <= 1024 for entry in harness.store.listing(MACHINE_PREFIX)[0]
         )
 
 
-def test_a_final_state_keeps_its_form(stage: Stage) -> None:
-    worker = stage.ready_worker()
-    name = stage.begin(worker)
-    stage.end(worker)
-    stage.write()
-    entry = stage.store.get(final_key(name))
+def test_a_final_state_keeps_its_form(harness: LeaderHarness) -> None:
+    worker = harness.ready_worker()
+    name = harness.begin(worker)
+    harness.end(worker)
+    harness.write()
+    entry = harness.store.get(final_key(name))
     assert entry is not None and bytes(entry.data) == b'{"status":"done"}'
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -14,7 +14,7 @@
 
 import msgspec
 import pytest
-from standins import RAW_SETTINGS, submission
+from fakes import RAW_SETTINGS, submission
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE_S = 90.0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,8 +6,8 @@
 
 import msgspec
 import pytest
-from standins import job_spec, submission
-from worlds import FLAVOURS, TEAMS
+from fakes import job_spec, submission
+from placement_world import FLAVOURS, TEAMS
 
 from ryewing.jobs import impossible
 from ryewing.units import (
