--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader.py
@@ -14,7 +14,7 @@
 import gevent
 import msgspec
 
-from .dispatch import Dispatch
+from .dispatch import PROBE_AFTER, Dispatch
 from .intake import Intake
 from .leadership import Leadership
 from .mesh import ImageHint
@@ -39,6 +39,10 @@
 CUT_MACHINES = 4
 CUT_SHARE = 0.7
 """A leader that hears fewer of its machines than the rest of this share resigns."""
+CUT_PROBE_S = 0.5
+"""How long a late machine has to answer when asked directly, before it counts as unreachable."""
+STALL_S = 2.0
+"""Steps that lie so far apart say that this process stood still."""
 
 
 class Leader:
@@ -64,6 +68,7 @@
         self.renter = Renter(self.ctx, self.writer, self.dispatch, self.placer)
         self._greenlets: list[gevent.Greenlet] = []
         self._state_logged_at = Steady(-1e9)
+        self._tended_at = self._running_since = self.ctx.began
 
     @property
     def term(self) -> Term:
@@ -202,6 +207,9 @@
     def tend_once(self) -> None:
         """See to leases that have ended, stops that are due, and silent machines."""
         now = steady_now()
+        if now - self._tended_at > STALL_S:
+            self._running_since = now
+        self._tended_at = now
         self._log_state(now)
         for machine in self.ctx.cluster.expire(now):
             log.info("event=lease-over machine=%s", machine.id)
@@ -220,13 +228,20 @@
             self._resign(CUT)
 
     def is_cut_from_workers(self, now: Steady) -> bool:
-        """Tell whether most machines fell silent at once, so that the fault is likely here."""
+        """Tell whether most machines fell silent at once, so that the fault is likely here.
+
+        Each has missed a report and not answered when asked directly. Time in which this process
+        stood still does not count: found in replays, where a leader that was itself again resigned
+        for it, and left leadership alone for a while.
+        """
+        report_s = self.ctx.settings.params.workers.report_s
+        longest_s = PROBE_AFTER * report_s + CUT_PROBE_S
         silent = known = 0
         for machine in self.ctx.cluster.machines.values():
             if machine.heard_at is None or machine.may_hold_until is None:
                 continue
             known += 1
-            silent += now - machine.heard_at > self.ctx.policy.silence_s
+            silent += now - max(machine.heard_at, self._running_since) > longest_s
         return known >= CUT_MACHINES and silent > CUT_SHARE * known
 
     def _log_state(self, now: Steady) -> None:
--- a/src/ryewing/renter.py
+++ b/src/ryewing/renter.py
@@ -86,7 +86,7 @@
         if now - self._listed_at > LIST_EVERY_S:
             self._list()
         for request in list(self.pending_requests.values()):
-            self.id(request)
+            self.send_request(request)
         if not self.placer.gathered or not self.ctx.machine_types:
             return
         self._retire()
@@ -297,9 +297,9 @@
             if not result.ok:
                 self.ctx.lose("fenced")
                 return
-            self.id(request)
+            self.send_request(request)
 
-    def id(self, request: RentalRequest) -> None:
+    def send_request(self, request: RentalRequest) -> None:
         """Ask the cloud for one recorded wish, as often as it takes to get an answer."""
         if not self.ctx.may_start():
             return
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -463,7 +463,7 @@
     harness.ready(harness.worker(names[0]))
     harness.new_leader(6)
     for request in list(harness.leader.renter.pending_requests.values()):
-        harness.leader.renter.id(request)
+        harness.leader.renter.send_request(request)
     harness.write()
     said = as_production_reads(harness.store, MACHINE_PREFIX)[names[0]]
     assert [record["heard"] for record in said] == [True]
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -9,6 +9,8 @@
 from harness import LeaderHarness
 
 from ryewing.cloud import CloudUnavailableError
+from ryewing.dispatch import PROBE_AFTER
+from ryewing.leader import CUT, CUT_PROBE_S
 from ryewing.renter import REQUEST_PREFIX
 from ryewing.units import MachineId
 from ryewing.wire import ListedMachine
@@ -22,13 +24,13 @@
 
 def test_a_successor_repeats_a_recorded_wish_under_its_name(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    harness.leader.renter.id = lambda request: None  # type: ignore[method-assign]  # dies before asking
+    harness.leader.renter.send_request = lambda request: None  # type: ignore[method-assign]  # dies before asking
     rent(harness)
     assert len(harness.store.listing(REQUEST_PREFIX)[0]) == 1
     assert not harness.cloud.requests
     harness.new_leader(6)
     for request in list(harness.leader.renter.pending_requests.values()):
-        harness.leader.renter.id(request)
+        harness.leader.renter.send_request(request)
     rent(harness)  # what is booting counts
     assert len(harness.cloud.requests) == 1
     harness.write()
@@ -57,7 +59,7 @@
         rent(harness)
     harness.cloud.rent = real  # type: ignore[method-assign]
     [pending] = harness.leader.renter.pending_requests.values()
-    harness.leader.renter.id(pending)
+    harness.leader.renter.send_request(pending)
     assert [request.id for request in harness.cloud.requests] == [pending.id]
 
 
@@ -197,3 +199,42 @@
     for worker in workers[silent:]:
         harness.exchange(worker)
     assert harness.leader.is_cut_from_workers(harness.clock()) is cut
+
+
+def tend(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
+    """Let time pass in which no worker is heard, and the leader look after things."""
+    for _ in range(round(seconds / step_s)):
+        harness.later(step_s)
+        harness.leader.tend_once()
+
+
+def silent_fleet(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Nine machines that were heard, and a leader that watches over them."""
+    monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
+    harness.ready(*(harness.worker(f"i-{n:06d}") for n in range(9)))
+    harness.leader.tend_once()
+
+
+def test_a_cut_leader_resigns_once_a_report_and_a_direct_question_were_missed(
+    harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Measured on days with such a cut: 7.1 s from the cut to the resignation."""
+    silent_fleet(harness, monkeypatch)
+    longest_s = PROBE_AFTER * harness.settings.params.workers.report_s + CUT_PROBE_S
+    tend(harness, longest_s)
+    assert harness.lost == []
+    tend(harness, 0.5)
+    assert harness.lost[:1] == [CUT]
+    assert longest_s < policy().silence_s
+
+
+def test_a_leader_that_stood_still_does_not_count_that_time(
+    harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Found in replays: itself again after 9 s, it resigned and left leadership alone for 15 s."""
+    silent_fleet(harness, monkeypatch)
+    tend(harness, 9.0, step_s=9.0)
+    tend(harness, 2.0)
+    assert harness.lost == []
+    tend(harness, 9.0)
+    assert harness.lost[:1] == [CUT]
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -346,11 +346,11 @@
         answer = leader.on_report(worker.report())
         assert answer is not None and not starts(answer.commands)
     elif act == "rent":
-        leader.renter.id(RentalRequest("r-5-9", "c32", "a", False, 1))
+        leader.renter.send_request(RentalRequest("r-5-9", "c32", "a", False, 1))
         assert not harness.cloud.requests
     elif act == "repeat":
         leader.renter.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
-        leader.renter.id(leader.renter.pending_requests["r-4-1"])
+        leader.renter.send_request(leader.renter.pending_requests["r-4-1"])
         assert not harness.cloud.requests and "r-4-1" in leader.renter.pending_requests
     elif act == "release":
         leader.renter.release([(machine, "idle")])
