--- a/src/ryewing/http_server.py
+++ b/src/ryewing/http_server.py
@@ -97,7 +97,9 @@
 
     _gathered: bytearray | None = None
 
-    def MessageClass(self, stream: Any, *_args: Any) -> RequestHeaders:
+    def MessageClass(  # noqa: N802  the name by which WSGIHandler calls it
+        self, stream: Any, *_args: Any
+    ) -> RequestHeaders:
         """Read the request's headers."""
         return RequestHeaders.read(stream)
 
--- a/src/ryewing/placer.py
+++ b/src/ryewing/placer.py
@@ -9,6 +9,7 @@
 import logging
 import random
 import time
+from collections.abc import Sequence
 
 import gevent
 
@@ -30,7 +31,10 @@
 """Times its own length that a pass is rested from: passes take a tenth of the time at the most, so
 that a leader that never comes to rest still answers workers, users and health checks first."""
 GPUS_WANTED_HALF_LIFE_S = 60.0
+FRESH_REPORTS = 2.5
+"""Report intervals for which a machine counts as heard: no new task goes to a silent one."""
 KINDS_MAX = 32
+"""Classes of which it is remembered what a task takes."""
 MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE = 30.0, 1.5, 0.0005
 """How long a machine must be unwanted before a replica is moved off it; what a move takes; and the
 part of a class's replica time that such moves may cost. Without bounds a third of a service's
@@ -93,43 +97,52 @@
     def run_pass(self) -> None:
         """Turn the jobs' shortfalls into planned tasks and stops, once."""
         now = steady_now()
-        self.ctx.cluster.drop_stale_plans(now, 2 * self.ctx.settings.params.workers.report_s + 2)
-        unheard = list(self.ctx.cluster.unheard())
+        cluster = self.ctx.cluster
+        cluster.drop_stale_plans(now, 2 * self.ctx.settings.params.workers.report_s + 2)
+        unheard = list(cluster.unheard())
         if self._guarantees:
             preemption.mark_guarantees(self.ctx.job_table, self.ctx.teams)
-        jobs = [
-            job
-            for job in (self.ctx.job_table.jobs[j] for j in self.ctx.job_table.waiting)
-            if self._may_place(job, unheard, now)
-        ]
+        waiting = (self.ctx.job_table.jobs[job_id] for job_id in self.ctx.job_table.waiting)
+        jobs = [job for job in waiting if self._may_place(job, unheard, now)]
         moving = self._replicas_to_move(now)
-        # So many free cards work without cards must leave usable.
+        # So many free GPUs work without GPUs must leave usable.
         gpus_kept = self._note_gpus_wanted(jobs, now)
         if not jobs and not moving:
             self.unplaced = []
             return
-        for wanting in jobs:
-            self._gpu_reserve = self._gpu_reserve.widened(wanting)
-            if not wanting.endless and (
-                wanting.spec.job_class in self._recent_specs or len(self._recent_specs) < KINDS_MAX
-            ):
-                self._recent_specs[wanting.spec.job_class] = wanting.spec
+        for job in jobs:
+            self._note_spec(job)
         jobs = self._ordered(jobs)
         overdue = queueing.overdue(jobs, wall_now())
-        fresh = now - 2.5 * self.ctx.settings.params.workers.report_s
-        free: list[MachineCapacity] = []
-        for machine in self.ctx.cluster.machines.values():
-            if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh:
-                free.append(MachineCapacity(machine, self._being_stopped(machine)))
+        inputs = self._pass_inputs(unheard, gpus_kept, now)
+        self._carry_out(placement.Pass(inputs).run(jobs, overdue, moving), now)
+
+    def _note_spec(self, job: Job) -> None:
+        """Remember what a task of this class takes, for what others should leave free."""
+        self._gpu_reserve = self._gpu_reserve.widened(job)
+        name = job.spec.job_class
+        if not job.endless and (name in self._recent_specs or len(self._recent_specs) < KINDS_MAX):
+            self._recent_specs[name] = job.spec
+
+    def _pass_inputs(
+        self, unheard: Sequence[Machine], gpus_kept: float, now: Steady
+    ) -> placement.PassInputs:
+        cluster = self.ctx.cluster
+        fresh = now - FRESH_REPORTS * self.ctx.settings.params.workers.report_s
+        capacities = [
+            MachineCapacity(machine, self._being_stopped(machine))
+            for machine in cluster.machines.values()
+            if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh
+        ]
         quota = Quota(
             self.ctx.teams,
-            self.ctx.cluster.team_cpus,
-            self.ctx.cluster.team_gpus,
-            sum(m.machine_type.cpus for m in unheard),
-            sum(m.machine_type.gpus for m in unheard),
+            cluster.team_cpus,
+            cluster.team_gpus,
+            sum(machine.machine_type.cpus for machine in unheard),
+            sum(machine.machine_type.gpus for machine in unheard),
         )
-        inputs = placement.PassInputs(
-            capacities=free,
+        return placement.PassInputs(
+            capacities=capacities,
             quota=quota,
             now=now,
             rng=self._rng,
@@ -137,40 +150,42 @@
             gpu_reserve=self._gpu_reserve,
             gpus_kept=gpus_kept,
             avoid=self._avoid,
-            fetches_share=self.ctx.cluster.fetches_share(),
+            fetches_share=cluster.fetches_share(),
             recent_specs=tuple(self._recent_specs.values()),
             report_in=lambda machine: self.dispatch.report_in(machine, now),
         )
-        plan = placement.Pass(inputs).run(jobs, overdue, moving)
-        if plan.reserved is not None and plan.reserved[0].id != self._reserved_for:
+
+    def _carry_out(self, plan: placement.Plan, now: Steady) -> None:
+        """Plan the tasks that a pass has placed, and stop what it has to stop."""
+        if plan.reserved is not None and plan.reserved.job.id != self._reserved_for:
             gang, kept = plan.reserved
             log.info("event=reserved job=%s machines=%d", gang.id, len(kept))
-        self._reserved_for = plan.reserved[0].id if plan.reserved is not None else None
+        self._reserved_for = plan.reserved.job.id if plan.reserved is not None else None
         self.passes += 1
         self.machines_examined += plan.machines_examined
         planned: set[MachineId] = set()
+        serving: set[MachineId] = set()
         for batch in plan.batches:
             self._apply(batch, now)
-            planned.update(machine.id for machine, _count in batch.parts)
-        serving = {
-            machine.id for batch in plan.batches if batch.job.endless for machine, _n in batch.parts
-        }
+            names = {part.machine.id for part in batch.parts}
+            planned |= names
+            if batch.job.endless:
+                serving |= names
         for name in sorted(planned, key=lambda name: name not in serving):
-            self.dispatch.request_early_report(
-                self.ctx.cluster.machines[name], now, name in serving
-            )
+            machine = self.ctx.cluster.machines[name]
+            self.dispatch.request_early_report(machine, now, name in serving)
         for assignment in plan.stops:
-            self.dispatch.stop_assignment(
-                assignment, assignment.job.grace_s if assignment.job else 0.0, "preempted", now
-            )
+            self._stop(assignment, "preempted", now)
         for assignment in plan.moves:
-            self.dispatch.stop_assignment(
-                assignment, assignment.job.grace_s if assignment.job else 0.0, "moved", now
-            )
+            self._stop(assignment, "moved", now)
             if assignment.job is not None:
                 self._moved_at[assignment.job.spec.job_class] = now
         self.unplaced = plan.unplaced
 
+    def _stop(self, assignment: Assignment, why: str, now: Steady) -> None:
+        grace_s = assignment.job.grace_s if assignment.job is not None else 0.0
+        self.dispatch.stop_assignment(assignment, grace_s, why, now)
+
     def _replicas_to_move(self, now: Steady) -> list[Assignment]:
         """List the replicas that should run elsewhere: their machine is about to go, or is faulty,
         or is kept for nothing else."""
--- a/src/ryewing/renter.py
+++ b/src/ryewing/renter.py
@@ -31,6 +31,8 @@
 UNHEARD_EXTRA_S = 0.5
 RETIRE_SHARE = 0.01
 """The part of the fleet that stops taking work in one step."""
+BOOT_LEAST_S = 60.0
+"""How long a machine may take to boot at the least: deleted sooner, it costs as much."""
 LATE_AFTER = 1.3
 """Report intervals, a little more than the longest one, after which a report is late."""
 
@@ -119,47 +121,57 @@
         When many fall silent at once the fault may be on our side, and then each is only given
         up once its lease is over and nothing on it can be lost.
         """
+        times = self.ctx.settings.params.workers
+        never_booted: list[Machine] = []
         silent: list[Machine] = []
-        unheeding: list[Machine] = []
-        lease_s = self.ctx.settings.params.workers.lease_s
-        result: list[tuple[Machine, str]] = []
+        unacknowledging: list[Machine] = []
         late = known = 0
-        late_s = LATE_AFTER * self.ctx.settings.params.workers.report_s
         for machine in self.ctx.cluster.machines.values():
-            since = machine.heard_at
+            since = self._heard_since(machine)
             if since is None:
-                if machine.recorded:
-                    since = self.ctx.began  # heard in an earlier term
-                else:
-                    patience = self.ctx.policy.boot_patience * machine.machine_type.boot_s
-                    if now - machine.rented_at > max(patience, 60.0):
-                        result.append((machine, "never-booted"))
-                    continue
+                if now - machine.rented_at > self._boot_patience_s(machine):
+                    never_booted.append(machine)
+                continue
             known += 1
-            late += now - since > late_s
-            # A machine that has answered neither the handshake nor reported since the take-over
-            # blocks whatever it may hold, so it is waited for no longer than the gathering.
-            patience = self.ctx.policy.silence_s
-            if machine.heard_at is None:
-                patience = min(patience, self.ctx.policy.gather_s + UNHEARD_EXTRA_S)
-            if now - since > patience:
+            late += now - since > LATE_AFTER * times.report_s
+            deaf_since = machine.unacknowledged_since
+            if now - since > self._silence_s(machine):
                 silent.append(machine)
-            elif (
-                machine.unacknowledged_since is not None
-                and now - machine.unacknowledged_since > lease_s
-            ):
-                unheeding.append(machine)
+            elif deaf_since is not None and now - deaf_since > times.lease_s:
+                unacknowledging.append(machine)
         # Judged by those that are late by one report, not by those silent for long: when all
         # fall silent, their last reports lie an interval apart.
-        few = late <= max(2, known // 3)
-        for machine in silent:
-            if few or machine.may_hold_until is None:
-                result.append((machine, "silent"))
-        if few and len(unheeding) <= max(2, known // 3):
+        most = max(2, known // 3)
+        few = late <= most
+        result = [(machine, "never-booted") for machine in never_booted]
+        result += [
+            (machine, "silent") for machine in silent if few or machine.may_hold_until is None
+        ]
+        if few and len(unacknowledging) <= most:
             # Its reports come, our answers don't reach it: it can't be used, but it is paid for.
-            result.extend((machine, "unheeding") for machine in unheeding)
+            result += [(machine, "unheeding") for machine in unacknowledging]
         return result
 
+    def _heard_since(self, machine: Machine) -> Steady | None:
+        """Tell when a machine was last heard; None if it may never have booted."""
+        if machine.heard_at is not None:
+            return machine.heard_at
+        return self.ctx.began if machine.recorded else None  # heard in an earlier term
+
+    def _boot_patience_s(self, machine: Machine) -> float:
+        return max(self.ctx.policy.boot_patience * machine.machine_type.boot_s, BOOT_LEAST_S)
+
+    def _silence_s(self, machine: Machine) -> float:
+        """Tell how long a machine is waited for.
+
+        One that has answered neither the handshake nor reported since the take-over blocks
+        whatever it may hold, so it is waited for no longer than the gathering.
+        """
+        patience_s = self.ctx.policy.silence_s
+        if machine.heard_at is None:
+            return min(patience_s, self.ctx.policy.gather_s + UNHEARD_EXTRA_S)
+        return patience_s
+
     def release(self, chosen: list[tuple[Machine, str]]) -> None:
         """Return machines; once it is confirmed, nothing on them is there any more.
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -20,7 +20,8 @@
     assert [budget.take() for _ in range(6)] == [True] * 5 + [False]
     assert budget.wait_s(2.0) == pytest.approx(0.2)
     now[0] = Steady(T0 + 0.2)
-    assert budget.take(2.0) and not budget.take()
+    assert budget.take(2.0)
+    assert not budget.take()
 
 
 def test_team_without_limit_has_no_limit() -> None:
--- a/tests/test_compound_failures.py
+++ b/tests/test_compound_failures.py
@@ -120,7 +120,8 @@
     first.hangs = True
     cluster.run(1.0)
     cluster.run(24.0)
-    assert second.tasks and not first.tasks
+    assert second.tasks
+    assert not first.tasks
     first.hangs = False
     cluster.run(6.0)
     cluster.dead.add("n-0")
@@ -155,7 +156,8 @@
     cluster.run(8.0)
     assert second.tasks, "the job waits for a machine that is gone"
     leader = cluster.nodes[cluster.leader_name].leader
-    assert leader is not None and first.name not in leader.ctx.cluster.machines
+    assert leader is not None
+    assert first.name not in leader.ctx.cluster.machines
     assert not any(
         first.name.encode() in value
         for key, (value, _, _) in cluster.store.data.items()
@@ -278,7 +280,8 @@
     second = cluster.workers["i-000002"]
     cluster.submit("n-1", task_count=2, cpus=30.0)
     cluster.run(6.0)
-    assert first.tasks and second.tasks
+    assert first.tasks
+    assert second.tasks
     cluster.end(first)
     cluster.run(3.0)
     cluster.dead.add("n-0")
@@ -393,7 +396,8 @@
         cluster.store.plant(f"j/run-{number}", msgspec.json.encode(record))
     cluster.run(2.0)
     leader = cluster.nodes["n-0"].leader
-    assert leader is not None and not leader.ctx.job_table.jobs
+    assert leader is not None
+    assert not leader.ctx.job_table.jobs
     assert cluster.submit("n-1", "run-5") == 201
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -72,7 +72,8 @@
     job = live_job(harness, "run-1", task_count=100)
     harness.place()
     fail_all(harness, workers[:3])
-    assert job.backoff_s and not job.live
+    assert job.backoff_s
+    assert not job.live
     assert not harness.assignments(workers[3].name)
 
 
@@ -131,12 +132,14 @@
     assert len(set(job.live.values())) == 2
     fail_all(harness, workers)
     harness.place()
-    assert not job.live and not job.backoff_s
+    assert not job.live
+    assert not job.backoff_s
     harness.later(AVOID_S + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
-    assert job.live and AVOID_S < 90.0
+    assert job.live
+    assert AVOID_S < 90.0
 
 
 def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
@@ -248,7 +251,8 @@
     found = harness.leader.ctx.job_table.get(job)
     assert found is not None
     first = found.backoff_s
-    assert found.backoff_until > harness.clock() and first >= 2.0
+    assert found.backoff_until > harness.clock()
+    assert first >= 2.0
     harness.place()
     assert not any(harness.assignments(worker.name) for worker in workers)
     # Later it tries again, and on the same machines: new ones were rented for it for ever.
@@ -276,6 +280,7 @@
     for worker in workers[:faulty]:
         worker.finish("error")
         harness.exchange(worker)
-    assert found is not None and bool(found.backoff_s) is at_fault
+    assert found is not None
+    assert bool(found.backoff_s) is at_fault
     suspects = [m for m in harness.leader.ctx.cluster.machines.values() if m.faults]
     assert len(suspects) == (0 if at_fault else faulty)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -52,7 +52,8 @@
         for machine in self.cluster.machines.values():
             for assignment in list(machine.assignments.values()):
                 job = assignment.job
-                assert job is not None and assignment.running_since is not None
+                assert job is not None
+                assert assignment.running_since is not None
                 if self.now - assignment.running_since >= job.spec.estimated_s:
                     self.cluster.drop(assignment, Steady(self.now), finished=True)
                     job.finish(assignment.task.number)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,8 @@
     short = [(job(task_count=8), 8)]
     assert plan_rentals(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
     [plan] = plan_rentals(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert plan.count == 1 and plan.options[0][0] == "c32"
+    assert plan.count == 1
+    assert plan.options[0][0] == "c32"
 
 
 def test_spot_machines_only_for_jobs_that_may() -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -37,8 +37,10 @@
         text = big.chunk_text(chunk)
         assert len(text) < 2048
         again.load_chunk(chunk, text)
-    assert again.done_count == 4 and not again.unwritten
-    assert again.is_done(99_999) and not again.is_done(1)
+    assert again.done_count == 4
+    assert not again.unwritten
+    assert again.is_done(99_999)
+    assert not again.is_done(1)
 
 
 def test_guess_correction_is_bounded() -> None:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -27,7 +27,8 @@
     assert len(starts(harness.exchange(worker))) == 4
     harness.exchange(worker)
     state = harness.leader.poll(job)
-    assert state is not None and (state.status, state.running) == ("running", 4)
+    assert state is not None
+    assert (state.status, state.running) == ("running", 4)
     worker.finish()
     assert "clear" not in verbs(harness.exchange(worker))  # the finish is not written yet
     harness.write()
@@ -59,7 +60,8 @@
         report = worker.report()
         report.token = 0 if not machine.handshaken else report.token
         answer = harness.leader.on_report(report)
-        assert answer is not None and not starts(answer.commands)
+        assert answer is not None
+        assert not starts(answer.commands)
         give_back()
     assert len(starts(harness.exchange(worker))) == 4
 
@@ -88,7 +90,8 @@
     harness.accept(task_count=1)
     harness.place()
     answer = harness.leader.on_report(worker.report())  # this answer is lost on its way
-    assert answer is not None and len(starts(answer.commands)) == 1
+    assert answer is not None
+    assert len(starts(answer.commands)) == 1
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     harness.leader.dispatch.send(machine)  # the body of /orders does not show the task
     assert list(harness.assignments().values()) == [SENT]
@@ -114,7 +117,8 @@
     assert asked == [worker.name]  # a start is on its way, and half a lease is not over
     harness.new_leader(6)
     answer = harness.leader.on_report(worker.report())
-    assert answer is not None and answer.token > worker.token
+    assert answer is not None
+    assert answer.token > worker.token
 
 
 def test_a_new_session_seen_in_an_orders_body_voids_an_assumed_start(
@@ -137,7 +141,8 @@
     harness.accept(task_count=1)
     harness.place()
     answer = harness.leader.on_report(late)
-    assert answer is not None and not starts(answer.commands)
+    assert answer is not None
+    assert not starts(answer.commands)
     assert list(harness.assignments().values()) == [PLANNED]
 
 
@@ -174,11 +179,14 @@
     assert not harness.leader.placer.ready_to_place()  # a recorded machine has not been heard
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     harness.leader.dispatch.send(machine)  # the handshake
-    assert machine.handshaken and worker.token == token_of(Term(6))
+    assert machine.handshaken
+    assert worker.token == token_of(Term(6))
     assert harness.leader.placer.ready_to_place()
     harness.leader.placer.run_pass()
     found = harness.leader.ctx.job_table.get(job)
-    assert found is not None and found.shortfall == 0 and len(harness.assignments()) == 3
+    assert found is not None
+    assert found.shortfall == 0
+    assert len(harness.assignments()) == 3
 
 
 @pytest.mark.parametrize(
@@ -300,7 +308,8 @@
     assert verbs(harness.exchange(worker)) == ["halt"] * 8
     harness.exchange(worker)
     harness.place()
-    assert not starts(harness.exchange(worker)) and harness.assignments() == {}
+    assert not starts(harness.exchange(worker))
+    assert harness.assignments() == {}
     harness.write()
     assert harness.finals == {job: "cancelled"}
 
@@ -335,7 +344,8 @@
     assert assignment == attempts
     assert sum(len(worker.tasks) for worker in workers) == 2
     found = harness.leader.ctx.job_table.get(job)
-    assert found is not None and found.shortfall == 0
+    assert found is not None
+    assert found.shortfall == 0
 
 
 def test_a_gang_that_ran_and_lost_a_task_is_cleared_before_its_next_attempt(
@@ -361,7 +371,8 @@
     for worker in workers:
         harness.exchange(worker)
     new = {attempt for worker in workers for _, attempt in worker.tasks}
-    assert len(new) == 1 and new != old
+    assert len(new) == 1
+    assert new != old
 
 
 def test_a_notice_drains_and_refills_elsewhere(harness: LeaderHarness) -> None:
@@ -373,11 +384,13 @@
     harness.exchange(spot)
     spot.notice_s = 10.0
     [halt] = harness.exchange(spot)
-    assert halt.verb == "halt" and halt.grace_s == 4.0
+    assert halt.verb == "halt"
+    assert halt.grace_s == 4.0
     harness.ready(other)
     harness.exchange(spot)
     harness.place()
-    assert harness.assignments("i-000001") == {} and len(harness.assignments("i-000002")) == 1
+    assert harness.assignments("i-000001") == {}
+    assert len(harness.assignments("i-000002")) == 1
 
 
 def test_a_job_is_refilled_only_after_its_finishes_are_written(harness: LeaderHarness) -> None:
@@ -399,7 +412,8 @@
     harness.write()
     harness.new_leader(6)
     found = harness.leader.ctx.job_table.get(job)
-    assert found is not None and (found.done_count, found.shortfall) == (8, 4)
+    assert found is not None
+    assert (found.done_count, found.shortfall) == (8, 4)
 
 
 def test_a_successor_is_told_which_machines_have_which_images(harness: LeaderHarness) -> None:
@@ -422,13 +436,16 @@
     view = read_view(store)
     first = campaign(store, view, NodeName("n-0"), "b0", 3.0, 15.0)
     second = campaign(store, view, NodeName("n-1"), "b1", 3.0, 15.0)
-    assert first is not None and second is None
+    assert first is not None
+    assert second is None
     assert first.term == 6
     again = read_view(store)
-    assert again.holder is not None and again.holder.node == "n-0"
+    assert again.holder is not None
+    assert again.holder.node == "n-0"
     harness.store.expire(first.lease)
     third = campaign(store, read_view(store), NodeName("n-1"), "b1", 3.0, 15.0)
-    assert third is not None and third.term == 7
+    assert third is not None
+    assert third.term == 7
 
 
 def test_machine_records_carry_what_a_successor_needs(harness: LeaderHarness) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -160,7 +160,8 @@
     leader = harness.new_leader(6)
     assert leader.ctx.job_table.jobs[job].done_count == 2
     machine = leader.ctx.cluster.machines[MachineId("i-000001")]
-    assert machine.recorded and machine.may_hold_until is not None
+    assert machine.recorded
+    assert machine.may_hold_until is not None
     harness.write()
     kept = as_production_reads(harness.store, "d/") | as_production_reads(harness.store, "m/")
     assert kept["run-1/0"] == ["gQA="] or kept["run-1/0"] == ["gQ=="]
@@ -172,7 +173,8 @@
     store.txn({}, [Put("d/0", {"run-1/0": "gA=="}), Put("d/1", {"run-1/0": "AQ=="})])
     packed = PagedRecords(DONE_PREFIX, 8.0)
     found, twice = packed.load(store.listing(DONE_PREFIX)[0])
-    assert twice == {"run-1/0"} and len(found) == 2
+    assert twice == {"run-1/0"}
+    assert len(found) == 2
     packed.put("run-1/0", "gQ==")
     for number in (0, 1):
         assert packed.change(number, 1, 1024).ops[0].key == "d/1"
@@ -185,7 +187,8 @@
     packed = PagedRecords(MACHINE_PREFIX, 1.0)
     for _ in range(2):
         found, twice = packed.load(store.listing(MACHINE_PREFIX)[0])
-        assert len(found) == len(records) and not twice
+        assert len(found) == len(records)
+        assert not twice
     first = dict(packed.change(next(packed.changed()), 8, 65536).conditions)
     packed.load([])
     packed.put("i-1", {"n": 1})
@@ -201,11 +204,13 @@
     for n in range(12):
         packed.put(f"i-{n}", {"addr": "x" * 90})
     given = [key for key in (packed.key(n) for n in packed.changed()) if key != packed.key(0)]
-    assert given and len(packed.change(0, 8, 65536).ops) == 1  # the store has none of it yet
+    assert given
+    assert len(packed.change(0, 8, 65536).ops) == 1
     applied = Entry(packed.key(0), msgspec.Raw(msgspec.json.encode(unseen.ops[0].value)), 7)
     packed.found(packed.key(0), applied)
     change = packed.change(0, 8, 65536)
-    assert len(change.ops) > 1 and change.ops[-1].key == packed.key(0)
+    assert len(change.ops) > 1
+    assert change.ops[-1].key == packed.key(0)
     assert change.conditions[packed.key(0)] == 7
 
 
@@ -333,7 +338,9 @@
     entry = client.node.store.get(live_key(JobId("run-7")))
     assert entry is not None
     kept = msgspec.json.decode(entry.data, type=JobRecord)
-    assert kept.cancelled and kept.spec.team == "red" and kept.spec.cpus == record.spec.cpus
+    assert kept.cancelled
+    assert kept.spec.team == "red"
+    assert kept.spec.cpus == record.spec.cpus
     assert not client.node.store.rejected
 
 
@@ -394,9 +401,8 @@
     harness.exchange(worker)
     harness.end(worker)
     harness.write()
-    assert (
-        harness.store.get(final_key(job)) is not None and harness.store.get(live_key(job)) is None
-    )
+    assert harness.store.get(final_key(job)) is not None
+    assert harness.store.get(live_key(job)) is None
 
 
 # -- machine types ------------------------------------------------------------------------------
@@ -436,7 +442,8 @@
 
     store.txn = counted  # type: ignore[method-assign]
     catalogue.write(store, {}, many_types(21))  # type: ignore[arg-type]
-    assert min(seen) >= 20 and len(catalogue.read(store)) == 21  # type: ignore[arg-type]
+    assert min(seen) >= 20
+    assert len(catalogue.read(store)) == 21  # type: ignore[arg-type]
 
 
 def test_types_that_could_not_be_written_are_written_later(harness: LeaderHarness) -> None:
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -85,4 +85,5 @@
     peer = Peer(silent)
     with pytest.raises(PeerUnavailableError):
         peer.request(PollJob("run-1"), SHORT_WAIT_S)
-    assert peer.in_flight == 0 and not peer._idle
+    assert peer.in_flight == 0
+    assert not peer._idle
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -109,7 +109,8 @@
     world.job("run-8", gpus=1.0, cpus=5.0)
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1, shape="group")
     plan = world.plan(urgent)
-    assert spread_of(plan) == {} and not plan.unplaced
+    assert spread_of(plan) == {}
+    assert not plan.unplaced
     assert {assignment.machine.id for assignment in plan.stops} == {"i-2"}
 
 
@@ -374,7 +375,8 @@
     assert not slow.slow()  # two tasks are chance
     slow.record_pace(many, 40.0)
     other.record_pace(many, 24.0)
-    assert slow.slow() and not other.slow()
+    assert slow.slow()
+    assert not other.slow()
     assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
     assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
 
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -80,5 +80,6 @@
     worker = cluster.workers["i-000001"]
     poll_all(cluster, refs)
     status, answer = cluster.report(NAMES[0], worker.report())
-    assert status == 200 and "orders" in answer
+    assert status == 200
+    assert "orders" in answer
     assert all(not api._submits and not api._reads for api in cluster.apis.values())
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -27,7 +27,8 @@
     world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")  # ten seconds for the image
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
-    assert not found.batches and len(found.stops) == 1
+    assert not found.batches
+    assert len(found.stops) == 1
     quick = World()
     quick.machine("i-1").record_image("img-1", 2.0)
     assert spread_of(quick.plan(quick.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
@@ -71,7 +72,8 @@
     world.machine("i-2")
     tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SHORT_WAIT_S - 0.5)}, task_count=1)
     found = world.plan(tiny)
-    assert spread_of(found) == {"i-2": 1} and not found.stops
+    assert spread_of(found) == {"i-2": 1}
+    assert not found.stops
 
 
 def test_cold_replicas_go_to_machines_of_their_own() -> None:
@@ -230,7 +232,8 @@
         if elsewhere == "full":
             world.put(world.job("run-9", task_count=8, image="img-9"), there, 8)
     found = world.plan(moving=[assignment])
-    assert (found.moves == [assignment]) is moved and len(found.stops) == stops
+    assert (found.moves == [assignment]) is moved
+    assert len(found.stops) == stops
     assert not found.batches
 
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -64,8 +64,10 @@
         for worker in (one, other):
             harness.exchange(worker)
     state = harness.leader.poll(name)
-    assert state is not None and (state.status, state.done, state.running) == ("running", 0, 2)
-    assert harness.store.get(final_key(name)) is None and not harness.finals
+    assert state is not None
+    assert (state.status, state.done, state.running) == ("running", 0, 2)
+    assert harness.store.get(final_key(name)) is None
+    assert not harness.finals
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     again = {key[1] for worker in (one, other) for key in worker.tasks}
     assert not before & again  # a new attempt each time
@@ -92,12 +94,15 @@
     leader = harness.new_leader(6)
     assert leader.ctx.job_table.jobs[name].shortfall == 2
     harness.write()
-    assert harness.store.get(final_key(name)) is None and not harness.finals
+    assert harness.store.get(final_key(name)) is None
+    assert not harness.finals
 
 
 def test_a_replica_cannot_finish() -> None:
     service = job(**SERVICE, task_count=2)
-    assert not service.finish(0) and not service.complete and not service.unwritten
+    assert not service.finish(0)
+    assert not service.complete
+    assert not service.unwritten
     service.load_chunk(0, "Aw==")
     assert service.shortfall == 2
 
@@ -134,7 +139,8 @@
     for worker in workers:
         harness.exchange(worker)
     harness.place()
-    assert not service.backoff_s and len(service.live) == 6
+    assert not service.backoff_s
+    assert len(service.live) == 6
 
 
 def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
@@ -187,7 +193,8 @@
     batches[1].guaranteed = True
     alone = order_of(batches, 16.0, 60.0)
     ordered = order_of([*batches, service, lesser], 16.0, 60.0)
-    assert ordered[0] == "run-9" and ordered.index("run-8") == len(ordered) - 2
+    assert ordered[0] == "run-9"
+    assert ordered.index("run-8") == len(ordered) - 2
     assert [name for name in ordered if name not in ("run-9", "run-8")] == alone
 
 
@@ -231,7 +238,8 @@
             64,
         )
     ).run([gang], [gang])
-    assert plan.reserved is None and not plan.stops
+    assert plan.reserved is None
+    assert not plan.stops
 
 
 def test_a_service_that_waited_long_begins_whole() -> None:
@@ -270,7 +278,8 @@
     one.zones[Zone("a")] = 2
     one.live = dict.fromkeys((0, 1), MachineId("i-1"))
     [plan] = plan_rentals([(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert plan.options[0][1] != "a" and all(option[1] != "a" for option in plan.options)
+    assert plan.options[0][1] != "a"
+    assert all(option[1] != "a" for option in plan.options)
 
 
 # -- take-over, cancel ---------------------------------------------------------------------------
@@ -284,7 +293,8 @@
     for term in (6, 7):
         leader = harness.new_leader(term)
         state = leader.poll(name)
-        assert state is not None and state.status == "queued"  # nothing heard yet
+        assert state is not None
+        assert state.status == "queued"
         for worker in workers:
             assert not starts(harness.exchange(worker))
         for worker in workers:
@@ -295,7 +305,8 @@
             commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
         state = leader.poll(name)
-        assert state is not None and (state.status, state.running) == ("running", 4)
+        assert state is not None
+        assert (state.status, state.running) == ("running", 4)
     assert [set(worker.tasks) for worker in workers] == before
 
 
@@ -369,7 +380,8 @@
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
     service = harness.leader.ctx.job_table.jobs[name]
-    assert not service.backoff_s and not service.failed_on
+    assert not service.backoff_s
+    assert not service.failed_on
     harness.later(1.5)
     harness.exchange(worker)
     harness.place()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -337,7 +337,8 @@
     again = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     records, twice = again.load(store.values())
     names = [name for name, _record in records]
-    assert len(names) == len(set(names)) == count and not twice
+    assert len(names) == len(set(names)) == count
+    assert not twice
     for name in names:
         again.drop(name)
     written(again, store, 3)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -48,7 +48,8 @@
     assert placed_in_rounds(harness, deaf, 12) == 1
     assert harness.assignments() == {}
     machine = harness.leader.ctx.cluster.machines[MachineId(deaf.name)]
-    assert not machine.usable() and machine.unacknowledged_since is not None
+    assert not machine.usable()
+    assert machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
     harness.place()
     harness.leader.renter.rent()
@@ -120,7 +121,8 @@
     harness.leader.on_report(newest)
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     heard_at, until = machine.heard_at, machine.may_hold_until
-    assert heard_at is not None and until is not None
+    assert heard_at is not None
+    assert until is not None
     harness.later(age_s)
     if alive:
         harness.exchange(worker)
@@ -182,9 +184,11 @@
     harness.new_leader(6)
     assert harness.leader.on_report(late) is not None  # it might be the worker itself
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    assert not machine.handshaken and not machine.usable()
+    assert not machine.handshaken
+    assert not machine.usable()
     found = harness.leader.ctx.job_table.get(job)
-    assert found is not None and found.shortfall == 0  # what it may hold blocks
+    assert found is not None
+    assert found.shortfall == 0
     for _ in range(4):
         harness.later(6.0)
         assert harness.leader.on_report(copy.deepcopy(late)) is None
@@ -212,13 +216,15 @@
         assert answer is None or not answer.commands
         assert not harness.leader.ctx.cluster.machines
         found = harness.leader.ctx.job_table.get(job)
-        assert found is not None and found.shortfall == 1
+        assert found is not None
+        assert found.shortfall == 1
         harness.write()
         assert not harness.leader.writer.to_record
         harness.later(6.0)
     harness.exchange(worker)
     harness.exchange(worker)
-    assert found is not None and found.shortfall == 0
+    assert found is not None
+    assert found.shortfall == 0
     assert MachineId(worker.name) in harness.leader.ctx.cluster.machines
 
 
@@ -237,7 +243,8 @@
     assert len(harness.assignments()) == 2  # not believed yet
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     harness.leader.dispatch.send(machine)
-    assert harness.assignments() == {} and machine.handshaken
+    assert harness.assignments() == {}
+    assert machine.handshaken
     harness.leader.on_report(copy.deepcopy(old))  # a late copy from before
     harness.leader.dispatch.send(machine)
     assert harness.assignments() == {}
@@ -305,7 +312,8 @@
     store.relay = lambda _method, _path, _body: Reply(404, b"{}")
     for _ in range(20):
         assert store.get("f/run-1") is None
-    assert direct == [False] and len(spawned) == 1
+    assert direct == [False]
+    assert len(spawned) == 1
     spawned[0]()  # in the background, until the store answers
     assert direct == [False] * 4 + [True]
     store.get("f/run-1")
@@ -344,17 +352,20 @@
     harness.later(policy().hold_s + 1.0 if act == "halt" else 5.0, renewed=False)
     if act == "start":
         answer = leader.on_report(worker.report())
-        assert answer is not None and not starts(answer.commands)
+        assert answer is not None
+        assert not starts(answer.commands)
     elif act == "rent":
         leader.renter.send_request(RentalRequest("r-5-9", "c32", "a", False, 1))
         assert not harness.cloud.requests
     elif act == "repeat":
         leader.renter.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
         leader.renter.send_request(leader.renter.pending_requests["r-4-1"])
-        assert not harness.cloud.requests and "r-4-1" in leader.renter.pending_requests
+        assert not harness.cloud.requests
+        assert "r-4-1" in leader.renter.pending_requests
     elif act == "release":
         leader.renter.release([(machine, "idle")])
-        assert not harness.cloud.released and not machine.leaving
+        assert not harness.cloud.released
+        assert not machine.leaving
     elif act == "tell":
         assert leader.poll(job) is None
     else:
@@ -398,8 +409,10 @@
     for conditions, writes in [*sent, *sent]:
         assert not real(conditions, writes).ok
     view = read_view(store)
-    assert view.holder is not None and (view.holder.boot, view.term) == ("after", won.term)
-    assert not may_campaign(view, node, "after") and may_campaign(view, node, "again")
+    assert view.holder is not None
+    assert (view.holder.boot, view.term) == ("after", won.term)
+    assert not may_campaign(view, node, "after")
+    assert may_campaign(view, node, "again")
 
 
 @pytest.mark.parametrize("old_first", [True, False])
@@ -419,7 +432,8 @@
     for report in reports if old_first else reversed(reports):
         assert harness.leader.on_report(report) is not None
     found = harness.leader.ctx.job_table.get(name)
-    assert found is not None and found.shortfall == 0
+    assert found is not None
+    assert found.shortfall == 0
     if cancelled:
         harness.leader.take_cancel(name)
         harness.leader.dispatch.send(harness.leader.ctx.cluster.machines[MachineId(runs.name)])
@@ -431,7 +445,8 @@
     harness.place()
     for worker in (was, runs):
         assert not starts(harness.exchange(worker))
-    assert found.shortfall == 0 and len(runs.tasks) == (0 if cancelled else 1)
+    assert found.shortfall == 0
+    assert len(runs.tasks) == (0 if cancelled else 1)
     if not cancelled:
         harness.end(runs)
     harness.exchange(runs)
@@ -454,7 +469,8 @@
     was.tasks.clear()
     harness.exchange(was)
     harness.write()
-    assert not harness.leader.ctx.job_table.dirty and not harness.lost
+    assert not harness.leader.ctx.job_table.dirty
+    assert not harness.lost
 
 
 def test_halts_are_not_crowded_out_by_what_has_ended(harness: LeaderHarness) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -71,19 +71,22 @@
     leader = harness.new_leader(6)
     assert leader.renter.load_types() == [CPU, GPU]
     gang = leader.ctx.job_table.jobs[JobId("run-000412")]
-    assert (
-        gang.gang
-        and gang.spec.same_zone
-        and gang.spec.deadline_s == 90.0
-        and gang.accepted_at == 1000.5
-    )
-    assert gang.spec.machine_types == ["c32"] and gang.inherited
+    assert gang.gang
+    assert gang.spec.same_zone
+    assert gang.spec.deadline_s == 90.0
+    assert gang.accepted_at == 1000.5
+    assert gang.spec.machine_types == ["c32"]
+    assert gang.inherited
     assert leader.ctx.job_table.jobs[JobId("run-000413")].cancelled
     counted = leader.ctx.job_table.jobs[JobId("run-000414")]
     assert [n for n in range(20) if counted.is_done(n)] == [0, 1, 9, 19]
     one, other = (leader.ctx.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
-    assert one.recorded and one.may_hold_until is not None and one.address == "10.1.0.2:9000"
-    assert not other.recorded and other.spot and other.zone == "b"
+    assert one.recorded
+    assert one.may_hold_until is not None
+    assert one.address == "10.1.0.2:9000"
+    assert not other.recorded
+    assert other.spot
+    assert other.zone == "b"
     assert leader.renter.pending_requests["r-3-1"] == RentalRequest("r-3-1", "c32", "a", True, 12)
 
 
@@ -268,7 +271,8 @@
         for number in list(packed.changed()):
             assert harness.store.txn({}, list(packed.change(number, 8, 65536).ops)).ok
     before = old_reading(harness)
-    assert len(before[0]) == 100 and len(before[1]) == 40
+    assert len(before[0]) == 100
+    assert len(before[1]) == 40
     harness.announce(value_kb=1.0, txn_ops=2)
     harness.new_leader(6)
     harness.narrow(value_kb=1.0, txn_ops=2)
@@ -276,7 +280,8 @@
     while harness.leader.writer.write_once():
         steps += 1
         assert old_reading(harness) == before
-    assert steps > 10 and old_reading(harness) == before
+    assert steps > 10
+    assert old_reading(harness) == before
 
 
 def test_an_old_and_a_new_leader_by_turns_lose_nothing(harness: LeaderHarness) -> None:
@@ -307,4 +312,5 @@
     harness.end(worker)
     harness.write()
     entry = harness.store.get(final_key(name))
-    assert entry is not None and bytes(entry.data) == b'{"status":"done"}'
+    assert entry is not None
+    assert bytes(entry.data) == b'{"status":"done"}'
