--- a/src/ryewing/capacity.py
+++ b/src/ryewing/capacity.py
@@ -20,9 +20,9 @@
 
 
 class GpuReserve(NamedTuple):
-    """The most that recent tasks took beside each card.
+    """The most that recent tasks took beside each GPU.
 
-    Without it, tasks that need no card fill the processors of machines with cards, and the
+    Without it, tasks that need no GPU fill the processors of machines with GPUs, and the
     dearest room of the fleet lies idle.
     """
 
@@ -89,7 +89,7 @@
         self.fetching_here: set[str] = set()
         """Images for which this pass has placed a task here."""
         self.wanted = {False: 0, True: 0}
-        """How many images that waiting arrays want are here, without and with cards."""
+        """How many images that waiting arrays want are here, without and with GPUs."""
         self._beside_replicas: tuple[float, float, float] | None = None
         """What is left beside the replicas here: what work that ends can count on."""
         self._displaced: dict[tuple[float, float, float], float] = {}
@@ -128,7 +128,7 @@
     ) -> int:
         """Tell how many tasks of this kind fit, up to a limit.
 
-        Tasks without cards leave what the free cards' tasks will need.
+        Tasks without GPUs leave what the free GPUs' tasks will need.
         """
         cpus, gpus, memory_gb = self.cpus, self.gpus, self.memory_gb
         if gpus > 0:
@@ -226,7 +226,7 @@
         return found
 
     def usable_gpus(self, beside: float) -> float:
-        """Count the cards in use, and those free with processors left beside them."""
+        """Count the GPUs in use, and those free with processors left beside them."""
         free = min(self.gpus, max(0.0, self.cpus) // max(beside, 1e-3))
         return self.machine.machine_type.gpus - self.gpus + max(0.0, free)
 
@@ -273,14 +273,14 @@
 
 
 def stranded_gpus(spec: JobSpec, machine: Machine) -> float:
-    """Tell beside how many cards a task without cards would sit."""
+    """Tell beside how many GPUs a task without GPUs would sit."""
     return machine.machine_type.gpus if spec.gpus <= 0 else 0.0
 
 
 def gpu_cost(spec: JobSpec, machine: Machine) -> float:
-    """Tell how little a machine is worth keeping for the cards that a task doesn't need.
+    """Tell how little a machine is worth keeping for the GPUs that a task doesn't need.
 
-    Those with the dearest cards are the first to be unwanted: a replica there had to be moved.
+    Those with the dearest GPUs are the first to be unwanted: a replica there had to be moved.
     """
     machine_type = machine.machine_type
     if spec.gpus > 0 or not machine_type.gpus:
--- a/src/ryewing/catalogue.py
+++ b/src/ryewing/catalogue.py
@@ -2,7 +2,7 @@
 
 One value as long as they fit. Where the store won't take it, they are in several: `flavours`, and
 `flavours/1` and up. An earlier version reads the first alone, and would refuse what fits the others
-only; so they are parted no sooner than the store asks for it, which it does not before every
+only; so they are split no sooner than the store asks for it, which it does not before every
 controller is of a version that reads all.
 """
 
--- a/src/ryewing/cluster_state.py
+++ b/src/ryewing/cluster_state.py
@@ -1,4 +1,4 @@
-"""The leader's picture of the workers, who hold the truth.
+"""The leader's view of the workers, who hold the truth.
 
 Each message overwrites its worker's part if it is newer. What can't be known from messages is
 kept as an assumption until it is settled: a start that was sent, a machine that is silent but
--- a/src/ryewing/dispatch.py
+++ b/src/ryewing/dispatch.py
@@ -35,7 +35,7 @@
 """Commands in one response: keeps its line within 64 KiB."""
 SENDS_AT_ONCE = 24
 TOKEN_BUMP_EVERY = 0.51
-"""Leases between two nudges of a worker: it heeds one in half a lease."""
+"""Leases between two raises of a worker's token: it reports one in half a lease."""
 UNWAITED_S = 4.5
 """A worker waits 4 s for the answer to a report; so long after a newer message none does."""
 EARLY_REPORT_WITHIN = 0.7
--- a/src/ryewing/fleet.py
+++ b/src/ryewing/fleet.py
@@ -1,6 +1,6 @@
 """Which machines to rent and to return.
 
-Pure: what is short, what is there and the clock go in; wishes come out. The leader turns them
+Pure: what is short, what is there and the clock go in; rental plans come out. The leader turns them
 into requests, whose names and answers are recorded so that nothing is rented twice.
 """
 
@@ -20,9 +20,9 @@
 """Type, zone, spot."""
 
 SPARE_GPUS = 1.2
-"""How many times the cards lately wanted are kept."""
+"""How many times the GPUs lately wanted are kept."""
 RETIRE_DRAIN = 0.25
-"""The part of the drain target within which waiting work without cards must end."""
+"""The part of the drain target within which waiting work without GPUs must end."""
 NO_CAPACITY_S = 20.0
 NO_CAPACITY_MAX_S = 120.0
 
@@ -100,7 +100,7 @@
             spec.memory_gb / machine_type.memory_gb if machine_type.memory_gb else 0.0,
         )
         if machine_type.gpus and not spec.gpus:
-            share *= 4.0  # cards left idle are dear; only if nothing else can be had
+            share *= 4.0  # GPUs left idle are expensive; only if nothing else can be had
         for zone in machine_type.zones:
             if spec.zone is not None and zone != spec.zone:
                 continue
@@ -175,7 +175,7 @@
 
 
 def _add_plan(plan_rentals: list[RentalPlan], options: list[Option], machines: int) -> None:
-    """Add to a wish for the same: one request for all of them, since the cloud takes few."""
+    """Add to a plan for the same: one request for all of them, since the cloud takes few."""
     for plan in plan_rentals:
         if plan.options[0] == options[0]:
             plan.count += machines
@@ -194,10 +194,10 @@
 def to_retire(
     machines: Iterable[Machine], gpus_wanted: float, drain_s: float, policy: Policy
 ) -> set[MachineId]:
-    """Choose the machines with cards that should take no more work, the dearest first.
+    """Choose the machines with GPUs that should take no more work, the dearest first.
 
-    Work without cards keeps every machine busy, so one with cards would never be idle: where two
-    thirds of the cards were in use, all of them were paid for. Not while work without cards waits
+    Work without GPUs keeps every machine busy, so one with GPUs would never be idle: where two
+    thirds of the GPUs were in use, all of them were paid for. Not while work without GPUs waits
     for long, since then its processors are wanted too.
     """
     if drain_s > RETIRE_DRAIN * policy.drain_target_s:
@@ -222,7 +222,7 @@
 ) -> list[Machine]:
     """Choose idle machines that nothing waiting could use.
 
-    A machine with cards isn't kept for work without cards: that is dear room.
+    A machine with GPUs isn't kept for work without GPUs: that is expensive capacity.
     """
     chosen = []
     for machine in machines:
--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader.py
@@ -1,6 +1,6 @@
 """The leader's term: rebuild, then loops that bring what is to what is wanted.
 
-Everything here ends with the term. The loops share one picture in one thread; gevent switches
+Everything here ends with the term. The loops share one state in one thread; gevent switches
 only where a request is under way, so what is decided between two requests is consistent. What the
 loops do stands in the parts: `intake` the jobs, `writer` the store, `dispatch` the workers,
 `placer` the passes, `renter` the fleet. Here stand the lease, the rebuild and what is tended.
--- a/src/ryewing/machine.py
+++ b/src/ryewing/machine.py
@@ -162,10 +162,10 @@
         self.expired_session = 0
         """The newest session that is surely over: what is said of it is an old copy."""
         self.acknowledged = -1
-        """The highest nudge of our term that its messages have shown; -1: nothing of our term."""
+        """The highest raise of our term's token that its messages have shown; -1: none of our term."""
         self.required_acknowledgement = 0
-        """The nudge that it has to show before it gets work: that our answers reach it is seen by
-        nothing else."""
+        """The token raise that it has to show before it gets work: nothing else tells that our
+        answers reach it."""
         self.unacknowledged_since: Steady | None = None
         """Since when its messages come although it doesn't hear ours."""
         self.recorded = False
@@ -208,7 +208,7 @@
 
     @property
     def acknowledges(self) -> bool:
-        """Tell whether it was seen to hear us, since there was last reason to doubt it."""
+        """Tell whether it was seen to hear us, since something was last lost."""
         return self.acknowledged >= self.required_acknowledgement
 
     def usable(self) -> bool:
--- a/src/ryewing/paged_records.py
+++ b/src/ryewing/paged_records.py
@@ -1,4 +1,4 @@
-"""Many small records packed into few values of the store.
+"""Many small records paged into few values of the store.
 
 The store counts changes, not bytes, so a record of its own for each machine or job costs most
 where there are most of them: hundreds of machines at a start took the write rate for many seconds.
--- a/src/ryewing/placer.py
+++ b/src/ryewing/placer.py
@@ -38,12 +38,12 @@
 MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE = 30.0, 1.5, 0.0005
 """How long a machine must be unwanted before a replica is moved off it; what a move takes; and the
 part of a class's replica time that such moves may cost. Without bounds a third of a service's
-replicas was moved within minutes of their start, as the cards wanted went down and up; with one
+replicas was moved within minutes of their start, as the GPUs wanted went down and up; with one
 move each 5 s, a service of twenty missed a hundredth of its time as a day ran out."""
 
 
 class Placer:
-    """Owns what passes have found: what is short, what cards were wanted."""
+    """Owns what passes have found: what is short, what GPUs were wanted."""
 
     def __init__(self, ctx: TermContext, dispatch: Dispatch) -> None:
         self.ctx = ctx
@@ -54,7 +54,7 @@
         self._rng = random.Random()
         self._gpu_reserve = NO_RESERVE
         self.gpus_wanted = 0.0
-        """The cards in use and asked for; the memory of it halves in a minute."""
+        """The GPUs in use and asked for; the memory of it halves in a minute."""
         self._gpus_wanted_at = ctx.began
         self.passes = self.machines_examined = 0
         """Passes made in this term, and machines that they looked at: their cost."""
@@ -257,7 +257,7 @@
         return queueing.order(jobs, self.ctx.settings.params.objectives, gpus, cpus, wall_now())
 
     def _note_gpus_wanted(self, jobs: list[Job], now: Steady) -> float:
-        """Take note of the cards wanted; tell how many are beyond those in use."""
+        """Take note of the GPUs wanted; tell how many are beyond those in use."""
         used = sum(self.ctx.cluster.team_gpus.values())
         wanted = used + sum(job.shortfall * job.spec.gpus for job in jobs)
         elapsed = now - self._gpus_wanted_at
@@ -267,7 +267,7 @@
         return self.gpus_wanted - used
 
     def drain_s(self) -> float:
-        """Estimate how long the waiting work without cards would keep all machines busy."""
+        """Estimate how long the waiting work without GPUs would keep all machines busy."""
         cpus = sum(m.machine_type.cpus for m in self.ctx.cluster.machines.values() if m.usable())
         work = sum(
             count * job.spec.cpus * job.estimate_s()
--- a/src/ryewing/queueing.py
+++ b/src/ryewing/queueing.py
@@ -32,7 +32,7 @@
 class Supply:
     """How much of the deciding resource can be used, and how much of that is free.
 
-    What nobody can use must not count: with cards that have no processors beside them taken for
+    What nobody can use must not count: with GPUs that have no processors beside them taken for
     supply, more jobs were thought to be on time than could be, and then all of them were late.
     """
 
@@ -69,7 +69,7 @@
 
 
 def demand(job: Job) -> float:
-    """Tell how much of the deciding resource one task takes: cards if it needs any."""
+    """Tell how much of the deciding resource one task takes: GPUs if it needs any."""
     return job.spec.gpus if job.spec.gpus > 0 else max(job.spec.cpus, 1e-3)
 
 
--- a/src/ryewing/renter.py
+++ b/src/ryewing/renter.py
@@ -38,7 +38,7 @@
 
 
 class Renter:
-    """Owns the wishes to rent, and what the cloud was seen not to have."""
+    """Owns the rental requests, and what the cloud was seen not to have."""
 
     def __init__(
         self, ctx: TermContext, writer: Writer, dispatch: Dispatch, placer: Placer
@@ -100,7 +100,7 @@
         self.rent()
 
     def _retire(self) -> None:
-        """Bring the machines that take no more work to what the cards wanted ask for."""
+        """Bring the machines that take no more work to what the GPUs wanted ask for."""
         machines = self.ctx.cluster.machines.values()
         wanted = fleet.to_retire(
             machines, self.placer.gpus_wanted, self.placer.drain_s(), self.ctx.policy
@@ -300,7 +300,7 @@
             request = RentalRequest(
                 f"r-{self.ctx.term}-{self._requests}", sku, zone, spot, min(RENT_MAX, plan.count)
             )
-            # The wish is recorded first: a successor repeats it under the same name and learns
+            # The request is recorded first: a successor repeats it under the same name and learns
             # what was rented, instead of renting again.
             self.pending_requests[request.id] = request
             result = self.ctx.store.txn(
@@ -312,7 +312,7 @@
             self.send_request(request)
 
     def send_request(self, request: RentalRequest) -> None:
-        """Ask the cloud for one recorded wish, as often as it takes to get an answer."""
+        """Ask the cloud for one recorded request, as often as it takes to get an answer."""
         if not self.ctx.may_start():
             return
         option = (request.machine_type, request.zone, request.spot)
@@ -346,7 +346,7 @@
             machine.rented_at = now
             self.writer.to_record.add(name)
         self.pending_requests.pop(request.id, None)
-        # The records of the machines are wanted before the wish is forgotten: writes are made
+        # The records of the machines are wanted before the request is forgotten: writes are made
         # in this order.
         self.writer.to_forget[REQUEST_PREFIX + request.id] = None
         self.ctx.write.set()
--- a/src/ryewing/stops.py
+++ b/src/ryewing/stops.py
@@ -56,7 +56,7 @@
         why: str,
         now: Steady,
     ) -> bool:
-        """Ask for a stop; a later ask can only shorten the mercy. True if it is news."""
+        """Ask for a stop; a later ask can only shorten the grace period. True if it is news."""
         stones = self._by_machine.setdefault(machine, {})
         old = stones.get((task, attempt))
         if old is None:
--- a/src/ryewing/term.py
+++ b/src/ryewing/term.py
@@ -1,4 +1,4 @@
-"""What the parts of one leader's term share: its settings, clients, picture and signals.
+"""What the parts of one leader's term share: its settings, clients, cluster state and signals.
 
 Nothing here decides anything. Each part owns its own state; what stands here is read by several
 of them, and ends with the term.
--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -19,7 +19,7 @@
 Term = NewType("Term", int)
 """Who may command: raised by every new leader."""
 Token = NewType("Token", int)
-"""What workers compare: the term, and below it a count of nudges to this worker."""
+"""What workers compare: the term, and below it a count of raises for this worker."""
 KeyVersion = NewType("KeyVersion", int)
 """The state service's version of one key; 0 says that the key does not exist."""
 Revision = NewType("Revision", int)
--- a/src/ryewing/wire.py
+++ b/src/ryewing/wire.py
@@ -1,7 +1,7 @@
 """msgspec structs of every body that crosses the service's outside border.
 
 The attributes have the usual names of the field; the protocol's own names (`mandate`, `pieces`,
-`loaner`, ...) are only the keys of the JSON, given to each struct as `rename`. The glossary in
+`spot`, ...) are only the keys of the JSON, given to each struct as `rename`. The glossary in
 `docs/design.md` sets both beside each other.
 """
 
--- a/src/ryewing/writer.py
+++ b/src/ryewing/writer.py
@@ -182,8 +182,8 @@
             if machine is None:
                 self.to_record.discard(name)
                 continue
-            # Once written, it stays: found when a successor repeated a wish whose machines had been
-            # heard by its predecessor, and wrote that they never were.
+            # Once written, it stays: found when a successor repeated a request whose machines had
+            # been heard by its predecessor, and wrote that they never were.
             heard = machine.heard_at is not None or machine.recorded
             record = MachineRecord(
                 machine.machine_type.name, machine.zone, machine.spot, machine.address, heard
