--- a/src/ryewing/jobs.py
+++ b/src/ryewing/jobs.py
@@ -1,8 +1,8 @@
 """Accepted jobs: their records in the store, their finishes, and what is still to be run.
 
-Keys: `j/<id>` holds a live job (with its cancel mark), `d/<n>` the finished tasks of many live
-jobs (`paged_records`), `f/<id>` the small final state, kept for good. A job has either `j/` or
-`f/`, and it moves from one to the other in one transaction on the version of `j/`, so that a cancel and a
+Keys: `j/<id>` holds a live job (with its cancel mark), `d/<n>` the finished tasks of many live jobs
+(`paged_records`), `f/<id>` the small final state, kept for good. A job has either `j/` or `f/`, and
+it moves from one to the other in one transaction on the version of `j/`, so that a cancel and a
 `done` can't both win.
 """
 
--- a/src/ryewing/machine.py
+++ b/src/ryewing/machine.py
@@ -162,7 +162,7 @@
         self.expired_session = 0
         """The newest session that is surely over: what is said of it is an old copy."""
         self.acknowledged = -1
-        """The highest raise of our term's token that its messages have shown; -1: none of our term."""
+        """The highest raise of our term's token that its messages have shown; -1: nothing of it."""
         self.required_acknowledgement = 0
         """The token raise that it has to show before it gets work: nothing else tells that our
         answers reach it."""
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize(
     ("arguments", "code", "text"),
     [
-        (["--version"], 0, "ryewing 0.2.1"),
+        (["--version"], 0, "ryewing 0.2.2"),
         (["--help"], 0, "--config"),
         (["check", "GOOD"], 0, "good for node n-0"),
         (["check", "BAD"], 1, "api_addr"),
