--- a/src/ryewing/cloud.py
+++ b/src/ryewing/cloud.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Iterator, Sequence
 from typing import TypeVar
 
@@ -17,9 +18,13 @@
     MachinePage,
     MachineType,
     MachineTypeList,
+    MalformedError,
     RentalRequest,
+    decode,
 )
 
+log = logging.getLogger("ryewing.cloud")
+
 DEADLINE_S = 4.0
 RENT_MAX = 50
 RELEASE_MAX = 100
@@ -86,6 +91,7 @@
 
 def _decode(reply: Reply, kind: type[T]) -> T:
     try:
-        return msgspec.json.decode(reply.body, type=kind)
-    except msgspec.DecodeError as error:
+        return decode(reply.body, kind)
+    except MalformedError as error:
+        log.warning("event=unreadable-answer from=cloud error=%s", error)
         raise CloudUnavailableError(f"unreadable answer: {error}") from None
--- a/src/ryewing/mesh.py
+++ b/src/ryewing/mesh.py
@@ -18,6 +18,7 @@
 from gevent.server import StreamServer
 
 from .settings import Address
+from .wire import UNREADABLE
 
 log = logging.getLogger("ryewing.mesh")
 FRAME_MAX = 4 * 1024 * 1024
@@ -162,7 +163,7 @@
                 answer = _response_decoder.decode(_read_frame(sock))
                 done = True
                 return answer
-        except (OSError, EOFError, msgspec.DecodeError) as error:
+        except (OSError, EOFError, *UNREADABLE) as error:
             # The kept connections share the fate of this one: each would cost a deadline more.
             self._close_idle()
             raise PeerUnavailableError(f"{type(error).__name__}: {error}") from None
@@ -199,7 +200,7 @@
                 with gevent.Timeout(IDLE_S, TimeoutError("idle")):
                     frame = _read_frame(sock)
                 _write_frame(sock, self._handler(_request_decoder.decode(frame)))
-        except msgspec.DecodeError as error:
+        except UNREADABLE as error:
             log.warning("event=unreadable-frame error=%s", error)
         except (OSError, EOFError):
             pass
--- a/src/ryewing/node.py
+++ b/src/ryewing/node.py
@@ -110,9 +110,13 @@
         while True:
             try:
                 self._follow()
+                continue
             except StoreUnavailableError as error:
                 log.debug("event=store-down error=%s", error)
-                gevent.sleep(0.2 + 0.2 * self._rng.random())
+            except Exception:
+                # A fault here must not end the process: users and workers are still served.
+                log.exception("event=follow-failed")
+            gevent.sleep(0.2 + 0.2 * self._rng.random())
 
     # -- leadership -------------------------------------------------------------------------
 
--- a/src/ryewing/settings.py
+++ b/src/ryewing/settings.py
@@ -9,6 +9,8 @@
 
 import msgspec
 
+from .wire import UNREADABLE
+
 Address = tuple[str, int]
 
 
@@ -242,7 +244,7 @@
         raw = msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+    except UNREADABLE as error:
         raise SettingsError(f"{path}: not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise SettingsError(f"{path}: not an object")
--- a/src/ryewing/store.py
+++ b/src/ryewing/store.py
@@ -17,7 +17,15 @@
 from .settings import Address, StateLimits
 from .transport import HttpClient, Reply, UnreachableError
 from .units import KeyVersion, Revision
-from .wire import ChangeLog, Entry, EntryPage, LeaseGranted, TxnAnswer
+from .wire import (
+    ChangeLog,
+    Entry,
+    EntryPage,
+    LeaseGranted,
+    MalformedError,
+    TxnAnswer,
+    decode,
+)
 
 log = logging.getLogger("ryewing.store")
 
@@ -214,10 +222,7 @@
             raise RejectedError(f"400: {reply.body[:200]!r}")
         if reply.status not in (200, 409):
             raise StoreUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
-        try:
-            answer = msgspec.json.decode(reply.body, type=TxnAnswer)
-        except msgspec.DecodeError as error:
-            raise StoreUnavailableError(f"unreadable answer: {error}") from None
+        answer = _decode_body(reply, TxnAnswer)
         return TxnResult(reply.status == 200, Revision(answer.revision), frozenset(answer.failed))
 
     def grant(self, ttl_s: float) -> int:
@@ -260,8 +265,8 @@
     One value that can't be read must not end a term or a process: the next one would meet it too.
     """
     try:
-        return msgspec.json.decode(data, type=kind)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        return decode(data, kind)
+    except MalformedError as error:
         log.error("event=unreadable key=%s error=%s", key, error)
         return None
 
@@ -269,7 +274,12 @@
 def _decode(reply: Reply, kind: type[T]) -> T:
     if reply.status != 200:
         raise StoreUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
+    return _decode_body(reply, kind)
+
+
+def _decode_body(reply: Reply, kind: type[T]) -> T:
     try:
-        return msgspec.json.decode(reply.body, type=kind)
-    except msgspec.DecodeError as error:
+        return decode(reply.body, kind)
+    except MalformedError as error:
+        log.warning("event=unreadable-answer from=store error=%s", error)
         raise StoreUnavailableError(f"unreadable answer: {error}") from None
--- a/src/ryewing/wire.py
+++ b/src/ryewing/wire.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import math
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
@@ -265,7 +265,7 @@
 class TxnAnswer(msgspec.Struct, rename={"revision": "epoch"}):
     """The answer of a transaction."""
 
-    revision: int = 0
+    revision: int
     failed: list[str] = []
 
 
@@ -275,6 +275,11 @@
     lease: int
 
 
+UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+"""What decoding raises. Deep nesting is a RecursionError: found by a table, where one answer of the
+store ended the process."""
+
+
 class MalformedError(ValueError):
     """A body that no retry can make right."""
 
@@ -290,6 +295,17 @@
     spot: bool | msgspec.UnsetType = msgspec.UNSET
 
 
+T = TypeVar("T")
+
+
+def decode(data: bytes | msgspec.Raw, kind: type[T]) -> T:
+    """Decode JSON from outside, or raise MalformedError whatever is wrong with it."""
+    try:
+        return msgspec.json.decode(data, type=kind)
+    except UNREADABLE as error:
+        raise MalformedError(str(error)) from None
+
+
 _job_spec_decoder = msgspec.json.Decoder(JobSpec)
 _required_flags_decoder = msgspec.json.Decoder(_RequiredFlags)
 _report_decoder = msgspec.json.Decoder(Report)
@@ -299,7 +315,7 @@
     """Decode a JSON object, or raise MalformedError."""
     try:
         value = msgspec.json.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+    except UNREADABLE as error:
         raise MalformedError(f"not JSON: {error}") from None
     if not isinstance(value, dict):
         raise MalformedError("not an object")
@@ -311,7 +327,7 @@
     try:
         spec = _job_spec_decoder.decode(body)
         flags = _required_flags_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+    except UNREADABLE as error:
         raise MalformedError(str(error)) from None
     for field in msgspec.structs.fields(flags):
         if getattr(flags, field.name) is msgspec.UNSET:
@@ -353,5 +369,5 @@
     """Decode a worker's message, or raise MalformedError."""
     try:
         return _report_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+    except UNREADABLE as error:
         raise MalformedError(str(error)) from None
