--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,4 +1,4 @@
-"""The users' interface against a stand-in store: what is answered when, and never otherwise."""
+"""The users' interface against a fake store: what is answered when, and never otherwise."""
 
 from __future__ import annotations
 
@@ -8,98 +8,14 @@
 
 import msgspec
 import pytest
-from fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
+from api_client import Client, FakeLeader
+from fakes import submission
 
-from ryewing.api import Api, Finals
 from ryewing.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
-from ryewing.jobs import JobRecord, final_key, live_key
-from ryewing.store import Put
 from ryewing.units import JobId
 from ryewing.wire import JobStatus
 
 
-class FakeLeader:
-    """A leader that knows some jobs' states."""
-
-    def __init__(self) -> None:
-        self.states: dict[str, JobStatus] = {}
-
-    def poll(self, job: JobId) -> JobStatus | None:
-        return self.states.get(job)
-
-    def on_report(self, _report: Any) -> None:
-        return None
-
-
-class FakeNode:
-    """What the interface needs of a node."""
-
-    def __init__(self) -> None:
-        self.store = FakeStore()
-        self.policy = policy()
-        self.finals = Finals(kept=3)
-        self.leader: FakeLeader | None = None
-        self.teams = {team.name: team for team in settings().params.teams}
-        self.machine_types = {"c32": CPU, "g4": GPU}
-        self.leader_knows = True
-        self.is_full = False
-        self.follows: str | None = "n-1"
-        self.remote: dict[str, JobStatus] = {}
-
-    def healthy(self) -> bool:
-        return True
-
-    def known_machine_types(self) -> dict[str, Any]:
-        return self.machine_types
-
-    def query_leader(self, job: JobId) -> JobStatus | None:
-        return self.remote.get(job)
-
-    def announce_cancel(self, _job: JobId) -> bool:
-        return self.leader_knows
-
-    def foreign_leader(self) -> str | None:
-        return self.follows
-
-    def full(self) -> bool:
-        return self.is_full
-
-
-class Client:
-    """Calls the interface as WSGI."""
-
-    def __init__(self) -> None:
-        self.node = FakeNode()
-        self.api = Api(self.node)  # type: ignore[arg-type]
-        self.headers: dict[str, str] = {}
-
-    def __call__(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        seen: list[str] = []
-
-        def start(status: str, headers: list[tuple[str, str]]) -> None:
-            seen.append(status)
-            self.headers = dict(headers)
-
-        environ = {
-            "REQUEST_METHOD": method,
-            "PATH_INFO": path,
-            "wsgi.input": io.BytesIO(body),
-        }
-        answer = b"".join(self.api(environ, start))
-        return int(seen[0].split()[0]), msgspec.json.decode(answer)
-
-    def submit(self, **changes: Any) -> tuple[int, Any]:
-        body = {**submission(), **protocol_keys(changes)}
-        return self("POST", "/v2/runs", msgspec.json.encode(body))
-
-    def live(self, ref: str = "run-1", cancelled: bool = False) -> None:
-        record = JobRecord(job_spec(ref), 0.0, cancelled)
-        self.node.store.txn({}, [Put(live_key(JobId(ref)), record)])
-
-    def final(self, ref: str, status: str) -> None:
-        self.node.store.txn({}, [Put(final_key(JobId(ref)), {"status": status})])
-
-
 @pytest.fixture
 def client() -> Client:
     return Client()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,9 +7,9 @@
 
 import msgspec
 import pytest
+from api_client import Client
 from fakes import CPU, FakeStore, job_spec, settings
 from harness import LeaderHarness
-from test_api import Client
 
 from ryewing import catalogue
 from ryewing.jobs import DONE_PREFIX, JobRecord, final_key, live_key
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 import pytest
+from api_client import Client
 from fakes import CPU, job, job_spec, policy
 from harness import LeaderHarness, starts, verbs
 from placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
 from services import SERVICE, replicas, serve
-from test_api import Client
 
 from ryewing import placement, queueing
 from ryewing.capacity import MachineCapacity, Quota
--- a/tests/test_unreadable.py
+++ b/tests/test_unreadable.py
@@ -9,9 +9,9 @@
 import gevent
 import msgspec
 import pytest
+from api_client import Client
 from fakes import FakeStore, policy, settings, submission
 from gevent import socket
-from test_api import Client
 
 from ryewing.cloud import Cloud, CloudUnavailableError
 from ryewing.jobs import live_key
