--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A leader with stand-ins round it, driven step by step by a clock that the test moves."""
+"""A leader with fakes round it, driven step by step by a clock that the test moves."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class DirectWorkers:
-    """Direct commands to stand-in workers."""
+    """Direct commands to fake workers."""
 
     def __init__(self, workers: dict[str, FakeWorker]) -> None:
         self.workers = workers
@@ -36,7 +36,7 @@
 
 
 class LeaderHarness:
-    """A leader with stand-ins round it, driven step by step."""
+    """A leader with fakes round it, driven step by step."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader against stand-ins: each argument of docs/design.md has a case that needs its guard."""
+"""The leader against fakes: each argument of docs/design.md has a case that needs its guard."""
 
 from __future__ import annotations
 
