--- a/tests/harness.py
+++ b/tests/harness.py
@@ -132,6 +132,12 @@
         self.ready(worker)
         return worker
 
+    def ready_workers(self, count: int) -> list[FakeWorker]:
+        """Several workers to which tasks may be given, heard together."""
+        workers = [self.worker(f"i-{number:06d}") for number in range(count)]
+        self.ready(*workers)
+        return workers
+
     def begin(self, worker: FakeWorker, *names: str, **changes: Any) -> JobId:
         """Accept a job and let the worker fetch its starts."""
         job = self.accept(*names, **changes)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -16,13 +16,6 @@
 from ryewing.units import JobId, MachineId
 
 
-def workers_of(harness: LeaderHarness, count: int) -> list[FakeWorker]:
-    """Workers to which tasks may be given."""
-    workers = [harness.worker(f"i-{number:06d}") for number in range(count)]
-    harness.ready(*workers)
-    return workers
-
-
 def live_job(harness: LeaderHarness, ref: str, **changes: object) -> Job:
     """A job that was accepted."""
     found = harness.leader.ctx.job_table.get(harness.accept(ref, **changes))
@@ -58,7 +51,7 @@
 ) -> None:
     """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
     caplog.set_level(logging.INFO, logger="ryewing.failures")
-    workers = workers_of(harness, 5)
+    workers = harness.ready_workers(5)
     job = failed_job(harness, workers)
     assert job.backoff_s == BACKOFF_MIN_S
     lines = [record.getMessage() for record in caplog.records]
@@ -68,7 +61,7 @@
 
 
 def test_what_was_not_sent_yet_need_not_fail_as_well(harness: LeaderHarness) -> None:
-    workers = workers_of(harness, 4)
+    workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=100)
     harness.place()
     fail_all(harness, workers[:3])
@@ -79,7 +72,7 @@
 
 def test_one_probe_at_a_time_and_a_step_for_each(harness: LeaderHarness) -> None:
     """A task was placed in every pass until the first of them had failed."""
-    workers = workers_of(harness, 4)
+    workers = harness.ready_workers(4)
     job = failed_job(harness, workers)
     seen = [job.backoff_s]
     for _ in range(7):
@@ -99,7 +92,7 @@
 @pytest.mark.parametrize("ends", [True, False])
 def test_a_probe_that_does_well_widens_the_job(harness: LeaderHarness, ends: bool) -> None:
     """It ends with success, or runs for longer than what fails at its start."""
-    workers = workers_of(harness, 3)
+    workers = harness.ready_workers(3)
     job = failed_job(harness, workers)
     harness.later(job.backoff_s + 0.1)
     for worker in workers:
@@ -123,7 +116,7 @@
 
 def test_a_machine_that_has_recovered_is_used_again(harness: LeaderHarness) -> None:
     """A job that had failed on every machine, and finished tasks on each, waited for ever."""
-    workers = workers_of(harness, 2)
+    workers = harness.ready_workers(2)
     job = live_job(harness, "run-1", task_count=60)
     job.finish(59)
     harness.leader.ctx.job_table.touch(job)
@@ -144,7 +137,7 @@
 
 def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
     """A sound job that met several faulty machines finds out sooner."""
-    workers = workers_of(harness, 4)
+    workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=60)
     harness.place()
     fail_all(harness, workers[:3])
@@ -159,7 +152,7 @@
 
 
 def test_a_sound_job_that_meets_one_faulty_machine_goes_on(harness: LeaderHarness) -> None:
-    workers = workers_of(harness, 4)
+    workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=60)
     harness.place()
     fail_all(harness, workers[:1])
@@ -176,7 +169,7 @@
     harness: LeaderHarness, sound: bool
 ) -> None:
     """Found in inc-f5fb: a new leader set eleven sound machines aside within two seconds."""
-    workers = workers_of(harness, 9)
+    workers = harness.ready_workers(9)
     jobs = [live_job(harness, f"run-{n}", task_count=24, cpus=1.0) for n in (1, 2)]
     harness.place()
     for worker in workers * 2:
@@ -195,7 +188,7 @@
 def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(
     harness: LeaderHarness,
 ) -> None:
-    workers = workers_of(harness, 2)
+    workers = harness.ready_workers(2)
     job = live_job(harness, "run-1", task_count=8)
     harness.place()
     fail_all(harness, workers[:1])
@@ -207,7 +200,7 @@
 
 def test_a_successor_is_told_which_jobs_fail_everywhere(harness: LeaderHarness) -> None:
     """Found in replays: each new leader let a whole batch of such jobs fail once more."""
-    workers = workers_of(harness, 4)
+    workers = harness.ready_workers(4)
     job = failed_job(harness, workers)
     sound = live_job(harness, "run-2", task_count=2)
     sound.finish(0)
@@ -239,8 +232,7 @@
 
 
 def test_a_job_that_fails_everywhere_backs_off(harness: LeaderHarness) -> None:
-    workers = [harness.worker(f"i-{n:06d}") for n in range(3)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(3)
     job = harness.accept(task_count=24)
     harness.place()
     for worker in workers * 2:
@@ -271,8 +263,7 @@
     harness: LeaderHarness, faulty: int, others: int, at_fault: bool
 ) -> None:
     """Among hundreds of machines it met three at once, and cleared each of its fault."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(faulty + others)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(faulty + others)
     found = harness.leader.ctx.job_table.get(harness.accept(task_count=8 * len(workers)))
     harness.place()
     for worker in workers * 2:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -237,8 +237,7 @@
     harness: LeaderHarness,
 ) -> None:
     """Played: after the fall no finish was written any more, since each write was refused."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(120)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(120)
     jobs = [harness.accept(f"run-{n}", task_count=40, cpus=1.0, memory_gb=1.0) for n in range(60)]
     harness.place()
     for worker in workers * 2:
@@ -296,8 +295,7 @@
 @pytest.mark.parametrize("limits", [{"txn_ops": 3}, {"value_kb": 1.0}, {"txn_ops": 2}])
 def test_limits_that_fell_unannounced_are_found_out(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
-    workers = [harness.worker(f"i-{n:06d}") for n in range(40)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(40)
     harness.narrow(**limits)
     jobs = [harness.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
     harness.place()
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -131,8 +131,7 @@
     harness: LeaderHarness, machines: int, silent: int, given_up: int
 ) -> None:
     """Many silent at once may mean that the fault is here: nothing is released in haste."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(machines)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
@@ -148,8 +147,7 @@
     harness: LeaderHarness,
 ) -> None:
     """Found in inc-08d3: those never heard since a take-over were waited for like booting ones."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(6)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(6)
     harness.new_leader(6)
     for worker in workers[4:] * 2:
         harness.exchange(worker)
@@ -167,8 +165,7 @@
 
 def test_machines_falling_silent_one_after_another_are_not_released(harness: LeaderHarness) -> None:
     """Found on a day of our own: the first of many to fall silent looked like few."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(9)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(9)
     for worker in workers[3:]:
         harness.later(0.3)
         harness.exchange(worker)
@@ -178,8 +175,7 @@
 
 def test_asking_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
     """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(100)]
-    harness.ready(*workers)
+    harness.ready_workers(100)
     del harness.leader.dispatch.send_soon
     spawned: list[object] = []
     harness.leader.dispatch._senders.spawn = lambda *args: spawned.append(args)
@@ -193,8 +189,7 @@
 def test_a_leader_that_hears_hardly_any_worker_resigns(
     harness: LeaderHarness, silent: int, cut: bool
 ) -> None:
-    workers = [harness.worker(f"i-{n:06d}") for n in range(9)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(9)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
@@ -211,7 +206,7 @@
 def silent_fleet(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """Nine machines that were heard, and a leader that watches over them."""
     monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
-    harness.ready(*(harness.worker(f"i-{n:06d}") for n in range(9)))
+    harness.ready_workers(9)
     harness.leader.tend_once()
 
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -110,8 +110,7 @@
 def test_one_that_ends_at_once_everywhere_is_backed_off_and_tried_again(
     harness: LeaderHarness,
 ) -> None:
-    workers = [harness.worker(f"i-{n:06d}") for n in range(8)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(8)
     name = harness.accept(**SERVICE, task_count=6)
     service = harness.leader.ctx.job_table.jobs[name]
     begun = 0
@@ -145,8 +144,7 @@
 
 def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
     """It has finished nothing, ever: judged by that, three bad machines backed it off."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(6)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(6)
     name = serve(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.ctx.job_table.jobs[name]
     assert len(set(service.live.values())) == 6
@@ -329,8 +327,7 @@
 
 
 def test_a_cancelled_service_ends_everywhere(harness: LeaderHarness) -> None:
-    workers = [harness.worker(f"i-{n:06d}") for n in range(3)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(3)
     name = serve(harness, *workers, task_count=3)
     assert harness.leader.take_cancel(name)
     for worker in workers * 2:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -273,8 +273,7 @@
     harness: LeaderHarness, size: int
 ) -> None:
     """After each write every machine with an ended task was sent a message of its own."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(size)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(size)
     harness.accept(task_count=size * 16)
     harness.place()
     for worker in workers * 2:
@@ -291,8 +290,7 @@
 
 def test_no_more_machines_count_as_gone_than_one_request_releases(harness: LeaderHarness) -> None:
     """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(250)]
-    harness.ready(*workers)
+    harness.ready_workers(250)
     machines = list(harness.leader.ctx.cluster.machines.values())
     harness.leader.renter.release([(machine, "silent") for machine in machines])
     assert len(harness.cloud.released) == RELEASE_MAX
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -91,8 +91,7 @@
     harness: LeaderHarness, deaf: int, given_up: int
 ) -> None:
     """Many at once may mean that it is our answers that are lost."""
-    workers = [harness.worker(f"i-{n:06d}") for n in range(9)]
-    harness.ready(*workers)
+    workers = harness.ready_workers(9)
     harness.accept(task_count=72)
     harness.place()
     for _ in range(int(LEASE_S / REPORT_S) + 4):
