--- a/src/ryewing/api.py
+++ b/src/ryewing/api.py
@@ -29,9 +29,18 @@
     live_key,
     read_record,
 )
-from .store import Put, Rejected, StoreDown, Throttled, readable
+from .store import Put, RejectedError, StoreUnavailableError, ThrottledError, readable
 from .units import JobId, KeyVersion, Steady, is_job_id, steady_now, wall_now
-from .wire import BODY_LIMIT, Entry, JobStatus, Malformed, read_job_spec, read_object, read_report
+from .wire import (
+    BODY_LIMIT,
+    Entry,
+    JobStatus,
+    MachineType,
+    MalformedError,
+    read_job_spec,
+    read_object,
+    read_report,
+)
 
 if TYPE_CHECKING:
     from .node import Node
@@ -48,16 +57,25 @@
 _RUN_PATH = re.compile(r"/v2/runs/([^/]+)(/cancel)?")
 
 
-class Response(Exception):
-    """An answer, also usable to leave a handler early."""
+class Response:
+    """What a request is answered with."""
+
+    __slots__ = ("body", "headers", "status")
 
     def __init__(self, status: int, body: object, headers: Headers | None = None) -> None:
-        super().__init__(status)
         self.status = status
         self.body = msgspec.json.encode(body)
         self.headers = headers or []
 
 
+class RefusedError(Exception):
+    """Leaves a handler early, with the response that says why."""
+
+    def __init__(self, response: Response) -> None:
+        super().__init__(response.status)
+        self.response = response
+
+
 class Finals:
     """Final states that were seen, which never change; bounded."""
 
@@ -89,8 +107,8 @@
         """Answer one request (WSGI)."""
         try:
             response = self._route(environ)
-        except Response as early:
-            response = early
+        except RefusedError as refused:
+            response = refused.response
         except Exception:
             log.exception("event=request-failed path=%s", environ.get("PATH_INFO"))
             response = self._busy("internal error")
@@ -137,7 +155,7 @@
     def _report(self, body: bytes) -> Response:
         try:
             report = read_report(body)
-        except Malformed as error:
+        except MalformedError as error:
             return Response(400, {"error": str(error)})
         leader = self._node.leader
         if leader is not None:
@@ -154,7 +172,7 @@
     def _submit(self, body: bytes) -> Response:
         try:
             ref = read_object(body).get("ref")
-        except Malformed as error:
+        except MalformedError as error:
             return Response(400, {"error": str(error)})
         if not is_job_id(ref):
             return Response(400, {"error": "ref: not a job id"})
@@ -162,30 +180,18 @@
         known = self._from_memory(job)
         if known is not None:
             return Response(200, known)
-        node = self._node
-        refusal: Response | None = None
         try:
             spec = read_job_spec(body)
-        except Malformed as error:
+        except MalformedError as error:
             log.info("event=refused job=%s status=400 why=%r", job, str(error))
-            refusal = Response(400, {"error": str(error)})
-        else:
-            machine_types = node.known_machine_types()
-            if not machine_types:
-                return self._busy("the machine types are not known yet")
-            why = impossible(spec, machine_types, node.teams)
-            if why is not None:
-                refusal = Response(422, {"error": why})
-            elif node.full():
-                refusal = self._busy("too many unfinished jobs", FULL_RETRY_S)
-            else:
-                if spec.machine_types is not None:
-                    spec.machine_types = [
-                        name for name in spec.machine_types if name in machine_types
-                    ]
-                record = JobRecord(spec, wall_now())
-                if kept_bytes(record) > node.store.limits.value_kb * 1024:
-                    refusal = Response(400, {"error": TOO_LARGE})
+            return self._unless_known(job, Response(400, {"error": str(error)}))
+        machine_types = self._node.known_machine_types()
+        if not machine_types:
+            return self._busy("the machine types are not known yet")
+        if spec.machine_types is not None:
+            spec.machine_types = [name for name in spec.machine_types if name in machine_types]
+        record = JobRecord(spec, wall_now())
+        refusal = self._refusal(record, machine_types)
         if refusal is not None:
             return self._unless_known(job, refusal)
         if self._submits >= SUBMITS_AT_ONCE:
@@ -196,6 +202,18 @@
         finally:
             self._submits -= 1
 
+    def _refusal(self, record: JobRecord, machine_types: dict[str, MachineType]) -> Response | None:
+        """Say why a job can't be taken, now or ever."""
+        node = self._node
+        why = impossible(record.spec, machine_types, node.teams)
+        if why is not None:
+            return Response(422, {"error": why})
+        if node.full():
+            return self._busy("too many unfinished jobs", FULL_RETRY_S)
+        if kept_bytes(record) > node.store.limits.value_kb * 1024:
+            return Response(400, {"error": TOO_LARGE})
+        return None
+
     def _unless_known(self, job: JobId, refusal: Response) -> Response:
         """Refuse a submission, unless the job was accepted before.
 
@@ -214,15 +232,15 @@
             try:
                 result = self._node.store.txn(conditions, writes)
                 break
-            except Throttled:
+            except ThrottledError:
                 if steady_now() >= until:
                     return self._busy("the state service is busy")
                 gevent.sleep(0.08)
-            except Rejected as error:
+            except RejectedError as error:
                 # The store takes less than the settings say: asking again won't help.
                 log.error("event=accept-rejected job=%s error=%s", job, error)
                 return self._unless_known(job, Response(400, {"error": TOO_LARGE}))
-            except StoreDown as error:
+            except StoreUnavailableError as error:
                 log.debug("event=accept-failed job=%s error=%s", job, error)
                 return self._busy("the state service can't be reached")
         if result.ok:
@@ -274,8 +292,8 @@
                 return self._cancelled(job) if record.cancelled else JobStatus(job, "queued")
             # In this order: a job moves from one key to the other, never back.
             final = self._read(final_key(job))
-        except StoreDown:
-            raise self._busy("the state service can't be reached") from None
+        except StoreUnavailableError:
+            raise RefusedError(self._busy("the state service can't be reached")) from None
         if final is None:
             return None
         status = self._readable(readable(final.data, FinalRecord, final.key)).status
@@ -292,19 +310,19 @@
         Leaves with 503 if the leader can't be known to know.
         """
         if not self._node.announce_cancel(job):
-            raise self._busy("the cancel is written but the leader has not heard it")
+            raise RefusedError(self._busy("the cancel is written but the leader has not heard it"))
         self._node.finals.put(job, CANCELLED)
         return JobStatus(job, CANCELLED)
 
     def _readable(self, record: T | None) -> T:
         """Leave with 503 if what the store has can't be read: the job may be known to others."""
         if record is None:
-            raise self._busy("the record can't be read")
+            raise RefusedError(self._busy("the record can't be read"))
         return record
 
     def _read(self, key: str) -> Entry | None:
         if self._reads >= STORE_READS_AT_ONCE:
-            raise self._busy("too many requests at once")
+            raise RefusedError(self._busy("too many requests at once"))
         self._reads += 1
         try:
             return self._node.store.get(key)
@@ -335,7 +353,7 @@
                         result = self._node.store.txn(
                             {write.key: KeyVersion(entry.key_version)}, [write]
                         )
-                    except Rejected as error:
+                    except RejectedError as error:
                         # The store takes less than the settings say.
                         log.error("event=cancel-rejected job=%s error=%s", job, error)
                         write.value = record = cancel_mark(record, wall_now(), 0)
@@ -346,14 +364,14 @@
                         continue
                     log.info("event=cancel-accepted job=%s", job)
                 return Response(200, self._cancelled(job))
-            except StoreDown:
+            except StoreUnavailableError:
                 return self._busy("the state service can't be reached")
         return self._busy("changed just now")
 
 
 def _only(method: str, allowed: str) -> None:
     if method != allowed:
-        raise Response(405, {"error": f"use {allowed}"}, [("Allow", allowed)])
+        raise RefusedError(Response(405, {"error": f"use {allowed}"}, [("Allow", allowed)]))
 
 
 def _body(environ: dict[str, Any]) -> bytes:
@@ -362,7 +380,9 @@
         with gevent.Timeout(BODY_S, TimeoutError("body")):
             body: bytes = stream.read(BODY_LIMIT + 1)
     except TimeoutError:
-        raise Response(400, {"error": "the body did not come"}, [("Connection", "close")]) from None
+        late = Response(400, {"error": "the body did not come"}, [("Connection", "close")])
+        raise RefusedError(late) from None
     if len(body) > BODY_LIMIT:
-        raise Response(413, {"error": "body above 64 KiB"}, [("Connection", "close")])
+        large = Response(413, {"error": "body above 64 KiB"}, [("Connection", "close")])
+        raise RefusedError(large)
     return body
--- a/src/ryewing/catalogue.py
+++ b/src/ryewing/catalogue.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .store import Put, Rejected, Remove, Store, readable
+from .store import Put, RejectedError, Remove, Store, readable
 from .units import KeyVersion
 from .wire import MachineType, MachineTypeList
 
@@ -37,7 +37,7 @@
     try:
         store.txn(fence, [Put(KEY, MachineTypeList(machine_types))])
         parts = [machine_types]
-    except Rejected as error:
+    except RejectedError as error:
         parts = part(machine_types, store.limits.value_kb * 1024)
         log.info("event=types-parted values=%d why=%s", len(parts), error)
         # The first comes last: until then, what was there before is there still.
--- a/src/ryewing/cli.py
+++ b/src/ryewing/cli.py
@@ -9,7 +9,7 @@
 
 from . import __version__
 from . import policy as policies
-from .settings import BadSettings, Settings
+from .settings import Settings, SettingsError
 from .settings import load as load_settings
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -62,7 +62,7 @@
         top.error("give --config FILE to run a controller, or a command")
     try:
         settings, policy = _load(path, arguments.policy)
-    except (BadSettings, policies.BadPolicy) as error:
+    except (SettingsError, policies.PolicyError) as error:
         print(f"ryewing: {error}", file=sys.stderr)
         return 1
     if arguments.command == "check":
--- a/src/ryewing/cloud.py
+++ b/src/ryewing/cloud.py
@@ -9,7 +9,7 @@
 
 from .budget import Budget
 from .settings import Address, CloudLimits
-from .transport import HttpClient, Reply, Unreachable
+from .transport import HttpClient, Reply, UnreachableError
 from .units import MachineId
 from .wire import (
     ListedMachine,
@@ -26,11 +26,11 @@
 T = TypeVar("T")
 
 
-class CloudDown(Exception):
+class CloudUnavailableError(Exception):
     """The cloud did not answer, or would not now; a request may still be executed."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None of this type, zone and kind can be had."""
 
 
@@ -44,18 +44,18 @@
 
     def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
         if not self.budget.take():
-            raise CloudDown("own budget is used up")
+            raise CloudUnavailableError("own budget is used up")
         try:
             reply = self._http.request(method, path, body, DEADLINE_S)
-        except Unreachable as error:
-            raise CloudDown(str(error)) from None
+        except UnreachableError as error:
+            raise CloudUnavailableError(str(error)) from None
         if reply.status == 429:
             self.budget.drain()
-            raise CloudDown("429")
+            raise CloudUnavailableError("429")
         if reply.status == 503 and b"no capacity" in reply.body:
-            raise NoCapacity
+            raise NoCapacityError
         if reply.status != 200:
-            raise CloudDown(f"{reply.status}: {reply.body[:200]!r}")
+            raise CloudUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
         return reply
 
     def machine_types(self) -> list[MachineType]:
@@ -88,4 +88,4 @@
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.DecodeError as error:
-        raise CloudDown(f"unreadable answer: {error}") from None
+        raise CloudUnavailableError(f"unreadable answer: {error}") from None
--- a/src/ryewing/cluster_state.py
+++ b/src/ryewing/cluster_state.py
@@ -280,14 +280,7 @@
         if version <= machine.version or report.session <= machine.expired_session:
             return False
         if report.session > machine.version.session and machine.version != NEVER_HEARD:
-            # A new session: the worker has killed and forgotten everything, and it drops
-            # responses to reports of the earlier one.
-            for assignment in list(machine.assignments.values()):
-                if assignment.phase != PLANNED:
-                    self.drop(assignment, now)
-            self.require_acknowledgement(machine, "new-session", now)
-            machine.last_reported.clear()
-            machine.ended.clear()
+            self._begin_session(machine, now)
         machine.version = version
         machine.heard_at = now
         if report.address:
@@ -296,17 +289,31 @@
             machine.noticed_at = now
         machine.notice_s = report.notice_s
         self._apply_tasks(machine, report, now)
-        for assignment in [h for h in machine.assignments.values() if h.phase == SENT]:
-            # Not shown, or it would have another phase. Settled by a later report only.
-            if as_report and assignment.sent_after is not None and version > assignment.sent_after:
-                self.drop(assignment, now)
-                self.require_acknowledgement(machine, "start-lost", now)
+        if as_report:
+            self._settle_starts(machine, now)
         if machine.acknowledges:
             machine.unacknowledged_since = None
         elif machine.unacknowledged_since is None:
             machine.unacknowledged_since = now
         return True
 
+    def _begin_session(self, machine: Machine, now: Steady) -> None:
+        """The worker has killed and forgotten everything, and it drops responses to reports of the
+        earlier session."""
+        for assignment in list(machine.assignments.values()):
+            if assignment.phase != PLANNED:
+                self.drop(assignment, now)
+        self.require_acknowledgement(machine, "new-session", now)
+        machine.last_reported.clear()
+        machine.ended.clear()
+
+    def _settle_starts(self, machine: Machine, now: Steady) -> None:
+        """Drop starts that a later report does not show: shown, they would have another phase."""
+        for assignment in [a for a in machine.assignments.values() if a.phase == SENT]:
+            if assignment.sent_after is not None and machine.version > assignment.sent_after:
+                self.drop(assignment, now)
+                self.require_acknowledgement(machine, "start-lost", now)
+
     def require_acknowledgement(self, machine: Machine, why: str, now: Steady) -> None:
         """Something we told a worker has not reached it: no more work until it shows a new token.
 
--- a/src/ryewing/dispatch.py
+++ b/src/ryewing/dispatch.py
@@ -26,7 +26,7 @@
     token_of,
 )
 from .wire import Command, Report, ReportAnswer
-from .workers import Workers, WorkerSilent
+from .workers import Workers, WorkerUnavailableError
 from .writer import Writer
 
 log = logging.getLogger("ryewing.dispatch")
@@ -257,7 +257,7 @@
                 if report.session == session:
                     return
                 session = report.session  # the session had changed: nothing was executed
-        except WorkerSilent as error:
+        except WorkerUnavailableError as error:
             log.debug("event=worker-silent machine=%s error=%s", machine.id, error)
         finally:
             self._sending.discard(machine.id)
--- a/src/ryewing/http_server.py
+++ b/src/ryewing/http_server.py
@@ -38,7 +38,7 @@
 }
 
 
-class _BodyTooLarge(ValueError):
+class _BodyTooLargeError(ValueError):
     """The request says that its body is above the limit."""
 
 
@@ -110,7 +110,7 @@
     def read_request(self, raw_requestline: str) -> Any:
         result = super().read_request(raw_requestline)
         if self.content_length is not None and self.content_length > BODY_LIMIT:
-            raise _BodyTooLarge
+            raise _BodyTooLargeError
         return result
 
     def _write_with_headers(self, data: bytes) -> None:
@@ -127,7 +127,7 @@
             self._gathered += data
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
-        if isinstance(ex, _BodyTooLarge):
+        if isinstance(ex, _BodyTooLargeError):
             status, body = STATUS_LINES[413], b'{"error":"body above 64 KiB"}'
         else:
             status, body = STATUS_LINES[400], b'{"error":"malformed request"}'
--- a/src/ryewing/intake.py
+++ b/src/ryewing/intake.py
@@ -9,7 +9,7 @@
 
 from .dispatch import Dispatch
 from .jobs import LIVE_PREFIX, Job, JobRecord, read_record
-from .store import Compacted, StoreDown
+from .store import StoreUnavailableError, WatchExpiredError
 from .term import TermContext
 from .units import JobId, KeyVersion, Revision, Steady, steady_now
 from .wire import JobStatus
@@ -82,9 +82,9 @@
         while True:
             try:
                 self.watch_once()
-            except Compacted:
+            except WatchExpiredError:
                 self._reread()
-            except StoreDown:
+            except StoreUnavailableError:
                 gevent.sleep(0.3)
 
     def watch_once(self) -> None:
@@ -138,7 +138,7 @@
             try:
                 entries, revision = self.ctx.store.listing(LIVE_PREFIX)
                 break
-            except StoreDown:
+            except StoreUnavailableError:
                 gevent.sleep(0.3)
         there = set()
         for entry in entries:
--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader.py
@@ -15,20 +15,19 @@
 import msgspec
 
 from .dispatch import Dispatch
-from .failures import BACKOFF_MAX_S, BACKOFF_MIN_S
 from .intake import Intake
-from .jobs import DONE_PREFIX, LIVE_PREFIX, read_record
 from .leadership import Leadership
 from .mesh import ImageHint
 from .placer import Placer
 from .policy import Policy
-from .renter import REQUEST_PREFIX, Renter
+from .recovery import Recovery
+from .renter import Renter
 from .settings import Settings
-from .store import LeaseLost, Store, StoreDown, readable
+from .store import LeaseLostError, Store, StoreUnavailableError
 from .term import TermContext
-from .units import DRIFT, JobId, KeyVersion, MachineId, Steady, Term, Zone, steady_now
-from .wire import JobStatus, MachineType, RentalRequest, Report, ReportAnswer
-from .writer import MACHINE_PREFIX, MachineRecord, Writer
+from .units import JobId, KeyVersion, Steady, Term, steady_now
+from .wire import JobStatus, MachineType, Report, ReportAnswer
+from .writer import Writer
 
 log = logging.getLogger("ryewing.leader")
 
@@ -139,10 +138,10 @@
         sent_at = steady_now()
         try:
             self.ctx.store.renew(self.ctx.leadership.lease, self.ctx.policy.store_lease_s / 3)
-        except LeaseLost:
+        except LeaseLostError:
             self.ctx.lose("lease")
             return True
-        except StoreDown as error:
+        except StoreUnavailableError as error:
             log.debug("event=renew-failed error=%s", error)
             return False
         if self.ctx.authority.expired_session(sent_at):
@@ -162,7 +161,7 @@
         self.ctx.lose(why)
         try:
             self.ctx.store.resign(self.ctx.leadership.lease)
-        except StoreDown as error:
+        except StoreUnavailableError as error:
             log.debug("event=resign-failed error=%s", error)
 
     def _begin(self) -> None:
@@ -170,7 +169,7 @@
             try:
                 self._load()
                 break
-            except StoreDown as error:
+            except StoreUnavailableError as error:
                 log.info("event=load-failed term=%d error=%s", self.ctx.term, error)
                 gevent.sleep(0.2)
         log.info(
@@ -192,68 +191,7 @@
         self._spawn(self.renter.fleet_loop)
 
     def _load(self) -> None:
-        now = steady_now()
-        types = self.renter.load_types()
-        if types:
-            self.ctx.set_machine_types(types)
-        jobs, self.intake.revision = self.ctx.store.listing(LIVE_PREFIX)
-        for entry in jobs:
-            record = read_record(entry.data, entry.key)
-            if record is not None:
-                self.intake.put(record, KeyVersion(entry.key_version), inherited=True)
-        self.ctx.authority.follow(now)
-        finished, _ = self.ctx.store.listing(DONE_PREFIX)
-        finishes = self.writer.finishes
-        records, twice = finishes.load(finished)
-        for record_name, bits in records:
-            name, _, chunk = record_name.rpartition("/")
-            job = self.ctx.job_table.get(JobId(name))
-            text = readable(bits, str, record_name) if chunk.isdecimal() else None
-            if job is None or job.endless or text is None:
-                finishes.drop(record_name)
-            else:
-                job.load_chunk(int(chunk), text)
-                self.ctx.job_table.touch(job)
-        for record_name in twice:
-            name, _, chunk = record_name.rpartition("/")
-            job = self.ctx.job_table.get(JobId(name))
-            if job is not None and not job.endless and chunk.isdecimal():
-                finishes.put(record_name, job.chunk_text(int(chunk)))
-        # Whoever led before may have answered workers until its hold ended, and the last of
-        # these answers is good for one lease.
-        workers = self.ctx.settings.params.workers
-        until = Steady(now + (self.ctx.policy.hold_s + workers.lease_s) * (1 + 2 * DRIFT) + 1.0)
-        machines, _ = self.ctx.store.listing(MACHINE_PREFIX)
-        records, twice = self.writer.machines.load(machines)
-        for id_, raw in records:
-            kept = readable(raw, MachineRecord, MACHINE_PREFIX + id_)
-            if kept is None:
-                continue
-            machine = self.ctx.cluster.add(
-                MachineId(id_),
-                self.ctx.machine_type(kept.machine_type),
-                Zone(kept.zone),
-                kept.spot,
-                now,
-            )
-            machine.address = kept.address
-            if kept.heard:
-                machine.recorded = True
-                machine.may_hold_until = until
-        self.writer.to_record.update(MachineId(id_) for id_ in twice)
-        if self._hint is not None:
-            self.ctx.cluster.restore_images(self._hint.images, self._hint.machines)
-            # Without it each new leader let whole batches of such jobs fail once more.
-            for name, delay_s in self._hint.failing.items():
-                failing = self.ctx.job_table.get(JobId(name))
-                if failing is not None and not failing.done_count:
-                    failing.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
-                    failing.backoff_until = now
-        requests, _ = self.ctx.store.listing(REQUEST_PREFIX)
-        for entry in requests:
-            request = readable(entry.data, RentalRequest, entry.key)
-            if request is not None:
-                self.renter.pending_requests[request.id] = request
+        Recovery(self.ctx, self.intake, self.writer, self.renter, self._hint).load()
 
     def _tend_loop(self) -> None:
         """Leases that end, and stops that must be sent again."""
--- a/src/ryewing/leadership.py
+++ b/src/ryewing/leadership.py
@@ -12,7 +12,15 @@
 
 import msgspec
 
-from .store import LeaseLost, Put, Store, StoreDown, Throttled, TxnResult, readable
+from .store import (
+    LeaseLostError,
+    Put,
+    Store,
+    StoreUnavailableError,
+    ThrottledError,
+    TxnResult,
+    readable,
+)
 from .units import DRIFT, KeyVersion, NodeName, Revision, Steady, Term, steady_now
 
 HOLDER_KEY = "lead/holder"
@@ -113,7 +121,9 @@
         elif entry.key == TERM_KEY:
             record = readable(entry.data, TermRecord, entry.key)
             if record is None:
-                raise StoreDown("the term can't be read")  # a lower one would never be heeded
+                raise StoreUnavailableError(
+                    "the term can't be read"
+                )  # a lower one would never be heeded
             view.term = Term(record.term)
             view.term_key_version = KeyVersion(entry.key_version)
     return view
@@ -153,7 +163,7 @@
 def campaign(
     store: Store, view: View, node: NodeName, boot: str, lease_s: float, hold_s: float
 ) -> Leadership | None:
-    """Try to take over; None if somebody else was first. Raises StoreDown."""
+    """Try to take over; None if somebody else was first. Raises StoreUnavailableError."""
     sent_at = steady_now()
     lease = store.grant(lease_s)
     term = Term(view.term + 1)
@@ -163,7 +173,7 @@
         authority.confirm(sent_at)
         return Leadership(term, term_stamp, lease, authority)
 
-    unanswered: StoreDown | None = None
+    unanswered: StoreUnavailableError | None = None
     try:
         result = store.txn(
             {HOLDER_KEY: view.holder_key_version, TERM_KEY: view.term_key_version},
@@ -174,11 +184,11 @@
         )
         if result.ok:
             return won(KeyVersion(result.revision))
-    except LeaseLost:
+    except LeaseLostError:
         return None
-    except Throttled:
+    except ThrottledError:
         raise
-    except StoreDown as error:
+    except StoreUnavailableError as error:
         unanswered = error
     # It may have been carried out, its answer lost, and sent once more by way of a peer. Who holds
     # the lease without knowing leaves everybody without a leader until it has ended.
--- a/src/ryewing/mesh.py
+++ b/src/ryewing/mesh.py
@@ -103,7 +103,7 @@
 _response_decoder = msgspec.msgpack.Decoder(Response)
 
 
-class PeerSilent(Exception):
+class PeerUnavailableError(Exception):
     """No answer from the other controller."""
 
 
@@ -140,9 +140,9 @@
         """Asks that wait for their answer."""
 
     def request(self, ask: Request, deadline_s: float) -> Response:
-        """Ask, and wait for the answer; raise PeerSilent without one."""
+        """Ask, and wait for the answer; raise PeerUnavailableError without one."""
         if self.in_flight >= REQUESTS_AT_ONCE:
-            raise PeerSilent("too many asks under way")
+            raise PeerUnavailableError("too many asks under way")
         self.in_flight += 1
         try:
             return self._exchange(ask, deadline_s)
@@ -165,7 +165,7 @@
         except (OSError, EOFError, msgspec.DecodeError) as error:
             # The kept connections share the fate of this one: each would cost a deadline more.
             self._close_idle()
-            raise PeerSilent(f"{type(error).__name__}: {error}") from None
+            raise PeerUnavailableError(f"{type(error).__name__}: {error}") from None
         finally:
             if sock is not None and done and len(self._idle) < KEPT_CONNECTIONS:
                 self._idle.append(sock)
--- a/src/ryewing/node.py
+++ b/src/ryewing/node.py
@@ -33,7 +33,7 @@
     LoadQuery,
     MeshServer,
     Peer,
-    PeerSilent,
+    PeerUnavailableError,
     PollJob,
     RelayRequest,
     RelayResponse,
@@ -42,7 +42,7 @@
 )
 from .policy import Policy
 from .settings import Settings, parse_address
-from .store import Compacted, Store, StoreDown, readable
+from .store import Store, StoreUnavailableError, WatchExpiredError, readable
 from .transport import Reply
 from .units import JobId, NodeName, Revision, Steady, Term, steady_now
 from .wire import Entry, JobStatus, MachineType
@@ -110,7 +110,7 @@
         while True:
             try:
                 self._follow()
-            except StoreDown as error:
+            except StoreUnavailableError as error:
                 log.debug("event=store-down error=%s", error)
                 gevent.sleep(0.2 + 0.2 * self._rng.random())
 
@@ -139,7 +139,7 @@
                 continue
             try:
                 changes = self.store.watch(PREFIX, view.revision, WATCH_S)
-            except Compacted:
+            except WatchExpiredError:
                 return
             if changes.log:
                 view = read_view(self.store)
@@ -234,7 +234,7 @@
             self._machine_types_read_at = now
             try:
                 listed = catalogue.read(self.store)
-            except StoreDown:
+            except StoreUnavailableError:
                 listed = []
             if listed:
                 self._set_machine_types(
@@ -313,7 +313,7 @@
     def _request(self, peer: Peer, ask: Request) -> Response | None:
         try:
             return peer.request(ask, MESH_S)
-        except PeerSilent as error:
+        except PeerUnavailableError as error:
             log.debug("event=peer-silent error=%s", error)
             return None
 
@@ -362,6 +362,6 @@
             return RelayResponse(0)
         try:
             reply = self.store.raw(ask.method, ask.path, ask.body, 0.5)
-        except StoreDown:
+        except StoreUnavailableError:
             return RelayResponse(0)
         return RelayResponse(reply.status, reply.body)
--- a/src/ryewing/policy.py
+++ b/src/ryewing/policy.py
@@ -20,7 +20,7 @@
 _MEMORY_LIMIT = 8 * 1024 * 1024
 
 
-class BadPolicy(ValueError):
+class PolicyError(ValueError):
     """The script can't be used; the message says which one and why."""
 
 
@@ -93,9 +93,9 @@
     )
     value, why = run(source, name, _INSTRUCTION_LIMIT)
     if why is not None:
-        raise BadPolicy(f"{name}: {why}")
+        raise PolicyError(f"{name}: {why}")
     if lupa.lua_type(value) != "table":
-        raise BadPolicy(f"{name}: must return a table")
+        raise PolicyError(f"{name}: must return a table")
     return dict(value.items())
 
 
@@ -109,29 +109,29 @@
     try:
         source = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadPolicy(f"{path}: {error}") from None
+        raise PolicyError(f"{path}: {error}") from None
     try:
         table = _sandboxed(source, str(path))
-    except BadPolicy:
+    except PolicyError:
         raise
     except Exception as error:  # lupa raises several kinds, also for memory
-        raise BadPolicy(f"{path}: {error}") from None
+        raise PolicyError(f"{path}: {error}") from None
     known = set(Policy.__struct_fields__)
     changes: dict[str, Any] = {}
     for key, value in table.items():
         if key not in known:
-            raise BadPolicy(f"{path}: unknown name {key!r}; known: {', '.join(sorted(known))}")
+            raise PolicyError(f"{path}: unknown name {key!r}; known: {', '.join(sorted(known))}")
         wanted = type(getattr(base, key))
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise BadPolicy(f"{path}: {key}: must be a number")
+            raise PolicyError(f"{path}: {key}: must be a number")
         if not math.isfinite(value) or value <= 0:
-            raise BadPolicy(f"{path}: {key}: must be a finite number above 0")
+            raise PolicyError(f"{path}: {key}: must be a finite number above 0")
         if wanted is int and int(value) != value:
-            raise BadPolicy(f"{path}: {key}: must be a whole number")
+            raise PolicyError(f"{path}: {key}: must be a whole number")
         changes[key] = wanted(value)
     policy = msgspec.structs.replace(base, **changes)
     if policy.hold_s > base.hold_s:
-        raise BadPolicy(
+        raise PolicyError(
             f"{path}: hold_s: at most {base.hold_s:g}, or cancelled tasks could outlive cancel_s"
         )
     return policy
--- /dev/null
+++ b/src/ryewing/recovery.py
@@ -0,0 +1,139 @@
+"""What a new leader reads back: the store's records, and what its predecessor told of images.
+
+The workers hold the truth about tasks; they are asked by a handshake afterwards. Jobs are read
+before their finishes, and everything after the take-over, so that whatever an earlier leader wrote
+is known.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from .failures import BACKOFF_MAX_S, BACKOFF_MIN_S
+from .intake import Intake
+from .jobs import DONE_PREFIX, LIVE_PREFIX, Job, read_record
+from .mesh import ImageHint
+from .renter import REQUEST_PREFIX, Renter
+from .store import readable
+from .term import TermContext
+from .units import DRIFT, JobId, KeyVersion, MachineId, Steady, Zone, steady_now
+from .wire import RentalRequest
+from .writer import MACHINE_PREFIX, MachineRecord, Writer
+
+HANDOVER_MARGIN_S = 1.0
+"""Added to the time for which workers may hold tasks of an earlier leader."""
+
+
+class _Chunk(NamedTuple):
+    """Names one record of finished tasks."""
+
+    job: JobId
+    number: int | None
+
+
+def _parse_chunk(name: str) -> _Chunk:
+    job, _, number = name.rpartition("/")
+    return _Chunk(JobId(job), int(number) if number.isdecimal() else None)
+
+
+class Recovery:
+    """Fills the parts of a new term from the store."""
+
+    def __init__(
+        self,
+        ctx: TermContext,
+        intake: Intake,
+        writer: Writer,
+        renter: Renter,
+        hint: ImageHint | None,
+    ) -> None:
+        self._ctx = ctx
+        self._intake = intake
+        self._writer = writer
+        self._renter = renter
+        self._hint = hint
+
+    def load(self) -> None:
+        """Read everything; raise StoreUnavailableError to be called again."""
+        now = steady_now()
+        types = self._renter.load_types()
+        if types:
+            self._ctx.set_machine_types(types)
+        self._load_jobs(now)
+        self._load_finishes()
+        self._load_machines(now)
+        if self._hint is not None:
+            self._apply_hint(self._hint, now)
+        self._load_requests()
+
+    def _load_jobs(self, now: Steady) -> None:
+        entries, self._intake.revision = self._ctx.store.listing(LIVE_PREFIX)
+        for entry in entries:
+            record = read_record(entry.data, entry.key)
+            if record is not None:
+                self._intake.put(record, KeyVersion(entry.key_version), inherited=True)
+        self._ctx.authority.follow(now)
+
+    def _load_finishes(self) -> None:
+        entries, _ = self._ctx.store.listing(DONE_PREFIX)
+        finishes = self._writer.finishes
+        records, twice = finishes.load(entries)
+        for name, bits in records:
+            chunk = _parse_chunk(name)
+            job = self._ending_job(chunk)
+            text = readable(bits, str, name)
+            if job is None or chunk.number is None or text is None:
+                finishes.drop(name)
+            else:
+                job.load_chunk(chunk.number, text)
+                self._ctx.job_table.touch(job)
+        for name in twice:
+            chunk = _parse_chunk(name)
+            job = self._ending_job(chunk)
+            if job is not None and chunk.number is not None:
+                finishes.put(name, job.chunk_text(chunk.number))
+
+    def _ending_job(self, chunk: _Chunk) -> Job | None:
+        """Find the job of a record of finishes; replicas never finish."""
+        job = self._ctx.job_table.get(chunk.job)
+        return None if job is None or job.endless else job
+
+    def _load_machines(self, now: Steady) -> None:
+        # Whoever led before may have answered workers until its hold ended, and the last of
+        # these answers is good for one lease.
+        lease_s = self._ctx.settings.params.workers.lease_s
+        longest_s = (self._ctx.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
+        entries, _ = self._ctx.store.listing(MACHINE_PREFIX)
+        records, twice = self._writer.machines.load(entries)
+        for name, raw in records:
+            record = readable(raw, MachineRecord, MACHINE_PREFIX + name)
+            if record is None:
+                continue
+            machine = self._ctx.cluster.add(
+                MachineId(name),
+                self._ctx.machine_type(record.machine_type),
+                Zone(record.zone),
+                record.spot,
+                now,
+            )
+            machine.address = record.address
+            if record.heard:
+                machine.recorded = True
+                machine.may_hold_until = Steady(now + longest_s)
+        self._writer.to_record.update(MachineId(name) for name in twice)
+
+    def _apply_hint(self, hint: ImageHint, now: Steady) -> None:
+        self._ctx.cluster.restore_images(hint.images, hint.machines)
+        # Without it each new leader let whole batches of such jobs fail once more.
+        for name, delay_s in hint.failing.items():
+            job = self._ctx.job_table.get(JobId(name))
+            if job is not None and not job.done_count:
+                job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
+                job.backoff_until = now
+
+    def _load_requests(self) -> None:
+        entries, _ = self._ctx.store.listing(REQUEST_PREFIX)
+        for entry in entries:
+            request = readable(entry.data, RentalRequest, entry.key)
+            if request is not None:
+                self._renter.pending_requests[request.id] = request
--- a/src/ryewing/renter.py
+++ b/src/ryewing/renter.py
@@ -11,12 +11,12 @@
 import gevent
 
 from . import catalogue, fleet
-from .cloud import RELEASE_MAX, RENT_MAX, Cloud, CloudDown, NoCapacity
+from .cloud import RELEASE_MAX, RENT_MAX, Cloud, CloudUnavailableError, NoCapacityError
 from .dispatch import Dispatch
 from .machine import Machine
 from .placer import Placer
 from .settings import parse_address
-from .store import Put, StoreDown
+from .store import Put, StoreUnavailableError
 from .term import TermContext
 from .units import MachineId, Steady, Zone, steady_now
 from .wire import MachineType, RentalRequest
@@ -70,10 +70,10 @@
                 continue
             try:
                 self._fleet_step()
-            except CloudDown as error:
+            except CloudUnavailableError as error:
                 log.debug("event=cloud-down error=%s", error)
                 gevent.sleep(0.5)
-            except StoreDown as error:
+            except StoreUnavailableError as error:
                 log.debug("event=fleet-store-down error=%s", error)
 
     def _fleet_step(self) -> None:
@@ -174,7 +174,7 @@
             machine.leaving = True
         try:
             self.cloud.release([machine.id for machine, _why in chosen])
-        except CloudDown:
+        except CloudUnavailableError:
             # It may still be carried out late; until then the machine is used as before.
             for machine, _why in chosen:
                 machine.leaving = False
@@ -306,7 +306,7 @@
         option = (request.machine_type, request.zone, request.spot)
         try:
             names = self.cloud.rent(request)
-        except NoCapacity:
+        except NoCapacityError:
             log.info("event=no-capacity flavour=%s site=%s spot=%s", *option)
             self.capacity_backoff.refused(option, steady_now())
             names = []
--- a/src/ryewing/settings.py
+++ b/src/ryewing/settings.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -11,7 +12,7 @@
 Address = tuple[str, int]
 
 
-class BadSettings(ValueError):
+class SettingsError(ValueError):
     """The settings can't be used; the message names the field."""
 
 
@@ -155,50 +156,62 @@
 
 def check(settings: Settings) -> list[str]:
     """Return every problem found, each with the path of its field."""
-    errors: list[str] = []
+    params = settings.params
+    errors = [*_check_addresses(settings), *_check_amounts(params), *_check_teams(params)]
+    if params.workers.cancel_s <= params.workers.lease_s:
+        errors.append("params.workers.cancel_s: must be above params.workers.lease_s")
+    return errors
 
-    def address(path: str, text: str) -> None:
-        try:
-            parse_address(text)
-        except ValueError as error:
-            errors.append(f"{path}: {error}")
 
-    address("api_addr", settings.api_addr)
-    address("mesh_addr", settings.mesh_addr)
-    address("endpoints.cloud", settings.endpoints.cloud)
-    address("endpoints.state", settings.endpoints.state)
+def _check_addresses(settings: Settings) -> Iterator[str]:
+    addresses = {
+        "api_addr": settings.api_addr,
+        "mesh_addr": settings.mesh_addr,
+        "endpoints.cloud": settings.endpoints.cloud,
+        "endpoints.state": settings.endpoints.state,
+    }
     seen = {settings.node}
     for i, member in enumerate(settings.members):
-        address(f"members[{i}].address", member.address)
+        addresses[f"members[{i}].address"] = member.address
         if member.node in seen:
-            errors.append(f"members[{i}].node: {member.node!r} appears twice")
+            yield f"members[{i}].node: {member.node!r} appears twice"
         seen.add(member.node)
-    params = settings.params
+    for path, address in addresses.items():
+        try:
+            parse_address(address)
+        except ValueError as error:
+            yield f"{path}: {error}"
+
+
+def _is_positive(value: float) -> bool:
+    return math.isfinite(value) and value > 0
+
+
+def _check_amounts(params: Params) -> Iterator[str]:
     for group, names in _POSITIVE:
         for name in names:
-            value = getattr(getattr(params, group), name)
-            if not math.isfinite(value) or value <= 0:
-                errors.append(f"params.{group}.{name}: must be above 0")
+            if not _is_positive(getattr(getattr(params, group), name)):
+                yield f"params.{group}.{name}: must be above 0"
     if params.state.next is not None:
         for name in NextLimits.__struct_fields__:
             value = getattr(params.state.next, name)
-            if value is not None and (not math.isfinite(value) or value <= 0):
-                errors.append(f"params.state.next.{name}: must be above 0")
+            if value is not None and not _is_positive(value):
+                yield f"params.state.next.{name}: must be above 0"
     for path, limits in (("state", params.state), ("state.next", params.state.next)):
         if limits is not None and limits.txn_ops == 1:
             # A take-over sets two keys at once, and so does a job's end.
-            errors.append(f"params.{path}.txn_ops: must be at least 2")
-    names_seen: set[str] = set()
+            yield f"params.{path}.txn_ops: must be at least 2"
+
+
+def _check_teams(params: Params) -> Iterator[str]:
+    seen: set[str] = set()
     for i, team in enumerate(params.teams):
-        if team.name in names_seen:
-            errors.append(f"params.teams[{i}].name: {team.name!r} appears twice")
-        names_seen.add(team.name)
+        if team.name in seen:
+            yield f"params.teams[{i}].name: {team.name!r} appears twice"
+        seen.add(team.name)
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
             if getattr(team, name) < 0:
-                errors.append(f"params.teams[{i}].{name}: must not be negative")
-    if params.workers.cancel_s <= params.workers.lease_s:
-        errors.append("params.workers.cancel_s: must be above params.workers.lease_s")
-    return errors
+                yield f"params.teams[{i}].{name}: must not be negative"
 
 
 KINDS = ("wait", "finished", "deadline")
@@ -224,20 +237,20 @@
 
 
 def load(path: str | Path) -> Settings:
-    """Read and check a settings file; raise BadSettings with the first errors."""
+    """Read and check a settings file; raise SettingsError with the first errors."""
     try:
         raw = msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
-        raise BadSettings(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise BadSettings(f"{path}: not JSON: {error}") from None
+        raise SettingsError(f"{path}: not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise BadSettings(f"{path}: not an object")
+        raise SettingsError(f"{path}: not an object")
     try:
         settings = _convert(raw)
     except msgspec.ValidationError as error:
-        raise BadSettings(f"{path}: {str(error).replace('`$.', '`')}") from None
+        raise SettingsError(f"{path}: {str(error).replace('`$.', '`')}") from None
     errors = check(settings)
     if errors:
-        raise BadSettings("; ".join(f"{path}: {e}" for e in errors[:5]))
+        raise SettingsError("; ".join(f"{path}: {e}" for e in errors[:5]))
     return settings
--- a/src/ryewing/store.py
+++ b/src/ryewing/store.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from .settings import Address, StateLimits
-from .transport import HttpClient, Reply, Unreachable
+from .transport import HttpClient, Reply, UnreachableError
 from .units import KeyVersion, Revision
 from .wire import ChangeLog, Entry, EntryPage, LeaseGranted, TxnAnswer
 
@@ -32,26 +32,26 @@
 Relay = Callable[[str, str, bytes | None], Reply | None]
 
 
-class StoreDown(Exception):
+class StoreUnavailableError(Exception):
     """The store could not be asked, or its answer did not come."""
 
 
-class Throttled(StoreDown):
+class ThrottledError(StoreUnavailableError):
     """The store says that it is asked too much."""
 
 
-class Rejected(StoreDown):
+class RejectedError(StoreUnavailableError):
     """The store won't take a request as it is, now or later: too large, or too many writes.
 
-    A kind of StoreDown to whoever can't do anything about it.
+    A kind of StoreUnavailableError to whoever can't do anything about it.
     """
 
 
-class Compacted(Exception):
+class WatchExpiredError(Exception):
     """The watch's revision is too old: read the keys again."""
 
 
-class LeaseLost(Exception):
+class LeaseLostError(Exception):
     """The lease is gone."""
 
 
@@ -116,15 +116,15 @@
     def raw(
         self, method: str, path: str, body: bytes | None, deadline_s: float = DEADLINE_S
     ) -> Reply:
-        """Do one request; raise StoreDown when the service did not answer or would not."""
+        """Do one request; raise StoreUnavailableError without an answer, or with a refusal."""
         try:
             reply = self._http.request(method, path, body, deadline_s)
-        except Unreachable as error:
-            raise StoreDown(str(error)) from None
+        except UnreachableError as error:
+            raise StoreUnavailableError(str(error)) from None
         if reply.status == 429:
-            raise Throttled("429")
+            raise ThrottledError("429")
         if reply.status >= 500:
-            raise StoreDown(str(reply.status))
+            raise StoreUnavailableError(str(reply.status))
         return reply
 
     def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
@@ -137,9 +137,9 @@
                 return relayed
         try:
             reply = self.raw(method, path, body, self._direct_s)
-        except Throttled:
+        except ThrottledError:
             raise
-        except StoreDown:
+        except StoreUnavailableError:
             relayed = relay(method, path, body)
             if relayed is None:
                 # Not this node's side: where the store is slow it must be given its time.
@@ -160,9 +160,9 @@
             gevent.sleep(PROBE_S)
             try:
                 self.raw("GET", f"/store/{PROBE_KEY}", None)
-            except Throttled:
+            except ThrottledError:
                 pass  # it has answered
-            except StoreDown:
+            except StoreUnavailableError:
                 continue
             self._alone = False
 
@@ -209,15 +209,15 @@
         )
         reply = self._request("POST", "/txn", body)
         if reply.status == 400 and b"lease" in reply.body:
-            raise LeaseLost(reply.body.decode("utf-8", "replace"))
+            raise LeaseLostError(reply.body.decode("utf-8", "replace"))
         if reply.status == 400:
-            raise Rejected(f"400: {reply.body[:200]!r}")
+            raise RejectedError(f"400: {reply.body[:200]!r}")
         if reply.status not in (200, 409):
-            raise StoreDown(f"{reply.status}: {reply.body[:200]!r}")
+            raise StoreUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
         try:
             answer = msgspec.json.decode(reply.body, type=TxnAnswer)
         except msgspec.DecodeError as error:
-            raise StoreDown(f"unreadable answer: {error}") from None
+            raise StoreUnavailableError(f"unreadable answer: {error}") from None
         return TxnResult(reply.status == 200, Revision(answer.revision), frozenset(answer.failed))
 
     def grant(self, ttl_s: float) -> int:
@@ -226,31 +226,31 @@
         return _decode(self.raw("POST", "/holds", body), LeaseGranted).lease
 
     def renew(self, lease: int, deadline_s: float) -> None:
-        """Renew a lease; raise LeaseLost if it is gone."""
+        """Renew a lease; raise LeaseLostError if it is gone."""
         reply = self.raw("POST", f"/holds/{lease}/renew", b"{}", deadline_s)
         if reply.status == 404:
-            raise LeaseLost(str(lease))
+            raise LeaseLostError(str(lease))
         if reply.status != 200:
-            raise StoreDown(str(reply.status))
+            raise StoreUnavailableError(str(reply.status))
 
     def resign(self, lease: int) -> None:
         """End a lease at once."""
         try:
             self._http.request("DELETE", f"/holds/{lease}", None, DEADLINE_S)
-        except Unreachable as error:
-            raise StoreDown(str(error)) from None
+        except UnreachableError as error:
+            raise StoreUnavailableError(str(error)) from None
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
         """Wait for changes under the prefix."""
         path = f"/changes?starts={quote(prefix)}&since={since}&wait_ms={int(wait_s * 1000)}"
         try:
             reply = self._watches.request("GET", path, None, wait_s + 2.0)
-        except Unreachable as error:
-            raise StoreDown(str(error)) from None
+        except UnreachableError as error:
+            raise StoreUnavailableError(str(error)) from None
         if reply.status == 410:
-            raise Compacted
+            raise WatchExpiredError
         if reply.status == 429:
-            raise Throttled("429")
+            raise ThrottledError("429")
         return _decode(reply, ChangeLog)
 
 
@@ -268,8 +268,8 @@
 
 def _decode(reply: Reply, kind: type[T]) -> T:
     if reply.status != 200:
-        raise StoreDown(f"{reply.status}: {reply.body[:200]!r}")
+        raise StoreUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.DecodeError as error:
-        raise StoreDown(f"unreadable answer: {error}") from None
+        raise StoreUnavailableError(f"unreadable answer: {error}") from None
--- a/src/ryewing/transport.py
+++ b/src/ryewing/transport.py
@@ -16,7 +16,7 @@
 from .settings import Address
 
 
-class Unreachable(Exception):
+class UnreachableError(Exception):
     """No answer: the request may or may not have been executed, or still will be."""
 
 
@@ -70,7 +70,7 @@
     def request(
         self, method: str, path: str, body: bytes | None, deadline_s: float, fresh: bool = False
     ) -> Reply:
-        """Do one exchange within the deadline, or raise Unreachable."""
+        """Do one exchange within the deadline, or raise UnreachableError."""
         connection = None
         if not fresh and self._idle:
             connection = self._idle.pop()
@@ -87,8 +87,8 @@
                 return Reply(response.status, data)
         except (OSError, http.client.HTTPException) as error:
             if isinstance(error, OSError) and error.errno == errno.EMFILE:
-                raise Unreachable("out of sockets") from None
-            raise Unreachable(f"{type(error).__name__}: {error}") from None
+                raise UnreachableError("out of sockets") from None
+            raise UnreachableError(f"{type(error).__name__}: {error}") from None
         finally:
             if keep and len(self._idle) < self._keep:
                 self._idle.append(connection)
--- a/src/ryewing/wire.py
+++ b/src/ryewing/wire.py
@@ -275,7 +275,7 @@
     lease: int
 
 
-class Malformed(ValueError):
+class MalformedError(ValueError):
     """A body that no retry can make right."""
 
 
@@ -296,36 +296,36 @@
 
 
 def read_object(body: bytes) -> dict[str, Any]:
-    """Decode a JSON object, or raise Malformed."""
+    """Decode a JSON object, or raise MalformedError."""
     try:
         value = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Malformed(f"not JSON: {error}") from None
+        raise MalformedError(f"not JSON: {error}") from None
     if not isinstance(value, dict):
-        raise Malformed("not an object")
+        raise MalformedError("not an object")
     return value
 
 
 def read_job_spec(body: bytes) -> JobSpec:
-    """Decode and check a submission; raise Malformed with the protocol's name of the field."""
+    """Decode and check a submission; raise MalformedError with the protocol's name of the field."""
     try:
         spec = _job_spec_decoder.decode(body)
         flags = _required_flags_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
     for field in msgspec.structs.fields(flags):
         if getattr(flags, field.name) is msgspec.UNSET:
-            raise Malformed(f"{field.encode_name}: missing")
+            raise MalformedError(f"{field.encode_name}: missing")
     if spec.shape not in SHAPES:
-        raise Malformed(f"shape: must be one of {', '.join(SHAPES)}")
+        raise MalformedError(f"shape: must be one of {', '.join(SHAPES)}")
     if spec.priority not in PRIORITIES:
-        raise Malformed(f"rank: must be one of {', '.join(PRIORITIES)}")
+        raise MalformedError(f"rank: must be one of {', '.join(PRIORITIES)}")
     if not 1 <= spec.task_count <= MAX_TASKS:
-        raise Malformed(f"pieces: must be from 1 to {MAX_TASKS}")
+        raise MalformedError(f"pieces: must be from 1 to {MAX_TASKS}")
     _check_amounts(spec)
     for name in ("job_class", "team", "image"):
         if not getattr(spec, name):
-            raise Malformed(f"{_JOB_SPEC_KEYS[name]}: must not be empty")
+            raise MalformedError(f"{_JOB_SPEC_KEYS[name]}: must not be empty")
     return spec
 
 
@@ -346,12 +346,12 @@
         value = getattr(spec, name)
         if value is not None and (not math.isfinite(value) or value < 0):
             key = _JOB_SPEC_KEYS.get(name, name)
-            raise Malformed(f"{key}: must be a finite number, 0 or more")
+            raise MalformedError(f"{key}: must be a finite number, 0 or more")
 
 
 def read_report(body: bytes) -> Report:
-    """Decode a worker's message, or raise Malformed."""
+    """Decode a worker's message, or raise MalformedError."""
     try:
         return _report_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
--- a/src/ryewing/workers.py
+++ b/src/ryewing/workers.py
@@ -13,16 +13,16 @@
 import msgspec
 
 from .settings import parse_address
-from .transport import HttpClient, Unreachable
+from .transport import HttpClient, UnreachableError
 from .units import Token
-from .wire import Command, DirectCommands, Malformed, Report, read_report
+from .wire import Command, DirectCommands, MalformedError, Report, read_report
 
 DEADLINE_S = 2.0
 KEPT_SHARE = 0.07
 """The part of the sockets kept open to workers for direct commands."""
 
 
-class WorkerSilent(Exception):
+class WorkerUnavailableError(Exception):
     """The worker did not answer."""
 
 
@@ -53,14 +53,14 @@
         try:
             client = self._client(address)
             reply = client.request("POST", "/orders", body, DEADLINE_S)
-        except (Unreachable, ValueError) as error:
-            raise WorkerSilent(str(error)) from None
+        except (UnreachableError, ValueError) as error:
+            raise WorkerUnavailableError(str(error)) from None
         if reply.status not in (200, 409):
-            raise WorkerSilent(str(reply.status))
+            raise WorkerUnavailableError(str(reply.status))
         try:
             return read_report(reply.body)
-        except Malformed as error:
-            raise WorkerSilent(str(error)) from None
+        except MalformedError as error:
+            raise WorkerUnavailableError(str(error)) from None
 
     def forget(self, address: str) -> None:
         """Drop what is kept for an address whose machine is gone."""
--- a/src/ryewing/writer.py
+++ b/src/ryewing/writer.py
@@ -9,6 +9,7 @@
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
 from functools import partial
+from typing import NamedTuple, TypeVar
 
 import gevent
 import msgspec
@@ -28,11 +29,12 @@
 )
 from .machine import Machine
 from .paged_records import PagedRecords
-from .store import Put, Rejected, Remove, StoreDown, readable
+from .store import Put, RejectedError, Remove, StoreUnavailableError, TxnResult, readable
 from .term import TermContext
 from .units import JobId, KeyVersion, MachineId, Revision, Steady, steady_now
 
 log = logging.getLogger("ryewing.writer")
+T = TypeVar("T")
 
 MACHINE_PREFIX = "m/"
 FORGET_AT_ONCE = 32
@@ -89,6 +91,20 @@
         """Called when the store won't take it; True if it is to be tried again."""
 
 
+class _Recorded(NamedTuple):
+    """A machine in a page, and whether the page says that it was heard."""
+
+    machine: Machine
+    heard: bool
+
+
+class _Finished(NamedTuple):
+    """Finished tasks of a job that a page holds."""
+
+    job: Job
+    indices: set[int]
+
+
 class Writer:
     """Owns what is to be written, and which final states are under way."""
 
@@ -129,7 +145,7 @@
                 continue
             try:
                 more = self.write_once()
-            except StoreDown as error:
+            except StoreUnavailableError as error:
                 log.debug("event=write-failed error=%s", error)
                 gevent.sleep(0.2)
                 more = True
@@ -139,7 +155,28 @@
 
     def _wanted_writes(self) -> list[_Write]:
         """Name what the store lacks, the most urgent first."""
-        recorded: dict[int, list[tuple[Machine, bool]]] = {}
+        recorded = self._put_machines()
+        writes = self._page_writes(self.machines, recorded, self._recorded)
+        finished: dict[int, list[_Finished]] = {}
+        for job_id in list(self.ctx.job_table.dirty):
+            job = self.ctx.job_table.jobs[job_id]
+            status = self._final_status(job)
+            if status is not None:
+                writes.append(self._final(job, status))
+            elif not job.cancelled:
+                self._put_finishes(job, finished)
+        writes += self._page_writes(self.finishes, finished, self._finishes_written)
+        # What is only to be forgotten comes last.
+        for pages, urgent in ((self.machines, set(recorded)), (self.finishes, set(finished))):
+            forgotten = [number for number in pages.changed() if number not in urgent]
+            writes += [self._page_write(pages, number, _nothing) for number in forgotten]
+        for key in list(self.to_forget)[:FORGET_AT_ONCE]:
+            writes.append(_Write([Remove(key)], key, {}, self._forget(key)))
+        return writes
+
+    def _put_machines(self) -> dict[int, list[_Recorded]]:
+        """Bring the pages of machines up to date; name which machines each page is to hold."""
+        recorded: dict[int, list[_Recorded]] = {}
         for name in list(self.to_record):
             machine = self.ctx.cluster.machines.get(name)
             if machine is None:
@@ -152,65 +189,56 @@
                 machine.machine_type.name, machine.zone, machine.spot, machine.address, heard
             )
             number = self.machines.put(name, record)
-            recorded.setdefault(number, []).append((machine, heard))
-        for number, machines in recorded.items():
-            if not self.machines.lacks(number):
-                self._recorded(machines)  # the store has them like this already
-        writes = [
-            self._packed(self.machines, number, partial(self._recorded, machines))
-            for number, machines in recorded.items()
-            if self.machines.lacks(number)
-        ]
-        finished: dict[int, list[tuple[Job, set[int]]]] = {}
-        for job_id in list(self.ctx.job_table.dirty):
-            job = self.ctx.job_table.jobs[job_id]
-            if job.cancelled:
-                if not job.live and not any(True for _ in self.ctx.cluster.unheard()):
-                    writes.append(self._final(job, CANCELLED))
-            elif job.complete:
-                writes.append(self._final(job, DONE))
-            else:
-                for chunk in job.dirty_chunks():
-                    number = self.finishes.put(done_name(job.id, chunk), job.chunk_text(chunk))
-                    job.chunks_written.add(chunk)
-                    indices = {i for i in job.unwritten if i // CHUNK == chunk}
-                    finished.setdefault(number, []).append((job, indices))
-        for number, jobs in finished.items():
-            if self.finishes.lacks(number):
-                done = partial(self._finishes_written, jobs)
-                writes.append(self._packed(self.finishes, number, done))
+            recorded.setdefault(number, []).append(_Recorded(machine, heard))
+        return recorded
+
+    def _final_status(self, job: Job) -> str | None:
+        """Tell how a job has ended; None while it has not, or may still have tasks somewhere."""
+        if not job.cancelled:
+            return DONE if job.complete else None
+        if job.live or any(True for _ in self.ctx.cluster.unheard()):
+            return None
+        return CANCELLED
+
+    def _put_finishes(self, job: Job, finished: dict[int, list[_Finished]]) -> None:
+        """Bring the pages of a job's finished tasks up to date."""
+        for chunk in job.dirty_chunks():
+            number = self.finishes.put(done_name(job.id, chunk), job.chunk_text(chunk))
+            job.chunks_written.add(chunk)
+            indices = {index for index in job.unwritten if index // CHUNK == chunk}
+            finished.setdefault(number, []).append(_Finished(job, indices))
+
+    def _page_writes(
+        self, pages: PagedRecords, wanted: dict[int, list[T]], done: Callable[[list[T]], None]
+    ) -> list[_Write]:
+        """Name the writes of pages that the store lacks; the others are done already."""
+        writes = []
+        for number, records in wanted.items():
+            if pages.lacks(number):
+                writes.append(self._page_write(pages, number, partial(done, records)))
             else:
-                self._finishes_written(jobs)  # another value's change has brought it along
-        # What is only to be forgotten comes last.
-        for packed, urgent in ((self.machines, recorded), (self.finishes, finished)):
-            writes.extend(
-                self._packed(packed, number, _nothing)
-                for number in packed.changed()
-                if number not in urgent
-            )
-        for key in list(self.to_forget)[:FORGET_AT_ONCE]:
-            writes.append(_Write([Remove(key)], key, {}, self._forget(key)))
+                done(records)  # it has them like this, or another page's change brought them along
         return writes
 
-    def _packed(self, packed: PagedRecords, number: int, done: Callable[[], None]) -> _Write:
-        change = packed.change(number, self._ops_max, TXN_BYTES)
+    def _page_write(self, pages: PagedRecords, number: int, done: Callable[[], None]) -> _Write:
+        change = pages.change(number, self._ops_max, TXN_BYTES)
 
         def written(revision: Revision) -> None:
-            packed.written(change, revision)
+            pages.written(change, revision)
             if number in change.versions:
                 done()
 
         def conflict(key: str) -> None:
-            packed.found(key, self.ctx.store.get(key))
+            pages.found(key, self.ctx.store.get(key))
 
         return _Write(
             change.ops,
-            packed.key(number),
+            pages.key(number),
             change.conditions,
             written,
             conflict,
             change.size,
-            partial(packed.lower, change),
+            partial(pages.lower, change),
         )
 
     def _final(self, job: Job, status: str) -> _Write:
@@ -218,7 +246,7 @@
             [Put(final_key(job.id), {"status": status}), Remove(live_key(job.id))],
             live_key(job.id),
             {live_key(job.id): job.key_version},
-            lambda _epoch: self._finalised(job, status),
+            lambda _revision: self._finalised(job, status),
             lambda _key: self._reconcile(job),
         )
 
@@ -228,52 +256,65 @@
         wanted = [w for w in self._wanted_writes() if self._set_aside.get(w.key, now) <= now]
         if not wanted:
             return False
-        chosen: list[_Write] = []
-        conditions: dict[str, KeyVersion] = {}
-        ops: list[Put | Remove] = []
-        size = 0
-        for write in wanted:
-            if write.conditions.keys() & conditions.keys():
-                continue  # a change of one value that another one brings along
-            if chosen and (
-                len(ops) + len(write.ops) > self._ops_max or size + write.size > TXN_BYTES
-            ):
-                break
-            size += write.size
-            chosen.append(write)
-            ops.extend(write.ops)
-            conditions.update(write.conditions)
+        chosen = self._choose(wanted)
+        ops = [op for write in chosen for op in write.ops]
         if not self._budget.take(len(ops)):
             gevent.sleep(min(1.0, self._budget.wait_s(len(ops))))
             return True
         finals = {JobId(w.key[len(LIVE_PREFIX) :]) for w in chosen if w.key.startswith(LIVE_PREFIX)}
         self.final_pending |= finals
         try:
-            result = self.ctx.store.txn(self.ctx.leadership.fenced(conditions), ops)
-        except Rejected as error:
+            result = self._send(chosen, ops)
+        except RejectedError as error:
             self.final_pending -= finals - self._unanswered  # it was certainly not executed
             self._on_rejected(chosen, len(ops), now, error)
             return True
-        except StoreDown:
+        except StoreUnavailableError:
             self._unanswered |= finals
             raise
-        if result.ok:
-            for write in chosen:
-                write.done(result.revision)
-        elif self.ctx.leadership.lost_by(result):
+        if not result.ok and self.ctx.leadership.lost_by(result):
             self.ctx.lose("fenced")
             return False
-        else:
-            for write in chosen:
-                for key in write.conditions.keys() & result.failed:
-                    if write.conflict is not None:
-                        write.conflict(key)
+        self._take_result(chosen, result)
         # Found where the next try failed for another key: the first one, still on its way, was
         # carried out after that, and users were told `running` from memory beside `done`.
         self.final_pending -= finals - self._unanswered
         return len(chosen) < len(wanted) or not result.ok
 
-    def _on_rejected(self, chosen: list[_Write], ops: int, now: Steady, error: Rejected) -> None:
+    def _choose(self, wanted: Sequence[_Write]) -> list[_Write]:
+        """Choose the writes, from the first on, that one transaction takes."""
+        chosen: list[_Write] = []
+        keys: set[str] = set()
+        changes = size = 0
+        for write in wanted:
+            if write.conditions.keys() & keys:
+                continue  # a change of one value that another one brings along
+            changes += len(write.ops)
+            size += write.size
+            if chosen and (changes > self._ops_max or size > TXN_BYTES):
+                break
+            chosen.append(write)
+            keys |= write.conditions.keys()
+        return chosen
+
+    def _send(self, chosen: Sequence[_Write], ops: Sequence[Put | Remove]) -> TxnResult:
+        conditions: dict[str, KeyVersion] = {}
+        for write in chosen:
+            conditions.update(write.conditions)
+        return self.ctx.store.txn(self.ctx.leadership.fenced(conditions), ops)
+
+    def _take_result(self, chosen: Sequence[_Write], result: TxnResult) -> None:
+        for write in chosen:
+            if result.ok:
+                write.done(result.revision)
+                continue
+            for key in write.conditions.keys() & result.failed:
+                if write.conflict is not None:
+                    write.conflict(key)
+
+    def _on_rejected(
+        self, chosen: list[_Write], ops: int, now: Steady, error: RejectedError
+    ) -> None:
         """The store won't take this: find out whether it is the number of changes or one of them.
 
         One value that can't be written must not hold up all others: taken for an outage, it was
@@ -293,7 +334,7 @@
             self._set_aside[chosen[0].key] = Steady(now + ASIDE_S)
 
     def _forget(self, key: str) -> Callable[[Revision], None]:
-        return lambda _epoch: self.to_forget.pop(key, None)
+        return lambda _revision: self.to_forget.pop(key, None)
 
     def _reconcile(self, job: Job) -> None:
         """A final write met another version: a cancel won, or an earlier try was applied."""
@@ -313,14 +354,14 @@
         self.final_pending.discard(job.id)
         self.ctx.job_table.drop(job)
 
-    def _recorded(self, machines: list[tuple[Machine, bool]]) -> None:
+    def _recorded(self, machines: list[_Recorded]) -> None:
         for machine, heard in machines:
             if heard or machine.heard_at is None:
                 self.to_record.discard(machine.id)
             machine.recorded = machine.recorded or heard
         self.ctx.place.set()
 
-    def _finishes_written(self, jobs: list[tuple[Job, set[int]]]) -> None:
+    def _finishes_written(self, jobs: list[_Finished]) -> None:
         for job, indices in jobs:
             job.unwritten -= indices
             self.ctx.job_table.touch(job)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,6 +16,7 @@
     "leader",
     "leadership",
     "placer",
+    "recovery",
     "renter",
     "term",
     "writer",
