--- a/src/ryewing/api.py
+++ b/src/ryewing/api/api.py
@@ -15,10 +15,19 @@
 import gevent
 import msgspec
 
-from .controller import Controller
-from .division import NoShardError, NotReadyError
-from .http_server import STATUS_LINES, Headers, StartResponse
-from .jobs import (
+from ryewing.api.controller import Controller
+from ryewing.api.http_server import STATUS_LINES, Headers, StartResponse
+from ryewing.clients.store import (
+    Put,
+    RejectedError,
+    StoreUnavailableError,
+    ThrottledError,
+    TxnResult,
+    readable,
+)
+from ryewing.clients.user_request_limiter import QuotaExceededError, UserRequest
+from ryewing.leader.division import NoShardError, NotReadyError
+from ryewing.state.jobs import (
     CANCELLED,
     DONE,
     FinalRecord,
@@ -30,15 +39,7 @@
     live_key,
     read_record,
 )
-from .store import (
-    Put,
-    RejectedError,
-    StoreUnavailableError,
-    ThrottledError,
-    TxnResult,
-    readable,
-)
-from .units import (
+from ryewing.units import (
     JobId,
     KeyVersion,
     ShardName,
@@ -48,8 +49,7 @@
     steady_now,
     wall_now,
 )
-from .user_quota import QuotaExceededError, UserRequest
-from .wire import (
+from ryewing.wire.messages import (
     BODY_LIMIT,
     Entry,
     JobSpec,
@@ -61,7 +61,7 @@
     read_report,
 )
 
-log = logging.getLogger("ryewing.api")
+log = logging.getLogger("ryewing.api.api")
 T = TypeVar("T")
 
 SUBMITS_AT_ONCE = 64
--- a/src/ryewing/controller.py
+++ b/src/ryewing/api/controller.py
@@ -4,13 +4,13 @@
 
 from typing import Protocol
 
-from .finals import Finals
-from .policy import Policy
-from .settings import Team
-from .store import Store
-from .units import JobId, ShardName, Zone
-from .user_quota import UserQuota
-from .wire import JobSpec, JobStatus, MachineType, Report, ReportAnswer
+from ryewing.api.final_states import Finals
+from ryewing.clients.store import Store
+from ryewing.clients.user_request_limiter import UserQuota
+from ryewing.config.policy import Policy
+from ryewing.config.settings import Team
+from ryewing.units import JobId, ShardName, Zone
+from ryewing.wire.messages import JobSpec, JobStatus, MachineType, Report, ReportAnswer
 
 
 class Controller(Protocol):
--- a/src/ryewing/finals.py
+++ b/src/ryewing/api/final_states.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from .units import JobId
+from ryewing.units import JobId
 
 FINALS_KEPT = 20_000
 
--- a/src/ryewing/fleet.py
+++ b/src/ryewing/autoscaling/planning.py
@@ -9,12 +9,12 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from .capacity import allows
-from .jobs import EPSILON, Job, count_fitting, fits_machine_type
-from .machine import Machine
-from .policy import Policy
-from .units import MachineId, Steady, Zone
-from .wire import JobSpec, MachineType
+from ryewing.config.policy import Policy
+from ryewing.scheduling.capacity import allows
+from ryewing.state.jobs import EPSILON, Job, count_fitting, fits_machine_type
+from ryewing.state.machine import Machine
+from ryewing.units import MachineId, Steady, Zone
+from ryewing.wire.messages import JobSpec, MachineType
 
 Option = tuple[str, str, bool]
 """Type, zone, spot."""
--- a/src/ryewing/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from .budget import Budget
-from .settings import Address, CloudLimits
-from .transport import HttpClient, Reply, UnreachableError, decode_answer
-from .units import MachineId
-from .wire import (
+from ryewing.clients.http_client import HttpClient, Reply, UnreachableError, decode_answer
+from ryewing.clients.token_bucket import Budget
+from ryewing.config.settings import Address, CloudLimits
+from ryewing.units import MachineId
+from ryewing.wire.messages import (
     MachineNames,
     MachinePage,
     MachineType,
--- a/src/ryewing/transport.py
+++ b/src/ryewing/clients/http_client.py
@@ -16,8 +16,8 @@
 import gevent
 from gevent import socket
 
-from .settings import Address
-from .wire import MalformedError, decode
+from ryewing.config.settings import Address
+from ryewing.wire.messages import MalformedError, decode
 
 T = TypeVar("T")
 
--- a/src/ryewing/listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -8,10 +8,10 @@
 
 from typing import NamedTuple
 
-from .budget import Budget
-from .cloud import Cloud
-from .units import MachineId, Steady, steady_now
-from .wire import ListedMachine
+from ryewing.clients.cloud import Cloud
+from ryewing.clients.token_bucket import Budget
+from ryewing.units import MachineId, Steady, steady_now
+from ryewing.wire.messages import ListedMachine
 
 LIST_EVERY_S = 4.0
 """How long after its begin a reading of the whole list is begun again, if it is over by then."""
--- a/src/ryewing/mesh.py
+++ b/src/ryewing/clients/peers.py
@@ -17,10 +17,10 @@
 from gevent.pool import Pool
 from gevent.server import StreamServer
 
-from .settings import Address
-from .wire import UNREADABLE
+from ryewing.config.settings import Address
+from ryewing.wire.messages import UNREADABLE
 
-log = logging.getLogger("ryewing.mesh")
+log = logging.getLogger("ryewing.clients.peers")
 FRAME_MAX = 4 * 1024 * 1024
 IDLE_S = 60.0
 KEPT_CONNECTIONS = 4
--- a/src/ryewing/store.py
+++ b/src/ryewing/clients/store.py
@@ -14,10 +14,10 @@
 import gevent
 import msgspec
 
-from .settings import Address, StateLimits
-from .transport import HttpClient, Reply, UnreachableError, decode_answer
-from .units import KeyVersion, Revision
-from .wire import (
+from ryewing.clients.http_client import HttpClient, Reply, UnreachableError, decode_answer
+from ryewing.config.settings import Address, StateLimits
+from ryewing.units import KeyVersion, Revision
+from ryewing.wire.messages import (
     ChangeLog,
     Entry,
     EntryPage,
@@ -27,7 +27,7 @@
     decode,
 )
 
-log = logging.getLogger("ryewing.store")
+log = logging.getLogger("ryewing.clients.store")
 
 DEADLINE_S = 1.0
 DIRECT_S = 0.5
--- a/src/ryewing/budget.py
+++ b/src/ryewing/clients/token_bucket.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .units import Steady, steady_now
+from ryewing.units import Steady, steady_now
 
 
 class Budget:
--- a/src/ryewing/user_quota.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -11,8 +11,8 @@
 import enum
 from collections.abc import Callable
 
-from .budget import Budget
-from .units import Steady, steady_now
+from ryewing.clients.token_bucket import Budget
+from ryewing.units import Steady, steady_now
 
 USER_SHARE = 0.5
 """The part of `state.rps` that users' requests may take, all controllers together."""
--- a/src/ryewing/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from .settings import parse_address
-from .transport import HttpClient, UnreachableError
-from .units import Token
-from .wire import Command, DirectCommands, MalformedError, Report, read_report
+from ryewing.clients.http_client import HttpClient, UnreachableError
+from ryewing.config.settings import parse_address
+from ryewing.units import Token
+from ryewing.wire.messages import Command, DirectCommands, MalformedError, Report, read_report
 
 DEADLINE_S = 2.0
 KEPT_SHARE = 0.07
--- a/src/ryewing/policy.py
+++ b/src/ryewing/config/policy.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from .settings import Settings
+from ryewing.config.settings import Settings
 
 _INSTRUCTION_LIMIT = 1_000_000
 _MEMORY_LIMIT = 8 * 1024 * 1024
--- a/src/ryewing/settings.py
+++ b/src/ryewing/config/settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .wire import UNREADABLE
+from ryewing.wire.messages import UNREADABLE
 
 Address = tuple[str, int]
 
--- a/src/ryewing/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .store import (
+from ryewing.clients.store import (
     LeaseLostError,
     Put,
     StoreUnavailableError,
@@ -21,7 +21,7 @@
     TxnResult,
     readable,
 )
-from .units import DRIFT, KeyVersion, NodeName, Revision, Steady, Term, steady_now
+from ryewing.units import DRIFT, KeyVersion, NodeName, Revision, Steady, Term, steady_now
 
 HOLDER_KEY = "lead/holder"
 TERM_KEY = "lead/term"
--- a/src/ryewing/renter.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -11,20 +11,27 @@
 import gevent
 import msgspec
 
-from . import catalogue, fleet
-from .cloud import RELEASE_MAX, RENT_MAX, Cloud, CloudUnavailableError, NoCapacityError
-from .dispatch import Dispatch
-from .listing import MachineListing
-from .machine import Machine
-from .placer import Placer
-from .settings import parse_address
-from .store import Put, StoreUnavailableError
-from .term import TermContext
-from .units import MachineId, Steady, Zone, steady_now
-from .wire import MachineType, RentalRequest
-from .writer import Writer
+from ryewing.autoscaling import planning as fleet
+from ryewing.clients.cloud import (
+    RELEASE_MAX,
+    RENT_MAX,
+    Cloud,
+    CloudUnavailableError,
+    NoCapacityError,
+)
+from ryewing.clients.machine_listing import MachineListing
+from ryewing.clients.store import Put, StoreUnavailableError
+from ryewing.config.settings import parse_address
+from ryewing.leader.scheduler import Placer
+from ryewing.leader.state_writer import Writer
+from ryewing.leader.term_context import TermContext
+from ryewing.leader.worker_commands import Dispatch
+from ryewing.state import machine_type_catalogue as catalogue
+from ryewing.state.machine import Machine
+from ryewing.units import MachineId, Steady, Zone, steady_now
+from ryewing.wire.messages import MachineType, RentalRequest
 
-log = logging.getLogger("ryewing.renter")
+log = logging.getLogger("ryewing.leader.autoscaler")
 
 REQUEST_PREFIX = "h/"
 UNLISTED_TWICE = 2
--- a/src/ryewing/division.py
+++ b/src/ryewing/leader/division.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping, Sequence
 from typing import Protocol
 
-from .mesh import ShardLoadAnswer
-from .store import Store, TermStore
-from .term_scope import WHOLE_FLEET, TermScope
-from .units import ShardName
-from .wire import JobSpec, MachineType
+from ryewing.clients.peers import ShardLoadAnswer
+from ryewing.clients.store import Store, TermStore
+from ryewing.leader.scope import WHOLE_FLEET, TermScope
+from ryewing.units import ShardName
+from ryewing.wire.messages import JobSpec, MachineType
 
 
 class NoShardError(Exception):
--- a/src/ryewing/intake.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -7,16 +7,16 @@
 import gevent
 import msgspec
 
-from .dispatch import Dispatch
-from .jobs import LIVE_PREFIX, Job, JobRecord, read_record
-from .stops import StopReason
-from .store import StoreUnavailableError, WatchExpiredError
-from .term import TermContext
-from .units import JobId, KeyVersion, Revision, Steady, steady_now
-from .wire import JobStatus
-from .writer import Writer
-
-log = logging.getLogger("ryewing.intake")
+from ryewing.clients.store import StoreUnavailableError, WatchExpiredError
+from ryewing.leader.state_writer import Writer
+from ryewing.leader.term_context import TermContext
+from ryewing.leader.worker_commands import Dispatch
+from ryewing.state.jobs import LIVE_PREFIX, Job, JobRecord, read_record
+from ryewing.state.pending_terminations import StopReason
+from ryewing.units import JobId, KeyVersion, Revision, Steady, steady_now
+from ryewing.wire.messages import JobStatus
+
+log = logging.getLogger("ryewing.leader.job_watcher")
 
 JOB_BYTES = 4096
 """What a live job takes, tasks on machines aside: 1.8 KiB as measured, with room to spare."""
--- a/src/ryewing/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -14,20 +14,20 @@
 import gevent
 import msgspec
 
-from .dispatch import PROBE_AFTER, Dispatch
-from .intake import Intake
-from .machine import TaskPhase
-from .mesh import ImageHint
-from .placer import Placer
-from .recovery import Recovery
-from .renter import Renter
-from .store import LeaseLostError, StoreUnavailableError
-from .term import TermContext
-from .units import JobId, KeyVersion, Steady, Term, steady_now
-from .wire import JobStatus, Report, ReportAnswer
-from .writer import Writer
-
-log = logging.getLogger("ryewing.leader")
+from ryewing.clients.peers import ImageHint
+from ryewing.clients.store import LeaseLostError, StoreUnavailableError
+from ryewing.leader.autoscaler import Renter
+from ryewing.leader.job_watcher import Intake
+from ryewing.leader.recovery import Recovery
+from ryewing.leader.scheduler import Placer
+from ryewing.leader.state_writer import Writer
+from ryewing.leader.term_context import TermContext
+from ryewing.leader.worker_commands import PROBE_AFTER, Dispatch
+from ryewing.state.machine import TaskPhase
+from ryewing.units import JobId, KeyVersion, Steady, Term, steady_now
+from ryewing.wire.messages import JobStatus, Report, ReportAnswer
+
+log = logging.getLogger("ryewing.leader.leader")
 
 TELL_EVERY_S = 10.0
 CUT = "cut-from-workers"
--- a/src/ryewing/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -9,16 +9,16 @@
 
 from typing import NamedTuple
 
-from .failures import BACKOFF_MAX_S, BACKOFF_MIN_S
-from .intake import Intake
-from .jobs import DONE_PREFIX, LIVE_PREFIX, Job, read_record
-from .mesh import ImageHint
-from .renter import REQUEST_PREFIX, Renter
-from .store import readable
-from .term import TermContext
-from .units import DRIFT, JobId, KeyVersion, MachineId, Steady, Zone, steady_now
-from .wire import RentalRequest
-from .writer import MACHINE_PREFIX, MachineRecord, Writer
+from ryewing.clients.peers import ImageHint
+from ryewing.clients.store import readable
+from ryewing.leader.autoscaler import REQUEST_PREFIX, Renter
+from ryewing.leader.job_watcher import Intake
+from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, Writer
+from ryewing.leader.term_context import TermContext
+from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
+from ryewing.state.jobs import DONE_PREFIX, LIVE_PREFIX, Job, read_record
+from ryewing.units import DRIFT, JobId, KeyVersion, MachineId, Steady, Zone, steady_now
+from ryewing.wire.messages import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
 """Added to the time for which workers may hold tasks of an earlier leader."""
--- a/src/ryewing/placer.py
+++ b/src/ryewing/leader/scheduler.py
@@ -13,15 +13,16 @@
 
 import gevent
 
-from . import placement, preemption, queueing
-from .capacity import NO_RESERVE, MachineCapacity, Quota, allows
-from .dispatch import Dispatch
-from .failures import AVOID_S
-from .jobs import Job, fits_machine_type
-from .machine import WARM, Assignment, Machine, TaskPhase
-from .stops import StopReason
-from .term import TermContext
-from .units import (
+from ryewing import scheduling as placement
+from ryewing.leader.term_context import TermContext
+from ryewing.leader.worker_commands import Dispatch
+from ryewing.scheduling import preemption, queueing
+from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, Quota, allows
+from ryewing.state.failure_detector import AVOID_S
+from ryewing.state.jobs import Job, fits_machine_type
+from ryewing.state.machine import WARM, Assignment, Machine, TaskPhase
+from ryewing.state.pending_terminations import StopReason
+from ryewing.units import (
     MAX_ATTEMPTS,
     Attempt,
     JobId,
@@ -32,9 +33,9 @@
     steady_now,
     wall_now,
 )
-from .wire import JobSpec
+from ryewing.wire.messages import JobSpec
 
-log = logging.getLogger("ryewing.placer")
+log = logging.getLogger("ryewing.leader.scheduler")
 
 PASS_GAP_S = 0.2
 """The least pause between passes: a start waits for a report anyway, which takes half a second."""
--- a/src/ryewing/term_scope.py
+++ b/src/ryewing/leader/scope.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from .jobs import JobRecord
-from .units import ShardName, Term, Zone
-from .wire import MachineType
+from ryewing.state.jobs import JobRecord
+from ryewing.units import ShardName, Term, Zone
+from ryewing.wire.messages import MachineType
 
 
 class TermScope(msgspec.Struct, frozen=True):
--- a/src/ryewing/writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -14,8 +14,17 @@
 import gevent
 import msgspec
 
-from .budget import Budget
-from .jobs import (
+from ryewing.clients.store import (
+    Put,
+    RejectedError,
+    Remove,
+    StoreUnavailableError,
+    TxnResult,
+    readable,
+)
+from ryewing.clients.token_bucket import Budget
+from ryewing.leader.term_context import TermContext
+from ryewing.state.jobs import (
     CANCELLED,
     CHUNK,
     DONE,
@@ -27,14 +36,12 @@
     final_key,
     live_key,
 )
-from .machine import Machine
-from .paged_records import PagedRecords
-from .store import Put, RejectedError, Remove, StoreUnavailableError, TxnResult, readable
-from .term import TermContext
-from .units import JobId, KeyVersion, MachineId, Revision, Steady, steady_now
-from .wire import MACHINE_KEYS
-
-log = logging.getLogger("ryewing.writer")
+from ryewing.state.machine import Machine
+from ryewing.state.paged_records import PagedRecords
+from ryewing.units import JobId, KeyVersion, MachineId, Revision, Steady, steady_now
+from ryewing.wire.messages import MACHINE_KEYS
+
+log = logging.getLogger("ryewing.leader.state_writer")
 T = TypeVar("T")
 
 MACHINE_PREFIX = "m/"
--- a/src/ryewing/term.py
+++ b/src/ryewing/leader/term_context.py
@@ -12,16 +12,16 @@
 
 from gevent.event import Event
 
-from .cluster_state import ClusterState
-from .jobs import JobTable
-from .leadership import Leadership
-from .policy import Policy
-from .settings import Settings, Team
-from .stops import Stops
-from .store import TermStore
-from .term_scope import WHOLE_FLEET, TermScope
-from .units import MachineId, steady_now
-from .wire import MachineType
+from ryewing.clients.store import TermStore
+from ryewing.config.policy import Policy
+from ryewing.config.settings import Settings, Team
+from ryewing.election.leadership import Leadership
+from ryewing.leader.scope import WHOLE_FLEET, TermScope
+from ryewing.state.cluster_state import ClusterState
+from ryewing.state.jobs import JobTable
+from ryewing.state.pending_terminations import Stops
+from ryewing.units import MachineId, steady_now
+from ryewing.wire.messages import MachineType
 
 
 class TeamLimits(Protocol):
--- a/src/ryewing/dispatch.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -12,11 +12,13 @@
 
 from gevent.pool import Group
 
-from .budget import Budget
-from .machine import Assignment, Machine, TaskPhase
-from .stops import StopReason
-from .term import TermContext
-from .units import (
+from ryewing.clients.token_bucket import Budget
+from ryewing.clients.workers import Workers, WorkerUnavailableError
+from ryewing.leader.state_writer import Writer
+from ryewing.leader.term_context import TermContext
+from ryewing.state.machine import Assignment, Machine, TaskPhase
+from ryewing.state.pending_terminations import StopReason
+from ryewing.units import (
     MAX_TOKEN_BUMPS,
     MachineId,
     ReportVersion,
@@ -26,11 +28,9 @@
     term_of,
     token_of,
 )
-from .wire import Command, Report, ReportAnswer
-from .workers import Workers, WorkerUnavailableError
-from .writer import Writer
+from ryewing.wire.messages import Command, Report, ReportAnswer
 
-log = logging.getLogger("ryewing.dispatch")
+log = logging.getLogger("ryewing.leader.worker_commands")
 
 ORDERS_MAX = 500
 """Commands in one response: keeps its line within 64 KiB."""
--- a/src/ryewing/cli.py
+++ b/src/ryewing/process/cli.py
@@ -7,10 +7,10 @@
 import os
 import sys
 
-from . import __version__
-from . import policy as policies
-from .settings import Settings, SettingsError
-from .settings import load as load_settings
+from ryewing import __version__
+from ryewing.config import policy as policies
+from ryewing.config.settings import Settings, SettingsError
+from ryewing.config.settings import load as load_settings
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 POLICY_VARIABLE = "RYEWING_POLICY"
@@ -69,7 +69,7 @@
 
 
 def _check_shards(text: str, settings: Settings) -> None:
-    from .sharding.check import describe  # only who asks for it pays for the import
+    from ryewing.sharding.check import describe  # only who asks for it pays for the import
 
     for line in describe(text, settings):
         print(line)
@@ -85,7 +85,7 @@
         return 0
     if (arguments.move is None) != (arguments.to is None):
         top.error("--move SHARD and --to NODE go together")
-    from .sharding import command
+    from ryewing.sharding import command
 
     return command.run(settings, arguments.move, arguments.to)
 
@@ -93,15 +93,15 @@
 def _serve(arguments: argparse.Namespace, settings: Settings, policy: policies.Policy) -> None:
     # Only a controller pays for these imports, and for shards only one that leads some.
     if arguments.shards is not None:
-        from .sharding import serve
-        from .sharding.settings import shards_from
+        from ryewing.sharding import serve
+        from ryewing.sharding.settings import shards_from
 
         shards = shards_from(arguments.shards, settings)
         _log_to_stderr()
         serve.serve(settings, policy, shards)
         return
     _log_to_stderr()
-    from .node import Node
+    from ryewing.process.node import Node
 
     Node(settings, policy).serve()
 
--- a/src/ryewing/candidacy.py
+++ b/src/ryewing/process/leader_elector.py
@@ -12,10 +12,8 @@
 
 import gevent
 
-from . import __version__
-from .leader import CUT, UNFOLLOWED, Leader
-from .leadership import HOLDER_KEY, PREFIX, Holder, View, campaign, may_campaign, read_view
-from .mesh import (
+from ryewing import __version__
+from ryewing.clients.peers import (
     Ack,
     CancelNotice,
     ImageHint,
@@ -25,15 +23,25 @@
     Response,
     ShardLoadAnswer,
 )
-from .policy import Policy
-from .settings import Settings
-from .store import StoreUnavailableError, TermStore, WatchExpiredError, readable
-from .term import TermContext
-from .term_scope import TermScope
-from .units import JobId, NodeName, Revision, ShardName, Steady, Term, steady_now
-from .wire import MachineType
-
-log = logging.getLogger("ryewing.node")
+from ryewing.clients.store import StoreUnavailableError, TermStore, WatchExpiredError, readable
+from ryewing.config.policy import Policy
+from ryewing.config.settings import Settings
+from ryewing.election.leadership import (
+    HOLDER_KEY,
+    PREFIX,
+    Holder,
+    View,
+    campaign,
+    may_campaign,
+    read_view,
+)
+from ryewing.leader.leader import CUT, UNFOLLOWED, Leader
+from ryewing.leader.scope import TermScope
+from ryewing.leader.term_context import TermContext
+from ryewing.units import JobId, NodeName, Revision, ShardName, Steady, Term, steady_now
+from ryewing.wire.messages import MachineType
+
+log = logging.getLogger("ryewing.process.node")
 WATCH_S = 8.0
 LOAD_EVERY_S = 1.0
 HINT_EVERY_S = 5.0
--- a/src/ryewing/node.py
+++ b/src/ryewing/process/node.py
@@ -9,16 +9,12 @@
 import gevent
 import msgspec
 
-from . import __version__, catalogue
-from .api import Api
-from .budget import Budget
-from .candidacy import Candidacy, ProcessParts
-from .division import Division, WholeFleet
-from .finals import Finals
-from .http_server import HttpServer
-from .jobs import CANCELLED, DONE
-from .leadership import new_boot
-from .mesh import (
+from ryewing import __version__
+from ryewing.api.api import Api
+from ryewing.api.final_states import Finals
+from ryewing.api.http_server import HttpServer
+from ryewing.clients.http_client import Reply
+from ryewing.clients.peers import (
     Ack,
     CancelNotice,
     ImageHint,
@@ -35,15 +31,20 @@
     Response,
     requests_at_once,
 )
-from .policy import Policy
-from .settings import Settings, parse_address
-from .store import Store, StoreUnavailableError
-from .transport import Reply
-from .units import JobId, NodeName, ShardName, Steady, Zone, steady_now
-from .user_quota import UserQuota
-from .wire import JobSpec, JobStatus, MachineType, Report, ReportAnswer
-
-log = logging.getLogger("ryewing.node")
+from ryewing.clients.store import Store, StoreUnavailableError
+from ryewing.clients.token_bucket import Budget
+from ryewing.clients.user_request_limiter import UserQuota
+from ryewing.config.policy import Policy
+from ryewing.config.settings import Settings, parse_address
+from ryewing.election.leadership import new_boot
+from ryewing.leader.division import Division, WholeFleet
+from ryewing.process.leader_elector import Candidacy, ProcessParts
+from ryewing.state import machine_type_catalogue as catalogue
+from ryewing.state.jobs import CANCELLED, DONE
+from ryewing.units import JobId, NodeName, ShardName, Steady, Zone, steady_now
+from ryewing.wire.messages import JobSpec, JobStatus, MachineType, Report, ReportAnswer
+
+log = logging.getLogger("ryewing.process.node")
 CANCEL_KNOWN_S = 10.0
 """With the lease, above the longest for which a leader that has not seen a change may start tasks
 or answer users (`leadership.FOLLOW_S`); 0.1.0 and 0.2.0 went by their watch, of 8 s and its
--- a/src/ryewing/placement/__init__.py
+++ b/src/ryewing/scheduling/__init__.py
@@ -11,8 +11,8 @@
 what serves until it is cancelled; `reservation` keeps machines for a gang that waits too long.
 """
 
-from .passes import Pass
-from .plan import Batch, BatchPart, Plan, Unplaced
-from .state import SHORT_WAIT_S, PassInputs
+from ryewing.scheduling.cycle import Pass
+from ryewing.scheduling.cycle_state import SHORT_WAIT_S, PassInputs
+from ryewing.scheduling.plan import Batch, BatchPart, Plan, Unplaced
 
 __all__ = ["SHORT_WAIT_S", "Batch", "BatchPart", "Pass", "PassInputs", "Plan", "Unplaced"]
--- a/src/ryewing/capacity.py
+++ b/src/ryewing/scheduling/capacity.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import NamedTuple
 
-from .jobs import EPSILON, Job, count_fitting
-from .machine import COLD, Assignment, Machine
-from .settings import Team
-from .units import TeamName
-from .wire import PRIORITIES, JobSpec
+from ryewing.config.settings import Team
+from ryewing.state.jobs import EPSILON, Job, count_fitting
+from ryewing.state.machine import COLD, Assignment, Machine
+from ryewing.units import TeamName
+from ryewing.wire.messages import PRIORITIES, JobSpec
 
 LARGE_SHARE = 0.125
 """A task that takes so much of a machine is large: a few replicas can be in its way."""
--- a/src/ryewing/placement/passes.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Sequence
 
-from ..capacity import Candidates
-from ..jobs import Job
-from ..machine import Assignment
-from .images import LONG_FETCH_S
-from .plan import Plan, Unplaced
-from .replicas import ReplicaPlacer
-from .reservation import reserve
-from .state import PassInputs, PassState, delays
-from .tasks import TaskPlacer
+from ryewing.scheduling.capacity import Candidates
+from ryewing.scheduling.cycle_state import PassInputs, PassState, delays
+from ryewing.scheduling.image_survey import LONG_FETCH_S
+from ryewing.scheduling.plan import Plan, Unplaced
+from ryewing.scheduling.replicas import ReplicaPlacer
+from ryewing.scheduling.reservation import reserve
+from ryewing.scheduling.tasks import TaskPlacer
+from ryewing.state.jobs import Job
+from ryewing.state.machine import Assignment
 
 BEGIN_SHARE = 0.1
 """The part of an overdue array that goes before everything."""
--- a/src/ryewing/placement/state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..capacity import (
+from ryewing.scheduling.capacity import (
     NO_RESERVE,
     Candidates,
     GpuReserve,
@@ -20,12 +20,12 @@
     allows,
     fetch_s,
 )
-from ..jobs import Job
-from ..machine import COLD, FETCHED_NOW, WARM, Machine, MachineKind
-from ..units import MachineId, Steady, Zone
-from ..wire import DAEMON, JobSpec
-from .images import LONG_FETCH_S, ImageSurvey
-from .plan import Batch, BatchPart, Plan
+from ryewing.scheduling.image_survey import LONG_FETCH_S, ImageSurvey
+from ryewing.scheduling.plan import Batch, BatchPart, Plan
+from ryewing.state.jobs import Job
+from ryewing.state.machine import COLD, FETCHED_NOW, WARM, Machine, MachineKind
+from ryewing.units import MachineId, Steady, Zone
+from ryewing.wire.messages import DAEMON, JobSpec
 
 SHORT_WAIT_S = 2.0
 """What a replica may wait for a report and its image where it would wait longer, or others would
--- a/src/ryewing/placement/images.py
+++ b/src/ryewing/scheduling/image_survey.py
@@ -5,10 +5,10 @@
 import math
 from collections.abc import Sequence
 
-from ..capacity import Candidates, GpuReserve, MachineCapacity
-from ..jobs import Job
-from ..queueing import demand
-from ..units import Steady
+from ryewing.scheduling.capacity import Candidates, GpuReserve, MachineCapacity
+from ryewing.scheduling.queueing import demand
+from ryewing.state.jobs import Job
+from ryewing.units import Steady
 
 COLD_DELAY = 0.5
 """How long a job waits for a machine with its image, as a part of the fetch time."""
--- a/src/ryewing/placement/plan.py
+++ b/src/ryewing/scheduling/plan.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..jobs import Job
-from ..machine import Assignment, Machine
+from ryewing.state.jobs import Job
+from ryewing.state.machine import Assignment, Machine
 
 
 class BatchPart(NamedTuple):
--- a/src/ryewing/preemption.py
+++ b/src/ryewing/scheduling/preemption.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Iterable
 
-from .jobs import EPSILON, Job
-from .machine import Assignment, TaskPhase
-from .settings import Team
-from .units import Steady
+from ryewing.config.settings import Team
+from ryewing.state.jobs import EPSILON, Job
+from ryewing.state.machine import Assignment, TaskPhase
+from ryewing.units import Steady
 
 REPLICA_LOSS_S = 600.0
 """What stopping a replica counts as: it is among the last to be stopped for anything."""
--- a/src/ryewing/queueing.py
+++ b/src/ryewing/scheduling/queueing.py
@@ -13,9 +13,9 @@
 import heapq
 from collections.abc import Iterable, Sequence
 
-from .jobs import Job
-from .settings import Objective
-from .units import WallTime
+from ryewing.config.settings import Objective
+from ryewing.state.jobs import Job
+from ryewing.units import WallTime
 
 STARVED_SPANS = 3.0
 """A job that is so many times its longest deadline old goes first in its rank."""
--- a/src/ryewing/placement/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -5,11 +5,11 @@
 import math
 from typing import NamedTuple
 
-from ..capacity import Candidates, MachineCapacity, gpu_cost
-from ..jobs import Job
-from ..machine import Assignment
-from .state import SHORT_WAIT_S, PassState
-from .tasks import TaskPlacer
+from ryewing.scheduling.capacity import Candidates, MachineCapacity, gpu_cost
+from ryewing.scheduling.cycle_state import SHORT_WAIT_S, PassState
+from ryewing.scheduling.tasks import TaskPlacer
+from ryewing.state.jobs import Job
+from ryewing.state.machine import Assignment
 
 SHORT_WAIT_SHARE = 0.5
 """What wait is short for a replica, as a part of the shortest fetch of its image."""
--- a/src/ryewing/placement/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -4,12 +4,12 @@
 
 import math
 
-from ..capacity import MachineCapacity
-from ..jobs import Job, count_fitting
-from ..preemption import may_preempt
-from ..units import Steady, Zone
-from .plan import Reservation
-from .state import PassState
+from ryewing.scheduling.capacity import MachineCapacity
+from ryewing.scheduling.cycle_state import PassState
+from ryewing.scheduling.plan import Reservation
+from ryewing.scheduling.preemption import may_preempt
+from ryewing.state.jobs import Job, count_fitting
+from ryewing.units import Steady, Zone
 
 LEAST_WAIT_S = 1.0
 """How long a task that should have ended is still thought to run."""
--- a/src/ryewing/placement/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -4,11 +4,11 @@
 
 from functools import partial
 
-from ..capacity import MachineCapacity, gpu_cost, stranded_gpus
-from ..jobs import Job
-from ..machine import COLD
-from ..units import Zone
-from .state import Choice, PassState
+from ryewing.scheduling.capacity import MachineCapacity, gpu_cost, stranded_gpus
+from ryewing.scheduling.cycle_state import Choice, PassState
+from ryewing.state.jobs import Job
+from ryewing.state.machine import COLD
+from ryewing.units import Zone
 
 REPLICAS_TOGETHER = 4
 """So many replicas on one machine are fullest first; beyond, others that are as soon come first: a
--- a/src/ryewing/placement/tasks.py
+++ b/src/ryewing/scheduling/tasks.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from ..capacity import Candidates, MachineCapacity
-from ..jobs import Job
-from .selection import Selector
-from .state import PassState
-from .victims import Preemptor
+from ryewing.scheduling.capacity import Candidates, MachineCapacity
+from ryewing.scheduling.cycle_state import PassState
+from ryewing.scheduling.selection import Selector
+from ryewing.scheduling.victims import Preemptor
+from ryewing.state.jobs import Job
 
 
 class TaskPlacer:
--- a/src/ryewing/placement/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -4,13 +4,19 @@
 
 from typing import NamedTuple
 
-from ..capacity import Candidates, GpuReserve, MachineCapacity, VictimKey, stranded_gpus
-from ..jobs import Job, count_fitting
-from ..machine import COLD, WARM, Assignment
-from ..preemption import lost_work, may_preempt, saving_s, stop_order
-from ..units import Zone
-from ..wire import JobSpec
-from .state import Choice, PassState
+from ryewing.scheduling.capacity import (
+    Candidates,
+    GpuReserve,
+    MachineCapacity,
+    VictimKey,
+    stranded_gpus,
+)
+from ryewing.scheduling.cycle_state import Choice, PassState
+from ryewing.scheduling.preemption import lost_work, may_preempt, saving_s, stop_order
+from ryewing.state.jobs import Job, count_fitting
+from ryewing.state.machine import COLD, WARM, Assignment
+from ryewing.units import Zone
+from ryewing.wire.messages import JobSpec
 
 PREEMPT_MAX = 64
 """Places freed for one array in one pass: bounds the work of a pass."""
--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ..settings import Team
-from ..units import ShardName
+from ryewing.config.settings import Team
+from ryewing.units import ShardName
 
 UNLIMITED = math.inf
 LEAST_CHANGE = 1e-6
--- a/src/ryewing/sharding/check.py
+++ b/src/ryewing/sharding/check.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterator
 
-from ..settings import Settings
-from .division import SPREAD_ZONES
-from .settings import shards_from
+from ryewing.config.settings import Settings
+from ryewing.sharding.division import SPREAD_ZONES
+from ryewing.sharding.settings import shards_from
 
 
 def describe(text: str, settings: Settings) -> Iterator[str]:
--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -12,11 +12,11 @@
 
 import gevent
 
-from ..settings import Settings, parse_address
-from ..store import Store, StoreUnavailableError, readable
-from ..units import NodeName, ShardName, steady_now, wall_now
-from .ownership import MoveRefusedError, Ownership, Phase, begin_move
-from .registry import DIVISION_KEY, Registration, ShardRegistry, Zones
+from ryewing.clients.store import Store, StoreUnavailableError, readable
+from ryewing.config.settings import Settings, parse_address
+from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
+from ryewing.sharding.registry import DIVISION_KEY, Registration, ShardRegistry, Zones
+from ryewing.units import NodeName, ShardName, steady_now, wall_now
 
 MOVE_PATIENCE_S = 60.0
 """How long a move that was begun is watched."""
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -14,14 +14,13 @@
 
 import gevent
 
-from ..candidacy import Candidacy
-from ..leader import Leader
-from ..store import Store, StoreUnavailableError, WatchExpiredError
-from ..units import NodeName, Revision, ShardName, Steady, steady_now
-from .division import ShardDivision
-from .health import ControllerHealth
-from .owner_choice import OwnerChoice
-from .ownership import (
+from ryewing.clients.store import Store, StoreUnavailableError, WatchExpiredError
+from ryewing.leader.leader import Leader
+from ryewing.process.leader_elector import Candidacy
+from ryewing.sharding.division import ShardDivision
+from ryewing.sharding.health import ControllerHealth
+from ryewing.sharding.owner_choice import OwnerChoice
+from ryewing.sharding.ownership import (
     MoveRefusedError,
     Ownership,
     Phase,
@@ -32,15 +31,16 @@
     repair,
     settle,
 )
-from .registry import (
+from ryewing.sharding.registry import (
     SHARDS_PREFIX,
     DivisionDiffersError,
     Registration,
     ShardRegistry,
     StoredOwnership,
 )
-from .settings import ShardSettings
-from .team_limits import ShardTeamLimits
+from ryewing.sharding.settings import ShardSettings
+from ryewing.sharding.team_limits import ShardTeamLimits
+from ryewing.units import NodeName, Revision, ShardName, Steady, steady_now
 
 log = logging.getLogger("ryewing.sharding")
 
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -6,15 +6,15 @@
 import zlib
 from collections.abc import Mapping, Sequence
 
-from ..division import NoShardError, NotReadyError
-from ..jobs import fits_machine_type
-from ..mesh import ShardLoadAnswer
-from ..store import Store, TermStore
-from ..term_scope import TermScope
-from ..units import JobId, ShardName, Zone
-from ..wire import JobSpec, MachineType
-from .settings import ShardSettings
-from .shard_store import ShardStore
+from ryewing.clients.peers import ShardLoadAnswer
+from ryewing.clients.store import Store, TermStore
+from ryewing.leader.division import NoShardError, NotReadyError
+from ryewing.leader.scope import TermScope
+from ryewing.sharding.settings import ShardSettings
+from ryewing.sharding.shard_store import ShardStore
+from ryewing.state.jobs import fits_machine_type
+from ryewing.units import JobId, ShardName, Zone
+from ryewing.wire.messages import JobSpec, MachineType
 
 CHOICES = 2
 """Shards that are drawn for a new job; the one with the least waiting work gets it."""
--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -8,7 +8,7 @@
 
 import highspy
 
-from .load import (
+from ryewing.sharding.load import (
     MOVE_COST,
     OVERLOAD_COST,
     PEAK_COST,
--- a/src/ryewing/sharding/greedy.py
+++ b/src/ryewing/sharding/greedy.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..units import NodeName, ShardName
-from .load import Assignment, PlanInputs, ShardLoad, cost, fullness
+from ryewing.sharding.load import Assignment, PlanInputs, ShardLoad, cost, fullness
+from ryewing.units import NodeName, ShardName
 
 IMPROVEMENT_MIN = 1e-9
 
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ..store import LeaseLostError, Put, Store, StoreUnavailableError
-from ..units import NodeName, Steady, steady_now
-from ..wire import Entry
+from ryewing.clients.store import LeaseLostError, Put, Store, StoreUnavailableError
+from ryewing.units import NodeName, Steady, steady_now
+from ryewing.wire.messages import Entry
 
 NODE_PREFIX = "shards/node/"
 RENEWALS_PER_LEASE = 3
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..units import NodeName, ShardName, Steady
+from ryewing.units import NodeName, ShardName, Steady
 
 OVERLOAD_COST = 100.0
 """What it costs that the fullest controller has no room for a part of its load."""
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -8,13 +8,13 @@
 from collections.abc import Set
 from typing import NamedTuple
 
-from ..units import NodeName, ShardName, Steady, steady_now
-from . import greedy
-from .load import Assignment, NodeRoom, PlanInputs, ShardLoad
-from .ownership import Phase
-from .planner import next_move
-from .registry import Registration
-from .settings import ShardSettings
+from ryewing.sharding import greedy
+from ryewing.sharding.load import Assignment, NodeRoom, PlanInputs, ShardLoad
+from ryewing.sharding.ownership import Phase
+from ryewing.sharding.planner import next_move
+from ryewing.sharding.registry import Registration
+from ryewing.sharding.settings import ShardSettings
+from ryewing.units import NodeName, ShardName, Steady, steady_now
 
 EQUAL_LOAD = 1.0
 
--- a/src/ryewing/sharding/ownership.py
+++ b/src/ryewing/sharding/ownership.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..units import NodeName
+from ryewing.units import NodeName
 
 
 class Phase(enum.Enum):
--- a/src/ryewing/sharding/planner.py
+++ b/src/ryewing/sharding/planner.py
@@ -9,9 +9,9 @@
 import importlib
 import logging
 
-from ..units import ShardName
-from . import greedy
-from .load import Assignment, PlanInputs, cost, moves
+from ryewing.sharding import greedy
+from ryewing.sharding.load import Assignment, PlanInputs, cost, moves
+from ryewing.units import ShardName
 
 log = logging.getLogger("ryewing.sharding")
 
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from ..leadership import TERM_KEY
-from ..store import Put, Store, readable
-from ..units import KeyVersion, NodeName, Revision, ShardName, wall_now
-from .health import healthy_nodes
-from .ownership import Ownership
-from .settings import ShardSettings
+from ryewing.clients.store import Put, Store, readable
+from ryewing.election.leadership import TERM_KEY
+from ryewing.sharding.health import healthy_nodes
+from ryewing.sharding.ownership import Ownership
+from ryewing.sharding.settings import ShardSettings
+from ryewing.units import KeyVersion, NodeName, Revision, ShardName, wall_now
 
 log = logging.getLogger("ryewing.sharding")
 
--- a/src/ryewing/sharding/serve.py
+++ b/src/ryewing/sharding/serve.py
@@ -4,14 +4,14 @@
 
 import gevent
 
-from ..node import Node
-from ..policy import Policy
-from ..settings import Settings
-from ..units import ShardName
-from .coordinator import Coordinator
-from .division import ShardDivision
-from .health import ControllerHealth
-from .settings import ShardSettings, known_nodes
+from ryewing.config.policy import Policy
+from ryewing.config.settings import Settings
+from ryewing.process.node import Node
+from ryewing.sharding.coordinator import Coordinator
+from ryewing.sharding.division import ShardDivision
+from ryewing.sharding.health import ControllerHealth
+from ryewing.sharding.settings import ShardSettings, known_nodes
+from ryewing.units import ShardName
 
 
 def sharded_node(settings: Settings, policy: Policy, shards: ShardSettings) -> Node:
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from ..settings import Settings, SettingsError
-from ..units import NodeName, ShardName
-from ..wire import UNREADABLE
+from ryewing.config.settings import Settings, SettingsError
+from ryewing.units import NodeName, ShardName
+from ryewing.wire.messages import UNREADABLE
 
 NAME_LENGTH_MAX = 32
 BY_ZONES = "zones:"
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from .. import catalogue
-from ..jobs import FINAL_PREFIX, LIVE_PREFIX
-from ..settings import StateLimits
-from ..store import Put, Remove, Store, TxnResult
-from ..units import KeyVersion, Revision, ShardName
-from ..wire import Change, ChangeLog, Entry
+from ryewing.clients.store import Put, Remove, Store, TxnResult
+from ryewing.config.settings import StateLimits
+from ryewing.state import machine_type_catalogue as catalogue
+from ryewing.state.jobs import FINAL_PREFIX, LIVE_PREFIX
+from ryewing.units import KeyVersion, Revision, ShardName
+from ryewing.wire.messages import Change, ChangeLog, Entry
 
 SHARD_PREFIX = "s/"
 ALLOWANCE_PREFIX = "allowance/"
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from ..jobs import Job
-from ..settings import Team
-from ..term import TermContext
-from ..units import Steady, TeamName, steady_now
-from .allowance import NOTHING, Amount, Claim, limit_of, whole_units
+from ryewing.config.settings import Team
+from ryewing.leader.term_context import TermContext
+from ryewing.sharding.allowance import NOTHING, Amount, Claim, limit_of, whole_units
+from ryewing.state.jobs import Job
+from ryewing.units import Steady, TeamName, steady_now
 
 RESERVATION_S = 60.0
 """How long room is asked for in vain, and for how long after that it is not."""
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -15,22 +15,15 @@
 import gevent
 import msgspec
 
-from ..jobs import EPSILON
-from ..leader import Leader
-from ..settings import Team
-from ..store import Put, StoreUnavailableError, readable
-from ..units import KeyVersion, ShardName, Steady, steady_now
-from ..wire import Entry
-from .allowance import (
-    NOTHING,
-    Allowances,
-    Amount,
-    lowered,
-    raised,
-    target_of,
-)
-from .shard_store import ALLOWANCE_PREFIX
-from .team_demand import TeamDemand
+from ryewing.clients.store import Put, StoreUnavailableError, readable
+from ryewing.config.settings import Team
+from ryewing.leader.leader import Leader
+from ryewing.sharding.allowance import NOTHING, Allowances, Amount, lowered, raised, target_of
+from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
+from ryewing.sharding.team_demand import TeamDemand
+from ryewing.state.jobs import EPSILON
+from ryewing.units import KeyVersion, ShardName, Steady, steady_now
+from ryewing.wire.messages import Entry
 
 log = logging.getLogger("ryewing.sharding")
 
--- a/src/ryewing/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -10,11 +10,18 @@
 import logging
 from collections.abc import Iterator
 
-from .failures import FailureJudge
-from .jobs import Job, JobTable
-from .machine import LIVE_PHASES, Assignment, EndedAttempt, Machine, TaskPhase, ran_well
-from .stops import Stops
-from .units import (
+from ryewing.state.failure_detector import FailureJudge
+from ryewing.state.jobs import Job, JobTable
+from ryewing.state.machine import (
+    LIVE_PHASES,
+    Assignment,
+    EndedAttempt,
+    Machine,
+    TaskPhase,
+    ran_well,
+)
+from ryewing.state.pending_terminations import Stops
+from ryewing.units import (
     DRIFT,
     MAX_TOKEN_BUMPS,
     NEVER_HEARD,
@@ -32,9 +39,9 @@
     token_bumps_of,
     token_of,
 )
-from .wire import MachineType, Report, ReportedTask
+from ryewing.wire.messages import MachineType, Report, ReportedTask
 
-log = logging.getLogger("ryewing.cluster_state")
+log = logging.getLogger("ryewing.state.cluster_state")
 
 LEASE_MARGIN_S = 0.5
 """How much longer than its lease a worker is thought to hold its tasks."""
--- a/src/ryewing/failures.py
+++ b/src/ryewing/state/failure_detector.py
@@ -10,14 +10,14 @@
 import logging
 from typing import TYPE_CHECKING
 
-from .jobs import Job
-from .machine import Assignment, Machine, TaskPhase, ran_well
-from .units import JobId, Steady
+from ryewing.state.jobs import Job
+from ryewing.state.machine import Assignment, Machine, TaskPhase, ran_well
+from ryewing.units import JobId, Steady
 
 if TYPE_CHECKING:
-    from .cluster_state import ClusterState
+    from ryewing.state.cluster_state import ClusterState
 
-log = logging.getLogger("ryewing.failures")
+log = logging.getLogger("ryewing.state.failure_detector")
 
 FAILS_ANYWHERE = 3
 """A job that failed on so many machines is thought to fail on every one."""
--- a/src/ryewing/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -17,12 +17,20 @@
 
 import msgspec
 
-from .settings import Team
-from .store import readable
-from .units import JobId, KeyVersion, MachineId, Steady, WallTime, Zone
-from .wire import DAEMON, GROUP, MAX_TASKS, PRIORITIES, JobSpec, JobStatus, MachineType
-
-log = logging.getLogger("ryewing.jobs")
+from ryewing.clients.store import readable
+from ryewing.config.settings import Team
+from ryewing.units import JobId, KeyVersion, MachineId, Steady, WallTime, Zone
+from ryewing.wire.messages import (
+    DAEMON,
+    GROUP,
+    MAX_TASKS,
+    PRIORITIES,
+    JobSpec,
+    JobStatus,
+    MachineType,
+)
+
+log = logging.getLogger("ryewing.state.jobs")
 
 LIVE_PREFIX = "j/"
 DONE_PREFIX = "d/"
--- a/src/ryewing/machine.py
+++ b/src/ryewing/state/machine.py
@@ -6,8 +6,8 @@
 from collections import Counter, OrderedDict
 from typing import NamedTuple
 
-from .jobs import Job
-from .units import (
+from ryewing.state.jobs import Job
+from ryewing.units import (
     NEVER_HEARD,
     Attempt,
     JobId,
@@ -17,7 +17,7 @@
     TaskId,
     Zone,
 )
-from .wire import JobSpec, MachineType, ReportedTask
+from ryewing.wire.messages import JobSpec, MachineType, ReportedTask
 
 RAN_WELL_S = 15.0
 """A replica that ran for so long did not fail at its start."""
--- a/src/ryewing/catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from .store import Put, RejectedError, Remove, TermStore, readable
-from .units import KeyVersion
-from .wire import MachineType, MachineTypeList
+from ryewing.clients.store import Put, RejectedError, Remove, TermStore, readable
+from ryewing.units import KeyVersion
+from ryewing.wire.messages import MachineType, MachineTypeList
 
-log = logging.getLogger("ryewing.catalogue")
+log = logging.getLogger("ryewing.state.machine_type_catalogue")
 
 KEY = "flavours"
 
--- a/src/ryewing/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -23,11 +23,11 @@
 
 import msgspec
 
-from .store import Put, readable
-from .units import KeyVersion, Revision
-from .wire import Entry
+from ryewing.clients.store import Put, readable
+from ryewing.units import KeyVersion, Revision
+from ryewing.wire.messages import Entry
 
-log = logging.getLogger("ryewing.paged_records")
+log = logging.getLogger("ryewing.state.paged_records")
 
 FILL = 0.6
 """How full a value may get by new records. The rest is for those in it that grow."""
--- a/src/ryewing/stops.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -9,8 +9,8 @@
 import enum
 from collections.abc import Iterator
 
-from .units import Attempt, MachineId, Steady, TaskId
-from .wire import Command
+from ryewing.units import Attempt, MachineId, Steady, TaskId
+from ryewing.wire.messages import Command
 
 RESEND_S = 1.0
 
--- a/tests/test_api.py
+++ b/tests/api/test_api.py
@@ -8,12 +8,12 @@
 
 import msgspec
 import pytest
-from api_client import Client, FakeLeader
-from fakes import submission
+from support.api_client import Client, FakeLeader
+from support.fakes import submission
 
-from ryewing.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
+from ryewing.api.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
 from ryewing.units import JobId
-from ryewing.wire import JobStatus
+from ryewing.wire.messages import JobStatus
 
 
 @pytest.fixture
--- a/tests/test_polls.py
+++ b/tests/api/test_polls.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 import pytest
-from cluster import Cluster, FakePeer
-from timed_store import StoreLink
-from timed_workers import NAMES
+from support.cluster import Cluster, FakePeer
+from support.timed_store import StoreLink
+from support.timed_workers import NAMES
 
 POLLS = 1000
 
--- a/tests/test_fleet.py
+++ b/tests/autoscaling/test_planning.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import pytest
-from fakes import job, policy
-from placement_world import FLAVOURS, T0, World
+from support.fakes import job, policy
+from support.placement_world import FLAVOURS, T0, World
 
-from ryewing.fleet import CapacityBackoff, options_for, plan_rentals, to_return
-from ryewing.units import (
-    Steady,
-)
+from ryewing.autoscaling.planning import CapacityBackoff, options_for, plan_rentals, to_return
+from ryewing.units import Steady
 
 
 def test_renting_counts_what_is_booting() -> None:
--- a/tests/test_mesh.py
+++ b/tests/clients/test_peers.py
@@ -8,7 +8,7 @@
 import pytest
 from gevent import socket
 
-from ryewing.mesh import (
+from ryewing.clients.peers import (
     REQUESTS_AT_ONCE,
     Ack,
     JobState,
@@ -19,7 +19,7 @@
     Request,
     requests_at_once,
 )
-from ryewing.settings import Address
+from ryewing.config.settings import Address
 
 SHORT_WAIT_S = 0.3
 PATIENT_S = 30.0
--- a/tests/test_budget.py
+++ b/tests/clients/test_token_bucket.py
@@ -3,15 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from fakes import job_spec
-from placement_world import T0
+from support.fakes import job_spec
+from support.placement_world import T0
 
-from ryewing.budget import Budget
-from ryewing.capacity import Quota
-from ryewing.settings import Team
-from ryewing.units import (
-    Steady,
-)
+from ryewing.clients.token_bucket import Budget
+from ryewing.config.settings import Team
+from ryewing.scheduling.capacity import Quota
+from ryewing.units import Steady
 
 
 def test_budget_refills_and_tells_the_wait() -> None:
--- a/tests/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -9,19 +9,19 @@
 import gevent
 import msgspec
 import pytest
-from api_client import Client
-from fakes import FakeStore, policy, settings, submission
 from gevent import socket
-
-from ryewing.cloud import Cloud, CloudUnavailableError
-from ryewing.jobs import live_key
-from ryewing.mesh import Ack, MeshServer, Peer, PeerUnavailableError, PollJob
-from ryewing.node import Node
-from ryewing.settings import CloudLimits
-from ryewing.store import Store, StoreUnavailableError
-from ryewing.transport import Reply
+from support.api_client import Client
+from support.fakes import FakeStore, policy, settings, submission
+
+from ryewing.clients.cloud import Cloud, CloudUnavailableError
+from ryewing.clients.http_client import Reply
+from ryewing.clients.peers import Ack, MeshServer, Peer, PeerUnavailableError, PollJob
+from ryewing.clients.store import Store, StoreUnavailableError
+from ryewing.config.settings import CloudLimits
+from ryewing.process.node import Node
+from ryewing.state.jobs import live_key
 from ryewing.units import JobId, Revision
-from ryewing.wire import BODY_LIMIT, MalformedError, read_report
+from ryewing.wire.messages import BODY_LIMIT, MalformedError, read_report
 
 PATIENT_S = 10.0
 GOOD_REPORT = {
@@ -138,7 +138,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Nested deep enough, it ended the process that followed who leads."""
-    monkeypatch.setattr("ryewing.store.HttpClient.request", lambda *_args: Reply(200, body))
+    monkeypatch.setattr("ryewing.clients.store.HttpClient.request", lambda *_args: Reply(200, body))
     store = Store(("127.0.0.1", 1), settings().params.state)
     with caplog.at_level(logging.WARNING), pytest.raises(StoreUnavailableError):
         ask(store)
@@ -151,7 +151,7 @@
 def test_an_answer_of_the_cloud_that_cannot_be_read_is_as_good_as_none(
     body: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("ryewing.cloud.HttpClient.request", lambda *_args: Reply(200, body))
+    monkeypatch.setattr("ryewing.clients.cloud.HttpClient.request", lambda *_args: Reply(200, body))
     cloud = Cloud(("127.0.0.1", 1), CloudLimits(1000.0, 10.0))
     for ask in (cloud.machine_types, lambda: cloud.machine_page("")):
         with pytest.raises(CloudUnavailableError):
--- a/tests/test_user_quota.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -7,15 +7,14 @@
 from typing import Any
 
 import pytest
-from cluster import Cluster
-from placement_world import T0
-from timed_store import StoreLink
-from timed_workers import NAMES, STEP_S
-
-from ryewing.budget import Budget
-from ryewing.store import ThrottledError
-from ryewing.units import Steady
-from ryewing.user_quota import (
+from support.cluster import Cluster
+from support.placement_world import T0
+from support.timed_store import StoreLink
+from support.timed_workers import NAMES, STEP_S
+
+from ryewing.clients.store import ThrottledError
+from ryewing.clients.token_bucket import Budget
+from ryewing.clients.user_request_limiter import (
     LEAST_FACTOR,
     QUESTION_RESERVE,
     RECOVERY_PER_S,
@@ -24,6 +23,7 @@
     UserQuota,
     UserRequest,
 )
+from ryewing.units import Steady
 
 JOBS = 75
 USUAL_POLLS_PER_S = JOBS / 5.0
--- a/tests/test_settings.py
+++ b/tests/config/test_settings.py
@@ -6,11 +6,11 @@
 
 import msgspec
 import pytest
-from fakes import RAW_SETTINGS, policy, settings
+from support.fakes import RAW_SETTINGS, policy, settings
 
-from ryewing.policy import PolicyError, load
-from ryewing.settings import Settings, SettingsError
-from ryewing.settings import load as load_settings
+from ryewing.config.policy import PolicyError, load
+from ryewing.config.settings import Settings, SettingsError
+from ryewing.config.settings import load as load_settings
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -3,17 +3,11 @@
 from __future__ import annotations
 
 import pytest
-from fakes import policy, settings
-from placement_world import T0
+from support.fakes import policy, settings
+from support.placement_world import T0
 
-from ryewing.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
-from ryewing.units import (
-    KeyVersion,
-    NodeName,
-    Revision,
-    Steady,
-    Term,
-)
+from ryewing.election.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
+from ryewing.units import KeyVersion, NodeName, Revision, Steady, Term
 
 
 @pytest.mark.parametrize(
--- a/tests/test_renting.py
+++ b/tests/leader/test_autoscaler.py
@@ -5,17 +5,17 @@
 from typing import Any
 
 import pytest
-from fakes import policy, settings
-from harness import LeaderHarness
-
-from ryewing.cloud import CloudUnavailableError
-from ryewing.dispatch import PROBE_AFTER, SENDS_AT_ONCE
-from ryewing.leader import CUT, CUT_PROBE_S
-from ryewing.renter import REQUEST_PREFIX
-from ryewing.stops import StopReason
+from support.fakes import policy, settings
+from support.harness import LeaderHarness
+
+from ryewing.clients.cloud import CloudUnavailableError
+from ryewing.leader.autoscaler import REQUEST_PREFIX
+from ryewing.leader.leader import CUT, CUT_PROBE_S
+from ryewing.leader.state_writer import MACHINE_PREFIX
+from ryewing.leader.worker_commands import PROBE_AFTER, SENDS_AT_ONCE
+from ryewing.state.pending_terminations import StopReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
-from ryewing.wire import ListedMachine
-from ryewing.writer import MACHINE_PREFIX
+from ryewing.wire.messages import ListedMachine
 
 
 def rent(harness: LeaderHarness) -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -7,19 +7,19 @@
 
 import msgspec
 import pytest
-from fakes import FakeWorker, policy, settings
-from harness import LeaderHarness
-
-from ryewing.cloud import PAGE_MAX, RELEASE_MAX, RENT_MAX
-from ryewing.dispatch import SENDS_AT_ONCE, sends_at_once
-from ryewing.listing import LIST_SHARE
-from ryewing.machine import TaskPhase
-from ryewing.mesh import FRAME_MAX, ImageHint
-from ryewing.placer import ATTEMPTS_LEFT, NAMES_TOLD, name_some
-from ryewing.renter import RELEASED_KEPT
-from ryewing.settings import Settings
+from support.fakes import FakeWorker, policy, settings
+from support.harness import LeaderHarness
+
+from ryewing.clients.cloud import PAGE_MAX, RELEASE_MAX, RENT_MAX
+from ryewing.clients.machine_listing import LIST_SHARE
+from ryewing.clients.peers import FRAME_MAX, ImageHint
+from ryewing.config.settings import Settings
+from ryewing.leader.autoscaler import RELEASED_KEPT
+from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
+from ryewing.leader.worker_commands import SENDS_AT_ONCE, sends_at_once
+from ryewing.state.machine import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, Term, attempt_of
-from ryewing.wire import Command, ListedMachine
+from ryewing.wire.messages import Command, ListedMachine
 
 MACHINES = 4000
 MARGIN = 1.5
--- a/tests/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -7,17 +7,17 @@
 
 import msgspec
 import pytest
-from fakes import policy, settings
-from harness import LeaderHarness, starts, verbs
-
-from ryewing.jobs import JobRecord, final_key, live_key
-from ryewing.leadership import campaign, read_view
-from ryewing.machine import COLD, WARM, TaskPhase
-from ryewing.mesh import ImageHint
-from ryewing.store import Put, StoreUnavailableError
+from support.fakes import policy, settings
+from support.harness import LeaderHarness, starts, verbs
+
+from ryewing.clients.peers import ImageHint
+from ryewing.clients.store import Put, StoreUnavailableError
+from ryewing.election.leadership import campaign, read_view
+from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
+from ryewing.state.jobs import JobRecord, final_key, live_key
+from ryewing.state.machine import COLD, WARM, TaskPhase
 from ryewing.units import KeyVersion, MachineId, NodeName, Term, token_of
-from ryewing.wire import ReportedTask
-from ryewing.writer import MACHINE_PREFIX, MachineRecord
+from ryewing.wire.messages import ReportedTask
 
 
 def test_the_whole_way_of_an_array(harness: LeaderHarness) -> None:
--- a/tests/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -7,19 +7,19 @@
 
 import msgspec
 import pytest
-from api_client import Client
-from fakes import CPU, FakeStore, job_spec, settings
-from harness import LeaderHarness
-
-from ryewing import catalogue
-from ryewing.jobs import DONE_PREFIX, JobRecord, final_key, live_key
-from ryewing.paged_records import PagedRecords
-from ryewing.renter import REQUEST_PREFIX
-from ryewing.settings import SettingsError, load
-from ryewing.store import Put, RejectedError, StoreUnavailableError
+from support.api_client import Client
+from support.fakes import CPU, FakeStore, job_spec, settings
+from support.harness import LeaderHarness
+
+from ryewing.clients.store import Put, RejectedError, StoreUnavailableError
+from ryewing.config.settings import SettingsError, load
+from ryewing.leader.autoscaler import REQUEST_PREFIX
+from ryewing.leader.state_writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
+from ryewing.state import machine_type_catalogue as catalogue
+from ryewing.state.jobs import DONE_PREFIX, JobRecord, final_key, live_key
+from ryewing.state.paged_records import PagedRecords
 from ryewing.units import JobId, KeyVersion, MachineId
-from ryewing.wire import Entry, MachineType, RentalRequest
-from ryewing.writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
+from ryewing.wire.messages import Entry, MachineType, RentalRequest
 
 
 def raw_settings(**state: Any) -> Any:
--- a/tests/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -6,21 +6,22 @@
 from typing import Any
 
 import pytest
-from api_client import Client
-from fakes import CPU, job, job_spec, policy
-from harness import LeaderHarness, starts, verbs
-from placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
-from services import SERVICE, replicas, serve
-
-from ryewing import placement, queueing
-from ryewing.capacity import MachineCapacity, Quota
-from ryewing.fleet import CapacityBackoff, plan_rentals
-from ryewing.jobs import final_key, impossible
-from ryewing.machine import RAN_WELL_S
-from ryewing.settings import Objective
-from ryewing.store import Put
+from support.api_client import Client
+from support.fakes import CPU, job, job_spec, policy
+from support.harness import LeaderHarness, starts, verbs
+from support.placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
+from support.services import SERVICE, replicas, serve
+
+from ryewing import scheduling as placement
+from ryewing.autoscaling.planning import CapacityBackoff, plan_rentals
+from ryewing.clients.store import Put
+from ryewing.config.settings import Objective
+from ryewing.scheduling import queueing
+from ryewing.scheduling.capacity import MachineCapacity, Quota
+from ryewing.state.jobs import final_key, impossible
+from ryewing.state.machine import RAN_WELL_S
 from ryewing.units import MachineId, Steady, WallTime, Zone
-from ryewing.wire import ReportedTask
+from ryewing.wire.messages import ReportedTask
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -7,22 +7,24 @@
 
 import msgspec
 import pytest
-from fakes import CPU, GPU, FakeWorker, job_spec, policy, settings
-from harness import LeaderHarness
-
-from ryewing import placement
-from ryewing.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
-from ryewing.capacity import MachineCapacity, Quota
-from ryewing.cloud import RELEASE_MAX
-from ryewing.cluster_state import ClusterState
-from ryewing.dispatch import sends_at_once
-from ryewing.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
-from ryewing.machine import TaskPhase
-from ryewing.mesh import ImageHint
-from ryewing.node import API_SHARE, MESH_SHARE
-from ryewing.paged_records import PagedRecords
-from ryewing.stops import Stops
-from ryewing.store import Put, StoreUnavailableError
+from support.fakes import CPU, GPU, FakeWorker, job_spec, policy, settings
+from support.harness import LeaderHarness
+
+from ryewing import scheduling as placement
+from ryewing.api.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
+from ryewing.clients.cloud import RELEASE_MAX
+from ryewing.clients.peers import ImageHint
+from ryewing.clients.store import Put, StoreUnavailableError
+from ryewing.clients.workers import Workers
+from ryewing.leader.state_writer import MACHINE_PREFIX
+from ryewing.leader.worker_commands import sends_at_once
+from ryewing.process.node import API_SHARE, MESH_SHARE
+from ryewing.scheduling.capacity import MachineCapacity, Quota
+from ryewing.state.cluster_state import ClusterState
+from ryewing.state.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
+from ryewing.state.machine import TaskPhase
+from ryewing.state.paged_records import PagedRecords
+from ryewing.state.pending_terminations import Stops
 from ryewing.units import (
     Attempt,
     JobId,
@@ -35,9 +37,7 @@
     Zone,
     parse_task,
 )
-from ryewing.wire import Entry, ReportedTask
-from ryewing.workers import Workers
-from ryewing.writer import MACHINE_PREFIX
+from ryewing.wire.messages import Entry, ReportedTask
 
 T0 = Steady(1000.0)
 SIZES = [60, 260, 1000]
@@ -257,7 +257,7 @@
         parsed.append(text)
         return parse_task(text)
 
-    monkeypatch.setattr("ryewing.cluster_state.parse_task", counted)
+    monkeypatch.setattr("ryewing.state.cluster_state.parse_task", counted)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
--- a/tests/test_term_scope.py
+++ b/tests/leader/test_scope.py
@@ -7,21 +7,21 @@
 
 import msgspec
 import pytest
-from fakes import CPU, GPU, job_spec
-from harness import LeaderHarness, starts
-
-from ryewing.division import NoShardError, NotReadyError
-from ryewing.jobs import Job, JobRecord, live_key
-from ryewing.listing import LIST_SHARE
-from ryewing.mesh import ShardLoadAnswer
-from ryewing.placer import PASS_REST
-from ryewing.renter import Renter
+from support.fakes import CPU, GPU, job_spec
+from support.harness import LeaderHarness, starts
+
+from ryewing.clients.machine_listing import LIST_SHARE
+from ryewing.clients.peers import ShardLoadAnswer
+from ryewing.clients.store import Put, TxnResult
+from ryewing.leader.autoscaler import Renter
+from ryewing.leader.division import NoShardError, NotReadyError
+from ryewing.leader.scheduler import PASS_REST
+from ryewing.leader.scope import TermScope
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
-from ryewing.store import Put, TxnResult
-from ryewing.term_scope import TermScope
+from ryewing.state.jobs import Job, JobRecord, live_key
 from ryewing.units import JobId, KeyVersion, ShardName, Term, Zone
-from ryewing.wire import ListedMachine, MachineType
+from ryewing.wire.messages import ListedMachine, MachineType
 
 EAST, WEST = ShardName("east"), ShardName("west")
 DIVISION = ShardSettings((ShardSpec("east", ("a",)), ShardSpec("west", ("b", "c"))))
--- a/tests/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -10,16 +10,16 @@
 from typing import Any
 
 import pytest
-from fakes import FakeWorker, policy, settings
-from harness import LeaderHarness, starts, verbs
-
-from ryewing.dispatch import ORDERS_MAX
-from ryewing.leadership import campaign, may_campaign, read_view
-from ryewing.machine import TaskPhase
-from ryewing.store import Store, StoreUnavailableError
-from ryewing.transport import Reply
+from support.fakes import FakeWorker, policy, settings
+from support.harness import LeaderHarness, starts, verbs
+
+from ryewing.clients.http_client import Reply
+from ryewing.clients.store import Store, StoreUnavailableError
+from ryewing.election.leadership import campaign, may_campaign, read_view
+from ryewing.leader.worker_commands import ORDERS_MAX
+from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, Term, token_of
-from ryewing.wire import RentalRequest, Report, ReportedTask
+from ryewing.wire.messages import RentalRequest, Report, ReportedTask
 
 LEASE_S = settings().params.workers.lease_s
 REPORT_S = settings().params.workers.report_s
@@ -297,8 +297,8 @@
 ) -> None:
     """Found on a day with controllers apart: every two seconds one submission waited a second."""
     spawned: list[Callable[[], None]] = []
-    monkeypatch.setattr("ryewing.store.gevent.spawn", spawned.append)
-    monkeypatch.setattr("ryewing.store.gevent.sleep", lambda _seconds: None)
+    monkeypatch.setattr("ryewing.clients.store.gevent.spawn", spawned.append)
+    monkeypatch.setattr("ryewing.clients.store.gevent.sleep", lambda _seconds: None)
     store = Store(("127.0.0.1", 1), settings().params.state)
     direct: list[bool] = []
     answers = [False] * 4 + [True] * 9
--- a/tests/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -5,16 +5,16 @@
 import random
 
 import pytest
-from fakes import CPU, GPU, policy, settings
-from placement_world import T0, World
-
-from ryewing import placement
-from ryewing.capacity import Candidates, MachineCapacity, Quota
-from ryewing.jobs import Job
-from ryewing.machine import COLD, Machine
-from ryewing.placement.state import PassState
-from ryewing.placement.victims import Preemptor
-from ryewing.preemption import may_preempt
+from support.fakes import CPU, GPU, policy, settings
+from support.placement_world import T0, World
+
+from ryewing import scheduling as placement
+from ryewing.scheduling.capacity import Candidates, MachineCapacity, Quota
+from ryewing.scheduling.cycle_state import PassState
+from ryewing.scheduling.preemption import may_preempt
+from ryewing.scheduling.victims import Preemptor
+from ryewing.state.jobs import Job
+from ryewing.state.machine import COLD, Machine
 from ryewing.units import Steady
 
 IMAGES = 6
--- a/tests/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -10,15 +10,16 @@
 from typing import Any
 
 import pytest
-from fakes import CPU, job_spec, settings
-
-from ryewing import placement, queueing
-from ryewing.capacity import MachineCapacity, Quota
-from ryewing.cluster_state import ClusterState
-from ryewing.jobs import Job, JobRecord, JobTable
-from ryewing.machine import Assignment, TaskPhase
-from ryewing.settings import Team
-from ryewing.stops import Stops
+from support.fakes import CPU, job_spec, settings
+
+from ryewing import scheduling as placement
+from ryewing.config.settings import Team
+from ryewing.scheduling import queueing
+from ryewing.scheduling.capacity import MachineCapacity, Quota
+from ryewing.state.cluster_state import ClusterState
+from ryewing.state.jobs import Job, JobRecord, JobTable
+from ryewing.state.machine import Assignment, TaskPhase
+from ryewing.state.pending_terminations import Stops
 from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
 
 STEP_S = 5.0
--- a/tests/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -5,16 +5,12 @@
 from typing import Any
 
 import pytest
-from fakes import GPU, job
-from placement_world import T0, TEAMS, World, spread_of
-
-from ryewing import preemption, queueing
-from ryewing.units import (
-    JobId,
-    Steady,
-    WallTime,
-)
-from ryewing.wire import Report, ReportedTask
+from support.fakes import GPU, job
+from support.placement_world import T0, TEAMS, World, spread_of
+
+from ryewing.scheduling import preemption, queueing
+from ryewing.units import JobId, Steady, WallTime
+from ryewing.wire.messages import Report, ReportedTask
 
 
 def test_fullest_fitting_machine_first() -> None:
--- a/tests/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from fakes import job
-from placement_world import order_of
+from support.fakes import job
+from support.placement_world import order_of
 
 
 def test_what_can_be_on_time_goes_before_what_cannot() -> None:
--- a/tests/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -6,15 +6,15 @@
 
 import msgspec
 import pytest
-from fakes import CPU, GPU, job_spec, policy
-from harness import LeaderHarness, starts, verbs
-from placement_world import T0, World, spread_of
-from services import SERVICE, replicas, serve
-
-from ryewing.fleet import to_retire
-from ryewing.machine import Assignment, Machine, TaskPhase
-from ryewing.placement import SHORT_WAIT_S
-from ryewing.placer import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
+from support.fakes import CPU, GPU, job_spec, policy
+from support.harness import LeaderHarness, starts, verbs
+from support.placement_world import T0, World, spread_of
+from support.services import SERVICE, replicas, serve
+
+from ryewing.autoscaling.planning import to_retire
+from ryewing.leader.scheduler import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
+from ryewing.scheduling import SHORT_WAIT_S
+from ryewing.state.machine import Assignment, Machine, TaskPhase
 from ryewing.units import Attempt, MachineId, Steady, TaskId
 
 # -- where replicas go --------------------------------------------------------------------------
--- a/tests/test_allowance.py
+++ b/tests/sharding/test_allowance.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ryewing.settings import Team
+from ryewing.config.settings import Team
 from ryewing.sharding.allowance import (
     UNLIMITED,
     Allowances,
--- a/tests/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -5,19 +5,19 @@
 import random
 
 import pytest
-from cluster import Cluster
-from divided_fleet import EAST, WEST, MakeCluster, begin, bring_up, broken
-from fakes import GPU
-from harness import LeaderHarness
-from scenarios import Scenario
-from timed_workers import NAMES
-
-from ryewing.settings import Team
+from support.cluster import Cluster
+from support.divided_fleet import EAST, WEST, MakeCluster, begin, bring_up, broken
+from support.fakes import GPU
+from support.harness import LeaderHarness
+from support.scenarios import Scenario
+from support.timed_workers import NAMES
+
+from ryewing.clients.store import readable
+from ryewing.config.settings import Team
+from ryewing.leader.scope import TermScope
 from ryewing.sharding.allowance import Allowances, Amount, Claim, limit_of, target_of
 from ryewing.sharding.team_demand import TeamDemand
 from ryewing.sharding.team_limits import ShardTeamLimits
-from ryewing.store import readable
-from ryewing.term_scope import TermScope
 from ryewing.units import ShardName, Zone
 
 LIMIT = 8.0
--- a/tests/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 
 import pytest
-from cluster import Cluster
-from conftest import divided_clusters
-from divided_fleet import MakeCluster, begin, bring_up, broken, submit_some
-from timed_workers import NAMES, TimedWorker
+from support.clocks import divided_clusters
+from support.cluster import Cluster
+from support.divided_fleet import MakeCluster, begin, bring_up, broken, submit_some
+from support.timed_workers import NAMES, TimedWorker
 
 MOVES_A_SEED = 5
 SEEDS_IN_CI = 20
--- a/tests/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import pytest
-from fakes import FakeStore
-from harness import LeaderHarness, starts
+from support.fakes import FakeStore
+from support.harness import LeaderHarness, starts
 
-from ryewing.jobs import live_key
-from ryewing.leadership import HOLDER_KEY, read_view
+from ryewing.clients.store import Put
+from ryewing.election.leadership import HOLDER_KEY, read_view
+from ryewing.leader.scope import TermScope
 from ryewing.sharding.shard_store import ShardStore
-from ryewing.store import Put
-from ryewing.term_scope import TermScope
+from ryewing.state.jobs import live_key
 from ryewing.units import JobId, KeyVersion, Revision, ShardName, Zone
 
 
--- a/tests/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -6,8 +6,8 @@
 import random
 
 import pytest
-from cluster import Cluster
-from divided_fleet import (
+from support.cluster import Cluster
+from support.divided_fleet import (
     EAST,
     WEST,
     MakeCluster,
@@ -20,12 +20,12 @@
     serving,
     submit_some,
 )
-from scenarios import Scenario
-from timed_workers import NAMES
+from support.scenarios import Scenario
+from support.timed_workers import NAMES
 
+from ryewing.clients.store import Remove
 from ryewing.sharding.health import NODE_PREFIX, ControllerHealth
 from ryewing.sharding.ownership import Phase
-from ryewing.store import Remove
 from ryewing.units import NodeName, Steady
 
 
--- a/tests/test_sharded_loopback.py
+++ b/tests/sharding/test_sharded_loopback.py
@@ -11,8 +11,8 @@
 
 import msgspec
 import pytest
-from fakes import submission
-from test_whole import PATIENCE_S, ROOT, ask, free_base, until
+from support.fakes import submission
+from support.processes import LOOPBACK, PATIENCE_S, ROOT, ask, free_base, until
 
 TASKS = 6
 
@@ -27,7 +27,7 @@
         with self._lines.open("wb") as lines:
             self.process = subprocess.Popen(
                 [
-                    *(sys.executable, str(ROOT / "tests" / "loopback.py")),
+                    *(sys.executable, str(LOOPBACK)),
                     *("--port", str(port), "--shards", "zones:2", "--folder", str(folder)),
                 ],
                 stdout=lines,
--- a/tests/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -9,12 +9,14 @@
 
 import msgspec
 import pytest
-from fakes import RAW_SETTINGS, Clock, settings
-from timed_store import StoreLink, TimedStore
+from support.fakes import RAW_SETTINGS, Clock, settings
+from support.planner_inputs import random_inputs
+from support.timed_store import StoreLink, TimedStore
 
-from ryewing.cli import main
+from ryewing.clients.store import StoreUnavailableError
+from ryewing.process.cli import main
 from ryewing.sharding import exact, greedy, planner
-from ryewing.sharding.load import NodeRoom, PlanInputs, ShardLoad, cost, moves
+from ryewing.sharding.load import cost, moves
 from ryewing.sharding.ownership import (
     MoveRefusedError,
     Ownership,
@@ -27,12 +29,10 @@
 )
 from ryewing.sharding.registry import OWNER_PREFIX, DivisionDiffersError, ShardRegistry
 from ryewing.sharding.settings import ShardSettings, ShardSpec, problems
-from ryewing.store import StoreUnavailableError
-from ryewing.units import NodeName, ShardName, Steady
+from ryewing.units import NodeName, ShardName
 
 NODES = [NodeName(name) for name in ("n-0", "n-1", "n-2")]
 SHARD = ShardName("east")
-NOW = Steady(1000.0)
 
 
 @pytest.mark.parametrize(
@@ -208,26 +208,6 @@
     assert world.leading == last.owner
 
 
-def random_inputs(rng: random.Random, shards: int, nodes: int) -> PlanInputs:
-    names = [NodeName(f"n-{number}") for number in range(nodes)]
-    return PlanInputs(
-        [
-            ShardLoad(
-                ShardName(f"s-{number}"),
-                rng.choice((0.0, 0.05, 0.1, 0.3)),
-                rng.choice([*names, NodeName("gone"), None]),
-                rng.choice([None, None, None, names[0]]),
-                rng.choice([None, None, Steady(NOW - 10.0), Steady(NOW - 100.0)]),
-            )
-            for number in range(shards)
-        ],
-        [NodeRoom(name, rng.choice((0.4, 0.8))) for name in names],
-        NOW,
-        60.0,
-        rng.random() < 0.9,
-    )
-
-
 @pytest.mark.parametrize("seed", range(25))
 def test_the_plan_is_the_best_there_is_and_stays(seed: int) -> None:
     """Against every assignment there is; and planned again from there, nothing moves."""
--- a/tests/test_failures.py
+++ b/tests/state/test_failure_detector.py
@@ -6,13 +6,13 @@
 
 import msgspec
 import pytest
-from fakes import FakeWorker
-from harness import LeaderHarness
+from support.fakes import FakeWorker
+from support.harness import LeaderHarness
 
-from ryewing.failures import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
-from ryewing.jobs import Job
-from ryewing.machine import RAN_WELL_S
-from ryewing.mesh import ImageHint
+from ryewing.clients.peers import ImageHint
+from ryewing.state.failure_detector import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
+from ryewing.state.jobs import Job
+from ryewing.state.machine import RAN_WELL_S
 from ryewing.units import JobId, MachineId
 
 
@@ -50,7 +50,7 @@
     harness: LeaderHarness, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
-    caplog.set_level(logging.INFO, logger="ryewing.failures")
+    caplog.set_level(logging.INFO, logger="ryewing.state.failure_detector")
     workers = harness.ready_workers(5)
     job = failed_job(harness, workers)
     assert job.backoff_s == BACKOFF_MIN_S
--- a/tests/test_jobs.py
+++ b/tests/state/test_jobs.py
@@ -2,13 +2,10 @@
 
 from __future__ import annotations
 
-from fakes import job, job_spec
+from support.fakes import job, job_spec
 
-from ryewing.jobs import JobRecord, JobTable
-from ryewing.units import (
-    KeyVersion,
-    MachineId,
-)
+from ryewing.state.jobs import JobRecord, JobTable
+from ryewing.units import KeyVersion, MachineId
 
 
 def test_take_never_gives_a_task_twice() -> None:
--- a/tests/test_stops.py
+++ b/tests/state/test_pending_terminations.py
@@ -2,16 +2,10 @@
 
 from __future__ import annotations
 
-from placement_world import T0
+from support.placement_world import T0
 
-from ryewing.stops import RESEND_S, StopReason, Stops
-from ryewing.units import (
-    Attempt,
-    JobId,
-    MachineId,
-    Steady,
-    TaskId,
-)
+from ryewing.state.pending_terminations import RESEND_S, StopReason, Stops
+from ryewing.units import Attempt, JobId, MachineId, Steady, TaskId
 
 
 def test_tombstones_are_resent_until_gone() -> None:
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers of the tests."""
--- a/tests/api_client.py
+++ b/tests/support/api_client.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 import msgspec
-from fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
-from ryewing.api import Api
-from ryewing.finals import Finals
-from ryewing.jobs import JobRecord, final_key, live_key
-from ryewing.store import Put
+from ryewing.api.api import Api
+from ryewing.api.final_states import Finals
+from ryewing.clients.store import Put
+from ryewing.clients.user_request_limiter import UserQuota
+from ryewing.state.jobs import JobRecord, final_key, live_key
 from ryewing.units import JobId, ShardName, Zone
-from ryewing.user_quota import UserQuota
-from ryewing.wire import JobSpec, JobStatus, Report, ReportAnswer
+from ryewing.wire.messages import JobSpec, JobStatus, Report, ReportAnswer
+from support.fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 UNBOUNDED_RPS = 1e9
 """The rate of the store has tests of its own (`test_user_quota.py`)."""
--- a/tests/cluster.py
+++ b/tests/support/cluster.py
@@ -14,39 +14,30 @@
 from typing import Any
 
 import msgspec
-from fakes import (
-    CPU,
-    GPU,
-    RAW_SETTINGS,
-    Clock,
-    FakeCloud,
-    job_spec,
-    settings,
-    submission,
-)
-from rule_checker import RuleChecker
-from timed_store import StoreLink, TimedStore
-from timed_workers import NAMES, STEP_S, DirectLink, TimedWorker
-
-from ryewing.api import Api
-from ryewing.budget import Budget
-from ryewing.candidacy import Candidacy
-from ryewing.cloud import CloudUnavailableError
-from ryewing.leader import Leader
-from ryewing.leadership import may_campaign, read_view
-from ryewing.mesh import PeerUnavailableError, Request, Response
-from ryewing.node import Node
-from ryewing.policy import defaults
-from ryewing.settings import Settings
+
+from ryewing.api.api import Api
+from ryewing.clients.cloud import CloudUnavailableError
+from ryewing.clients.peers import PeerUnavailableError, Request, Response
+from ryewing.clients.store import Put, StoreUnavailableError
+from ryewing.clients.token_bucket import Budget
+from ryewing.config.policy import defaults
+from ryewing.config.settings import Settings
+from ryewing.election.leadership import may_campaign, read_view
+from ryewing.leader.leader import Leader
+from ryewing.process.leader_elector import Candidacy
+from ryewing.process.node import Node
 from ryewing.sharding.coordinator import Coordinator
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.registry import DivisionDiffersError
 from ryewing.sharding.serve import coordinator
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
-from ryewing.store import Put, StoreUnavailableError
 from ryewing.units import MachineId, ShardName, is_job_id, parse_task
-from ryewing.wire import GROUP, JobSpec, MachineTypeList, Report
+from ryewing.wire.messages import GROUP, JobSpec, MachineTypeList, Report
+from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
+from support.rule_checker import RuleChecker
+from support.timed_store import StoreLink, TimedStore
+from support.timed_workers import NAMES, STEP_S, DirectLink, TimedWorker
 
 PATIENCE_S = 10.0
 """How long a user who is refused asks again; the rules allow 75 s."""
--- a/tests/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -5,12 +5,11 @@
 import random
 from collections.abc import Callable
 
-from cluster import Cluster
-from timed_workers import NAMES
-
 from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
 from ryewing.sharding.registry import Registration, ShardRegistry
 from ryewing.units import NodeName, ShardName
+from support.cluster import Cluster
+from support.timed_workers import NAMES
 
 EAST, WEST = "shard-1", "shard-2"
 """Zone a, and zones b and c."""
--- a/tests/fakes.py
+++ b/tests/support/fakes.py
@@ -10,12 +10,8 @@
 
 import msgspec
 
-from ryewing.cloud import PAGE_MAX, NoCapacityError
-from ryewing.jobs import Job, JobRecord
-from ryewing.leadership import Authority, Leadership
-from ryewing.policy import Policy, defaults
-from ryewing.settings import Settings
-from ryewing.store import (
+from ryewing.clients.cloud import PAGE_MAX, NoCapacityError
+from ryewing.clients.store import (
     LeaseLostError,
     Put,
     RejectedError,
@@ -24,8 +20,12 @@
     TxnResult,
     WatchExpiredError,
 )
+from ryewing.config.policy import Policy, defaults
+from ryewing.config.settings import Settings
+from ryewing.election.leadership import Authority, Leadership
+from ryewing.state.jobs import Job, JobRecord
 from ryewing.units import KeyVersion, MachineId, Revision, Steady, Term
-from ryewing.wire import (
+from ryewing.wire.messages import (
     Change,
     ChangeLog,
     Command,
--- a/tests/harness.py
+++ b/tests/support/harness.py
@@ -5,18 +5,27 @@
 from typing import Any
 
 import msgspec
-from fakes import Clock, FakeCloud, FakeStore, FakeWorker, job_spec, leadership, policy, settings
-
-from ryewing.jobs import JobRecord, live_key
-from ryewing.leader import Leader
-from ryewing.leadership import TERM_KEY, Authority
-from ryewing.mesh import ImageHint
-from ryewing.settings import NextLimits
-from ryewing.store import Put
-from ryewing.term import TermContext
-from ryewing.term_scope import WHOLE_FLEET
+
+from ryewing.clients.peers import ImageHint
+from ryewing.clients.store import Put
+from ryewing.config.settings import NextLimits
+from ryewing.election.leadership import TERM_KEY, Authority
+from ryewing.leader.leader import Leader
+from ryewing.leader.scope import WHOLE_FLEET
+from ryewing.leader.term_context import TermContext
+from ryewing.state.jobs import JobRecord, live_key
 from ryewing.units import JobId, KeyVersion, MachineId, Token
-from ryewing.wire import Command, Report
+from ryewing.wire.messages import Command, Report
+from support.fakes import (
+    Clock,
+    FakeCloud,
+    FakeStore,
+    FakeWorker,
+    job_spec,
+    leadership,
+    policy,
+    settings,
+)
 
 
 class DirectWorkers:
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """A small world on loopback for the quick start: store, cloud, workers and controllers.
 
-    python3 tests/loopback.py --controllers 3 --port 18000
+    python3 tests/support/loopback.py --controllers 3 --port 18000
 
 It writes the controllers' settings files, starts them as processes of their own, and plays the
 rest in this one. Tasks run for their job's `guess_s`, replicas of a `daemon` until stopped. The
@@ -33,22 +33,21 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 sys.path[:0] = [str(ROOT / "src"), str(ROOT / "tests")]
 if (ROOT / "target" / "deps").is_dir():
     sys.path.insert(0, str(ROOT / "target" / "deps"))
 
 import gevent  # noqa: E402
 import msgspec  # noqa: E402
-from fakes import RAW_SETTINGS, FakeCloud, FakeStore, FakeWorker  # noqa: E402
 from gevent.pywsgi import WSGIServer  # noqa: E402
 
-from ryewing.cloud import NoCapacityError  # noqa: E402
-from ryewing.jobs import JobRecord, live_key  # noqa: E402
-from ryewing.store import LeaseLostError, Put, RejectedError, Remove  # noqa: E402
-from ryewing.transport import HttpClient, UnreachableError  # noqa: E402
+from ryewing.clients.cloud import NoCapacityError  # noqa: E402
+from ryewing.clients.http_client import HttpClient, UnreachableError  # noqa: E402
+from ryewing.clients.store import LeaseLostError, Put, RejectedError, Remove  # noqa: E402
+from ryewing.state.jobs import JobRecord, live_key  # noqa: E402
 from ryewing.units import JobId, KeyVersion, Revision  # noqa: E402
-from ryewing.wire import (  # noqa: E402
+from ryewing.wire.messages import (  # noqa: E402
     DAEMON,
     DirectCommands,
     ListedMachine,
@@ -59,6 +58,7 @@
     ReportAnswer,
     ReportedTask,
 )
+from support.fakes import RAW_SETTINGS, FakeCloud, FakeStore, FakeWorker  # noqa: E402
 
 Handler = Any
 BOOT_S = 1.0
--- a/tests/placement_world.py
+++ b/tests/support/placement_world.py
@@ -7,25 +7,16 @@
 from collections.abc import Sequence
 from typing import Any
 
-from fakes import CPU, GPU, job_spec, settings
-
-from ryewing import placement, queueing
-from ryewing.capacity import NO_RESERVE, MachineCapacity, Quota
-from ryewing.cluster_state import ClusterState
-from ryewing.jobs import Job, JobRecord, JobTable
-from ryewing.machine import Assignment, Machine, TaskPhase
-from ryewing.stops import Stops
-from ryewing.units import (
-    Attempt,
-    KeyVersion,
-    MachineId,
-    Steady,
-    TaskId,
-    Term,
-    WallTime,
-    Zone,
-)
-from ryewing.wire import MachineType
+from ryewing import scheduling as placement
+from ryewing.scheduling import queueing
+from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, Quota
+from ryewing.state.cluster_state import ClusterState
+from ryewing.state.jobs import Job, JobRecord, JobTable
+from ryewing.state.machine import Assignment, Machine, TaskPhase
+from ryewing.state.pending_terminations import Stops
+from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
+from ryewing.wire.messages import MachineType
+from support.fakes import CPU, GPU, job_spec, settings
 
 T0 = Steady(1000.0)
 
--- a/tests/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -5,12 +5,12 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from ryewing.jobs import CANCELLED, DONE
+from ryewing.state.jobs import CANCELLED, DONE
 from ryewing.units import parse_task
 
 if TYPE_CHECKING:
-    from cluster import Cluster
-    from timed_workers import TimedWorker
+    from support.cluster import Cluster
+    from support.timed_workers import TimedWorker
 
 
 class RuleChecker:
--- a/tests/scenarios.py
+++ b/tests/support/scenarios.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from cluster import Cluster
-from timed_workers import NAMES, TimedWorker
+from support.cluster import Cluster
+from support.timed_workers import NAMES, TimedWorker
 
 Scenario = Callable[[Cluster], None]
 
--- a/tests/services.py
+++ b/tests/support/services.py
@@ -4,10 +4,9 @@
 
 from typing import Any
 
-from fakes import FakeWorker
-from harness import LeaderHarness
-
 from ryewing.units import JobId
+from support.fakes import FakeWorker
+from support.harness import LeaderHarness
 
 SERVICE: dict[str, Any] = {
     "shape": "daemon",
--- a/tests/timed_store.py
+++ b/tests/support/timed_store.py
@@ -6,14 +6,11 @@
 from collections.abc import Callable
 
 import msgspec
-from fakes import (
-    Clock,
-    FakeStore,
-)
 
-from ryewing.store import LeaseLostError, Put, Remove, StoreUnavailableError, TxnResult
+from ryewing.clients.store import LeaseLostError, Put, Remove, StoreUnavailableError, TxnResult
 from ryewing.units import KeyVersion, Revision
-from ryewing.wire import Change, ChangeLog, Entry
+from ryewing.wire.messages import Change, ChangeLog, Entry
+from support.fakes import Clock, FakeStore
 
 
 class TimedStore(FakeStore):
--- a/tests/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -7,13 +7,11 @@
 from typing import TYPE_CHECKING, Any
 
 import msgspec
-from fakes import (
-    FakeWorker,
-)
 
+from ryewing.clients.workers import WorkerUnavailableError
 from ryewing.units import Token
-from ryewing.wire import Command, Report, ReportedTask
-from ryewing.workers import WorkerUnavailableError
+from ryewing.wire.messages import Command, Report, ReportedTask
+from support.fakes import FakeWorker
 
 STEP_S = 0.25
 """How much time passes at once."""
@@ -22,7 +20,7 @@
 
 
 if TYPE_CHECKING:
-    from cluster import Cluster
+    from support.cluster import Cluster
 
 
 class TimedWorker(FakeWorker):
--- a/tests/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -7,11 +7,11 @@
 
 import msgspec
 import pytest
-from cluster import Cluster
-from scenarios import Scenario, running, serving
-from timed_workers import NAMES
+from support.cluster import Cluster
+from support.scenarios import Scenario, running, serving
+from support.timed_workers import NAMES
 
-from ryewing.store import Put
+from ryewing.clients.store import Put
 from ryewing.units import Revision
 
 
--- a/tests/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -11,13 +11,13 @@
 
 import msgspec
 import pytest
-from cluster import Cluster
-from fakes import job_spec
-from scenarios import Scenario, running, serving
-from timed_workers import NAMES
+from support.cluster import Cluster
+from support.fakes import job_spec
+from support.scenarios import Scenario, running, serving
+from support.timed_workers import NAMES
 
-from ryewing.jobs import JobRecord
-from ryewing.wire import ReportedTask
+from ryewing.state.jobs import JobRecord
+from ryewing.wire.messages import ReportedTask
 
 
 def test_without_troubles(cluster: Cluster) -> None:
--- a/tests/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 import pytest
-from cluster import Cluster
-from timed_workers import NAMES, TimedWorker
+from support.cluster import Cluster
+from support.timed_workers import NAMES, TimedWorker
 
 from ryewing.units import parse_task
 
--- a/tests/test_whole.py
+++ b/tests/system/test_whole.py
@@ -2,43 +2,24 @@
 
 from __future__ import annotations
 
-import socket
 import subprocess
 import sys
 import time
-import urllib.error
-import urllib.request
 from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
 import msgspec
 import pytest
-from fakes import RAW_SETTINGS, submission
-
-ROOT = Path(__file__).resolve().parent.parent
-PATIENCE_S = 90.0
-"""Far above what is needed: a slow machine must not change the verdict."""
-
-
-def free_base() -> int:
-    """Find a range of ports whose first ones are free."""
-    for base in range(21000, 60000, 500):
-        try:
-            for port in (base, base + 1, base + 10, base + 14, base + 100):
-                with socket.socket() as probe:
-                    probe.bind(("127.0.0.1", port))
-        except OSError:
-            continue
-        return base
-    raise RuntimeError("no free ports")
+from support.fakes import RAW_SETTINGS, submission
+from support.processes import LOOPBACK, PATIENCE_S, ROOT, ask, free_base, until
 
 
 @pytest.fixture(scope="module")
 def base() -> Iterator[int]:
     port = free_base()
     process = subprocess.Popen(
-        [sys.executable, str(ROOT / "tests" / "loopback.py"), "--port", str(port)],
+        [sys.executable, str(LOOPBACK), "--port", str(port)],
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
     )
@@ -49,29 +30,6 @@
         process.wait(30)
 
 
-def ask(url: str, body: bytes | None = None) -> tuple[int, Any]:
-    request = urllib.request.Request(url, body, method="POST" if body is not None else "GET")
-    try:
-        with urllib.request.urlopen(request, timeout=5) as reply:
-            return reply.status, msgspec.json.decode(reply.read())
-    except urllib.error.HTTPError as error:
-        return error.code, msgspec.json.decode(error.read())
-    except OSError:
-        return 0, None
-
-
-def until(url: str, wanted: str, body: bytes | None = None) -> Any:
-    """Ask until the state is the wanted one."""
-    end = time.monotonic() + PATIENCE_S
-    answer: Any = None
-    while time.monotonic() < end:
-        status, answer = ask(url, body)
-        if status in (200, 201) and answer["status"] == wanted:
-            return answer
-        time.sleep(0.2)
-    raise AssertionError(f"{url}: last answer {answer}")
-
-
 def test_submit_run_and_cancel_through_any_controller(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
     body = msgspec.json.encode(submission("run-000001", estimated_s=0.5, task_count=5, spot=True))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -10,11 +10,14 @@
 
 import msgspec
 import pytest
-from fakes import CPU, GPU, job_spec
-from harness import LeaderHarness
-
-from ryewing import mesh
-from ryewing.jobs import (
+from support.fakes import CPU, GPU, job_spec
+from support.harness import LeaderHarness
+
+from ryewing.clients import peers as mesh
+from ryewing.clients.store import Put
+from ryewing.election.leadership import Holder, TermRecord
+from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
+from ryewing.state.jobs import (
     DONE_PREFIX,
     FinalRecord,
     Job,
@@ -23,12 +26,9 @@
     final_key,
     live_key,
 )
-from ryewing.leadership import Holder, TermRecord
-from ryewing.paged_records import PagedRecords
-from ryewing.store import Put
+from ryewing.state.paged_records import PagedRecords
 from ryewing.units import JobId, KeyVersion, MachineId, WallTime
-from ryewing.wire import MachineTypeList, RentalRequest
-from ryewing.writer import MACHINE_PREFIX, MachineRecord
+from ryewing.wire.messages import MachineTypeList, RentalRequest
 
 # -- as 0.1.0 writes them -----------------------------------------------------------------------
 
--- a/tests/test_wire.py
+++ b/tests/wire/test_messages.py
@@ -6,19 +6,12 @@
 
 import msgspec
 import pytest
-from fakes import job_spec, submission
-from placement_world import FLAVOURS, TEAMS
-
-from ryewing.jobs import impossible
-from ryewing.units import (
-    JobId,
-    TaskId,
-    Term,
-    attempt_of,
-    is_job_id,
-    parse_task,
-)
-from ryewing.wire import MalformedError, read_job_spec
+from support.fakes import job_spec, submission
+from support.placement_world import FLAVOURS, TEAMS
+
+from ryewing.state.jobs import impossible
+from ryewing.units import JobId, TaskId, Term, attempt_of, is_job_id, parse_task
+from ryewing.wire.messages import MalformedError, read_job_spec
 
 
 @pytest.mark.parametrize(
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -15,11 +15,11 @@
 from unittest import mock
 
 import msgspec
-from conftest import TERM_PARTS
-from fakes import Clock, FakeWorker, settings
-from harness import LeaderHarness
+from support.clocks import TERM_PARTS
+from support.fakes import Clock, FakeWorker, settings
+from support.harness import LeaderHarness
 
-from ryewing import fleet
+from ryewing.autoscaling import planning as fleet
 from ryewing.units import WallTime
 
 REPEATS = 7
@@ -153,7 +153,10 @@
     sizes: list[int] = parser.parse_args().machines
     clock = Clock()
     clocks = [mock.patch(f"ryewing.{part}.steady_now", clock) for part in TERM_PARTS]
-    for patched in (*clocks, mock.patch("ryewing.placer.wall_now", return_value=WallTime(0.0))):
+    for patched in (
+        *clocks,
+        mock.patch("ryewing.leader.scheduler.wall_now", return_value=WallTime(0.0)),
+    ):
         patched.start()
     for size in sizes:
         print(msgspec.json.encode(measure(size, clock).figures).decode(), flush=True)
--- a/tools/measure_planner.py
+++ b/tools/measure_planner.py
@@ -8,7 +8,7 @@
 import random
 import time
 
-from test_sharding import random_inputs
+from support.planner_inputs import random_inputs
 
 from ryewing.sharding import exact, greedy
 from ryewing.sharding.load import cost, moves
--- a/tools/measure_shards.py
+++ b/tools/measure_shards.py
@@ -25,10 +25,9 @@
 from statistics import median
 
 import msgspec
-from fakes import submission
-from test_whole import ask, free_base
+from support.fakes import submission
+from support.processes import LOOPBACK, ROOT, ask, free_base
 
-ROOT = Path(__file__).resolve().parent.parent
 ZONES = "abc"
 PACE_S = 1.0
 """How often a job of one task comes to each zone, where the cost of a job is measured."""
@@ -52,7 +51,7 @@
         with self._lines.open("wb") as lines:
             self.process = subprocess.Popen(
                 [
-                    *(sys.executable, str(ROOT / "tests" / "loopback.py")),
+                    *(sys.executable, str(LOOPBACK)),
                     *("--port", str(self.port), "--folder", str(folder), *options),
                 ],
                 stdout=lines,
