--- a/src/ryewing/api/api.py
+++ b/src/ryewing/api/api.py
@@ -42,11 +42,11 @@
 from ryewing.units import (
     JobId,
     KeyVersion,
+    MonotonicTime,
     ShardName,
-    Steady,
     Zone,
     is_job_id,
-    steady_now,
+    monotonic_now,
     wall_now,
 )
 from ryewing.wire.messages import (
@@ -232,14 +232,14 @@
         """Write the job if it is new. What a user is told is in the store first."""
         conditions = {live_key(job): KeyVersion(0), final_key(job): KeyVersion(0)}
         writes = [Put(live_key(job), record)]
-        until = Steady(steady_now() + 0.6)
+        until = MonotonicTime(monotonic_now() + 0.6)
         while True:
             self._node.user_quota.admit(UserRequest.CHANGE)
             try:
                 result = self._txn(conditions, writes)
                 break
             except ThrottledError:
-                if steady_now() >= until:
+                if monotonic_now() >= until:
                     return self._busy("the state service is busy")
                 gevent.sleep(0.08)
             except RejectedError as error:
--- a/src/ryewing/autoscaling/planning.py
+++ b/src/ryewing/autoscaling/planning.py
@@ -13,7 +13,7 @@
 from ryewing.scheduling.capacity import allows
 from ryewing.state.jobs import EPSILON, Job, count_fitting, fits_machine_type
 from ryewing.state.machine import Machine
-from ryewing.units import MachineId, Steady, Zone
+from ryewing.units import MachineId, MonotonicTime, Zone
 from ryewing.wire.messages import JobSpec, MachineType
 
 Option = tuple[str, str, bool]
@@ -31,24 +31,24 @@
     """What the cloud was seen not to have, and until when it isn't asked again."""
 
     def __init__(self) -> None:
-        self._until: dict[Option, Steady] = {}
+        self._until: dict[Option, MonotonicTime] = {}
         self._pause: dict[Option, float] = {}
 
-    def refused(self, option: Option, now: Steady) -> None:
+    def refused(self, option: Option, now: MonotonicTime) -> None:
         """There was none; back off, longer each time."""
         pause = self._pause.get(option, 0.5 * NO_CAPACITY_S) * 2
         pause = min(pause, NO_CAPACITY_MAX_S)
         self._pause[option] = pause
-        self._until[option] = Steady(now + pause)
+        self._until[option] = MonotonicTime(now + pause)
 
     def granted(self, option: Option) -> None:
         """There was some."""
         self._pause.pop(option, None)
         self._until.pop(option, None)
 
-    def may_request(self, option: Option, now: Steady) -> bool:
+    def may_request(self, option: Option, now: MonotonicTime) -> bool:
         """Tell whether it is worth asking."""
-        return now >= self._until.get(option, Steady(0.0))
+        return now >= self._until.get(option, MonotonicTime(0.0))
 
 
 class RentalPlan:
@@ -78,7 +78,7 @@
 
 
 def options_for(
-    job: Job, machine_types: dict[str, MachineType], backoff: CapacityBackoff, now: Steady
+    job: Job, machine_types: dict[str, MachineType], backoff: CapacityBackoff, now: MonotonicTime
 ) -> list[Option]:
     """List what could be rented for a job, the best first.
 
@@ -190,7 +190,7 @@
     machine_types: dict[str, MachineType],
     backoff: CapacityBackoff,
     policy: Policy,
-    now: Steady,
+    now: MonotonicTime,
 ) -> list[RentalPlan]:
     """Turn what is short into machines to rent, beyond those that are booting."""
     room = _BootingRoom(booting)
@@ -268,7 +268,10 @@
 
 
 def to_return(
-    machines: Iterable[Machine], waiting: Sequence[tuple[Job, int]], policy: Policy, now: Steady
+    machines: Iterable[Machine],
+    waiting: Sequence[tuple[Job, int]],
+    policy: Policy,
+    now: MonotonicTime,
 ) -> list[Machine]:
     """Choose idle machines that nothing waiting could use.
 
--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -10,7 +10,7 @@
 
 from ryewing.clients.cloud import Cloud
 from ryewing.clients.token_bucket import Budget
-from ryewing.units import MachineId, Steady, steady_now
+from ryewing.units import MachineId, MonotonicTime, monotonic_now
 from ryewing.wire.messages import ListedMachine
 
 LIST_EVERY_S = 4.0
@@ -31,18 +31,18 @@
 
     def __init__(self, cloud: Cloud, cloud_rps: float) -> None:
         self.cloud = cloud
-        self._budget = Budget(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, steady_now)
-        self._began_at = Steady(-1e9)
+        self._budget = Budget(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
+        self._began_at = MonotonicTime(-1e9)
         self._since = ""
         self._names: set[MachineId] = set()
 
-    def due(self, now: Steady) -> bool:
+    def due(self, now: MonotonicTime) -> bool:
         """Tell whether a page should be read now; it has to be, if so."""
         if not self._since and now - self._began_at < LIST_EVERY_S:
             return False
         return self._budget.take()
 
-    def read_page(self, now: Steady) -> ListPage:
+    def read_page(self, now: MonotonicTime) -> ListPage:
         """Read the next page, the first one after the last."""
         if not self._since:
             self._began_at = now
--- a/src/ryewing/clients/token_bucket.py
+++ b/src/ryewing/clients/token_bucket.py
@@ -4,13 +4,15 @@
 
 from collections.abc import Callable
 
-from ryewing.units import Steady, steady_now
+from ryewing.units import MonotonicTime, monotonic_now
 
 
 class Budget:
     """A rate with a burst; asks are answered at once, never queued here."""
 
-    def __init__(self, rate: float, burst: float, clock: Callable[[], Steady] = steady_now) -> None:
+    def __init__(
+        self, rate: float, burst: float, clock: Callable[[], MonotonicTime] = monotonic_now
+    ) -> None:
         self.rate = rate
         self.burst = max(1.0, burst)
         self._clock = clock
--- a/src/ryewing/clients/user_request_limiter.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from ryewing.clients.token_bucket import Budget
-from ryewing.units import Steady, steady_now
+from ryewing.units import MonotonicTime, monotonic_now
 
 USER_SHARE = 0.5
 """The part of `state.rps` that users' requests may take, all controllers together."""
@@ -46,14 +46,14 @@
     """Admits users' requests to the store, and counts what they cost."""
 
     def __init__(
-        self, store_rps: float, controllers: int, clock: Callable[[], Steady] = steady_now
+        self, store_rps: float, controllers: int, clock: Callable[[], MonotonicTime] = monotonic_now
     ) -> None:
         self._full_rate = USER_SHARE * store_rps / controllers
         self._budget = Budget(self._full_rate, self._full_rate, clock)
         self._clock = clock
         self._factor = 1.0
         self._factor_at = clock()
-        self._shrunk_at = Steady(-1e9)
+        self._shrunk_at = MonotonicTime(-1e9)
 
     def admit(self, request: UserRequest) -> None:
         """Let a request go to the store, or raise QuotaExceededError.
--- a/src/ryewing/election/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -21,7 +21,7 @@
     TxnResult,
     readable,
 )
-from ryewing.units import DRIFT, KeyVersion, NodeName, Revision, Steady, Term, steady_now
+from ryewing.units import DRIFT, KeyVersion, MonotonicTime, NodeName, Revision, Term, monotonic_now
 
 HOLDER_KEY = "lead/holder"
 TERM_KEY = "lead/term"
@@ -34,7 +34,7 @@
 
 
 class Authority:
-    """What the leader may do now, by its steady clock.
+    """What the leader may do now, by its monotonic clock.
 
     It rests on two confirmations by the store, each counted from the moment at which what was
     *confirmed* had been sent: the lease can't have begun before that, and of the jobs all that was
@@ -49,24 +49,24 @@
     def __init__(self, lease_s: float, hold_s: float) -> None:
         self._lease_s = lease_s * (1 - DRIFT) - 0.05
         self._hold_s = hold_s * (1 - DRIFT)
-        self.renewed_at: Steady | None = None
-        self.followed_at: Steady | None = None
+        self.renewed_at: MonotonicTime | None = None
+        self.followed_at: MonotonicTime | None = None
 
-    def confirm(self, sent_at: Steady) -> None:
+    def confirm(self, sent_at: MonotonicTime) -> None:
         """Take note of a renewal that the store has confirmed."""
         if self.renewed_at is None or sent_at > self.renewed_at:
             self.renewed_at = sent_at
 
-    def follow(self, asked_at: Steady) -> None:
+    def follow(self, asked_at: MonotonicTime) -> None:
         """Take note that all changes of the jobs made before this are known."""
         if self.followed_at is None or asked_at > self.followed_at:
             self.followed_at = asked_at
 
-    def expired_session(self, now: Steady) -> bool:
+    def expired_session(self, now: MonotonicTime) -> bool:
         """Tell whether the lease may have ended."""
         return self.renewed_at is None or now >= self.renewed_at + self._lease_s
 
-    def may_start(self, now: Steady) -> bool:
+    def may_start(self, now: MonotonicTime) -> bool:
         """Starting tasks, renting and answering users need an unexpired lease and the jobs."""
         return (
             not self.expired_session(now)
@@ -74,7 +74,7 @@
             and now < self.followed_at + FOLLOW_S
         )
 
-    def may_answer(self, now: Steady) -> bool:
+    def may_answer(self, now: MonotonicTime) -> bool:
         """Workers may be kept alive for the hold, so that a state outage costs no work.
 
         Bounded, since a node that alone lost the store, or hears no changes, hears of no cancels:
@@ -164,7 +164,7 @@
     store: TermStore, view: View, node: NodeName, boot: str, lease_s: float, hold_s: float
 ) -> Leadership | None:
     """Try to take over; None if somebody else was first. Raises StoreUnavailableError."""
-    sent_at = steady_now()
+    sent_at = monotonic_now()
     lease = store.grant(lease_s)
     term = Term(view.term + 1)
 
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -28,7 +28,7 @@
 from ryewing.leader.worker_commands import Dispatch
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.machine import Machine
-from ryewing.units import MachineId, Steady, Zone, steady_now
+from ryewing.units import MachineId, MonotonicTime, Zone, monotonic_now
 from ryewing.wire.messages import MachineType, RentalRequest
 
 log = logging.getLogger("ryewing.leader.autoscaler")
@@ -64,7 +64,7 @@
         self.capacity_backoff = fleet.CapacityBackoff()
         self.pending_requests: dict[str, RentalRequest] = {}
         self._requests = 0
-        self._machine_types_at = Steady(-1e9)
+        self._machine_types_at = MonotonicTime(-1e9)
         self._only_listed: dict[MachineId, int] = {}
         """Machines known from lists alone, and how many lists in a row have lacked them."""
         self._types_kept: frozenset[str] = frozenset()
@@ -91,7 +91,7 @@
                 log.debug("event=fleet-store-down error=%s", error)
 
     def _fleet_step(self) -> None:
-        now = steady_now()
+        now = monotonic_now()
         gone = self.to_give_up(now)
         if gone:
             self.release(gone)
@@ -105,7 +105,10 @@
             return
         self._retire()
         returned = fleet.to_return(
-            self.ctx.cluster.machines.values(), self.placer.unplaced, self.ctx.policy, steady_now()
+            self.ctx.cluster.machines.values(),
+            self.placer.unplaced,
+            self.ctx.policy,
+            monotonic_now(),
         )
         if returned:
             self.release([(machine, "idle") for machine in returned])
@@ -124,10 +127,10 @@
                 self.ctx.place.set()
             elif not machine.retiring and machine.id in wanted and budget > 0:
                 machine.retiring = True
-                machine.retiring_since = steady_now()
+                machine.retiring_since = monotonic_now()
                 budget -= 1
 
-    def to_give_up(self, now: Steady) -> list[tuple[Machine, str]]:
+    def to_give_up(self, now: MonotonicTime) -> list[tuple[Machine, str]]:
         """Machines that are better released than waited for.
 
         When many fall silent at once the fault may be on our side, and then each is only given
@@ -164,7 +167,7 @@
             result += [(machine, "unheeding") for machine in unacknowledging]
         return result
 
-    def _heard_since(self, machine: Machine) -> Steady | None:
+    def _heard_since(self, machine: Machine) -> MonotonicTime | None:
         """Tell when a machine was last heard; None if it may never have booted."""
         if machine.heard_at is not None:
             return machine.heard_at
@@ -203,7 +206,7 @@
             for machine, _why in chosen:
                 machine.leaving = False
             raise
-        now = steady_now()
+        now = monotonic_now()
         for machine, why in chosen:
             log.info(
                 "event=released machine=%s flavour=%s spot=%s why=%s tasks=%d",
@@ -226,7 +229,7 @@
 
     def _read_machine_types(self) -> None:
         machine_types = self.cloud.machine_types()
-        self._machine_types_at = steady_now()
+        self._machine_types_at = monotonic_now()
         self.ctx.set_machine_types(machine_types)
         kept = frozenset(machine_type.name for machine_type in machine_types)
         if kept != self._types_kept:
@@ -236,7 +239,7 @@
 
     def read_list(self) -> None:
         """Read a page of the cloud's list, and take in what it tells."""
-        now = steady_now()
+        now = monotonic_now()
         failed = []
         page = self.listing.read_page(now)
         for listed in page.machines:
@@ -252,7 +255,7 @@
                     listed.spot,
                     now,
                 )
-                machine.rented_at = Steady(now - listed.age_s)
+                machine.rented_at = MonotonicTime(now - listed.age_s)
                 self._only_listed[name] = 0
                 log.info("event=listed-machine machine=%s status=%s", name, listed.status)
             if listed.address and not machine.address:
@@ -283,11 +286,11 @@
                 self._only_listed[name] += 1
                 if self._only_listed[name] >= UNLISTED_TWICE:
                     del self._only_listed[name]
-                    self.ctx.cluster.remove(machine, steady_now())
+                    self.ctx.cluster.remove(machine, monotonic_now())
 
     def rent(self) -> None:
         """Ask for what is short, beyond what is booting."""
-        now = steady_now()
+        now = monotonic_now()
         booting = [
             m
             for m in self.ctx.cluster.machines.values()
@@ -336,9 +339,9 @@
             names = self.cloud.rent(request)
         except NoCapacityError:
             log.info("event=no-capacity flavour=%s site=%s spot=%s", *option)
-            self.capacity_backoff.refused(option, steady_now())
+            self.capacity_backoff.refused(option, monotonic_now())
             names = []
-        now = steady_now()
+        now = monotonic_now()
         if names:
             if len(names) < request.count:
                 self.capacity_backoff.refused(option, now)
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -13,7 +13,7 @@
 from ryewing.leader.worker_commands import Dispatch
 from ryewing.state.jobs import LIVE_PREFIX, Job, JobRecord, read_record
 from ryewing.state.pending_terminations import StopReason
-from ryewing.units import JobId, KeyVersion, Revision, Steady, steady_now
+from ryewing.units import JobId, KeyVersion, MonotonicTime, Revision, monotonic_now
 from ryewing.wire.messages import JobStatus
 
 log = logging.getLogger("ryewing.leader.job_watcher")
@@ -73,7 +73,7 @@
         if not job.done_count:
             # Its user calls off a job that never finished anything: the mistake may be its own.
             self.ctx.cluster.failures.clear_faults(job)
-        now = steady_now()
+        now = monotonic_now()
         for assignment in self.ctx.cluster.assignments_of(job):
             self.dispatch.stop_assignment(assignment, 0.0, StopReason.CANCELLED, now)
         self.ctx.write.set()
@@ -90,7 +90,7 @@
 
     def watch_once(self) -> None:
         """Wait for changes of the jobs, and take them in."""
-        asked_at = steady_now()
+        asked_at = monotonic_now()
         changes = self.ctx.store.watch(LIVE_PREFIX, self.revision, WATCH_S)
         for change in changes.log:
             if change.set is not None:
@@ -102,7 +102,7 @@
         if changes.log:
             self.ctx.place.set()
 
-    def _followed(self, asked_at: Steady) -> None:
+    def _followed(self, asked_at: MonotonicTime) -> None:
         """All that was in the store at this time is known."""
         self.ctx.authority.follow(asked_at)
         # Whatever came while this was under way, the next one is asked after that.
@@ -137,7 +137,7 @@
 
     def _reread(self) -> None:
         while True:
-            asked_at = steady_now()
+            asked_at = monotonic_now()
             try:
                 entries, revision = self.ctx.store.listing(LIVE_PREFIX)
                 break
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -24,7 +24,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import PROBE_AFTER, Dispatch
 from ryewing.state.machine import TaskPhase
-from ryewing.units import JobId, KeyVersion, Steady, Term, steady_now
+from ryewing.units import JobId, KeyVersion, MonotonicTime, Term, monotonic_now
 from ryewing.wire.messages import JobStatus, Report, ReportAnswer
 
 log = logging.getLogger("ryewing.leader.leader")
@@ -62,7 +62,7 @@
         self._greenlets: list[gevent.Greenlet] = []
         self.extra_loops: list[Callable[[], None]] = []
         """Run for as long as the term lasts, besides its own."""
-        self._state_logged_at = Steady(-1e9)
+        self._state_logged_at = MonotonicTime(-1e9)
         self._tended_at = self._running_since = self.ctx.began
 
     @property
@@ -150,7 +150,7 @@
 
     def renew_once(self) -> bool:
         """Ask the store to renew the lease; False if it did not answer."""
-        sent_at = steady_now()
+        sent_at = monotonic_now()
         try:
             self.ctx.store.renew(self.ctx.leadership.lease, self.ctx.policy.store_lease_s / 3)
         except LeaseLostError:
@@ -193,7 +193,7 @@
             len(self.ctx.job_table.jobs),
             len(self.ctx.cluster.machines),
             len(self.renter.pending_requests),
-            steady_now() - self.ctx.began,
+            monotonic_now() - self.ctx.began,
         )
         self.ctx.loaded.set()
         for machine in list(self.ctx.cluster.machines.values()):
@@ -218,7 +218,7 @@
 
     def tend_once(self) -> None:
         """See to leases that have ended, stops that are due, and silent machines."""
-        now = steady_now()
+        now = monotonic_now()
         if now - self._tended_at > STALL_S:
             self._running_since = now
         self._tended_at = now
@@ -239,7 +239,7 @@
             # Another node may reach them; waiting for it costs every machine its tasks.
             self.resign(CUT)
 
-    def is_cut_from_workers(self, now: Steady) -> bool:
+    def is_cut_from_workers(self, now: MonotonicTime) -> bool:
         """Tell whether most machines fell silent at once, so that the fault is likely here.
 
         Each has missed a report and not answered when asked directly. Time in which this process
@@ -256,7 +256,7 @@
             silent += now - max(machine.heard_at, self._running_since) > longest_s
         return known >= CUT_MACHINES and silent > CUT_SHARE * known
 
-    def _log_state(self, now: Steady) -> None:
+    def _log_state(self, now: MonotonicTime) -> None:
         """Tell a reader of the log, every ten seconds, what there is and what waits."""
         if now - self._state_logged_at < TELL_EVERY_S:
             return
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -17,7 +17,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.jobs import DONE_PREFIX, LIVE_PREFIX, Job, read_record
-from ryewing.units import DRIFT, JobId, KeyVersion, MachineId, Steady, Zone, steady_now
+from ryewing.units import DRIFT, JobId, KeyVersion, MachineId, MonotonicTime, Zone, monotonic_now
 from ryewing.wire.messages import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
@@ -55,7 +55,7 @@
 
     def load(self) -> None:
         """Read everything; raise StoreUnavailableError to be called again."""
-        now = steady_now()
+        now = monotonic_now()
         types = self._renter.load_types()
         if types:
             self._ctx.set_machine_types(types)
@@ -66,7 +66,7 @@
             self._apply_hint(self._hint, now)
         self._load_requests()
 
-    def _load_jobs(self, now: Steady) -> None:
+    def _load_jobs(self, now: MonotonicTime) -> None:
         entries, self._intake.revision = self._ctx.store.listing(LIVE_PREFIX)
         for entry in entries:
             record = read_record(entry.data, entry.key)
@@ -98,7 +98,7 @@
         job = self._ctx.job_table.get(chunk.job)
         return None if job is None or job.endless else job
 
-    def _load_machines(self, now: Steady) -> None:
+    def _load_machines(self, now: MonotonicTime) -> None:
         # Whoever led before may have answered workers until its hold ended, and the last of
         # these answers is good for one lease.
         lease_s = self._ctx.settings.params.workers.lease_s
@@ -119,10 +119,10 @@
             machine.address = record.address
             if record.heard:
                 machine.recorded = True
-                machine.may_hold_until = Steady(now + longest_s)
+                machine.may_hold_until = MonotonicTime(now + longest_s)
         self._writer.to_record.update(MachineId(name) for name in twice)
 
-    def _apply_hint(self, hint: ImageHint, now: Steady) -> None:
+    def _apply_hint(self, hint: ImageHint, now: MonotonicTime) -> None:
         self._ctx.cluster.restore_images(hint.images, hint.machines)
         # Without it each new leader let whole batches of such jobs fail once more.
         for name, delay_s in hint.failing.items():
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -27,10 +27,10 @@
     Attempt,
     JobId,
     MachineId,
-    Steady,
+    MonotonicTime,
     TaskId,
     attempt_of,
-    steady_now,
+    monotonic_now,
     wall_now,
 )
 from ryewing.wire.messages import JobSpec
@@ -88,7 +88,7 @@
         """Passes made in this term, and machines that they looked at: their cost."""
         self._attempts = 0
         self._reserved_for: JobId | None = None
-        self._moved_at: dict[str, Steady] = {}
+        self._moved_at: dict[str, MonotonicTime] = {}
         """By class, when a replica was last moved; without one, when the term began."""
         self._recent_specs: dict[str, JobSpec] = {}
         """By class, what a task takes that was asked for lately."""
@@ -113,7 +113,7 @@
         """Tell whether the rebuild is over: every machine heard, or waited for long enough."""
         if self.gathered:
             return True
-        waited = steady_now() - self.ctx.began
+        waited = monotonic_now() - self.ctx.began
         if waited < self.ctx.policy.gather_s and any(True for _ in self.ctx.cluster.unheard()):
             return False
         self.gathered = True
@@ -132,7 +132,7 @@
             # Attempts never repeat, so those of a term are bounded; the next one has new ones.
             self.ctx.lose("attempts-used-up")
             return
-        now = steady_now()
+        now = monotonic_now()
         cluster = self.ctx.cluster
         cluster.drop_stale_plans(now, 2 * self.ctx.settings.params.workers.report_s + 2)
         unheard = list(cluster.unheard())
@@ -162,7 +162,7 @@
             self._recent_specs[name] = job.spec
 
     def _pass_inputs(
-        self, unheard: Sequence[Machine], gpus_kept: float, now: Steady
+        self, unheard: Sequence[Machine], gpus_kept: float, now: MonotonicTime
     ) -> placement.PassInputs:
         cluster = self.ctx.cluster
         fresh = now - FRESH_REPORTS * self.ctx.settings.params.workers.report_s
@@ -192,7 +192,7 @@
             report_in=lambda machine: self.dispatch.report_in(machine, now),
         )
 
-    def _carry_out(self, plan: placement.Plan, now: Steady) -> None:
+    def _carry_out(self, plan: placement.Plan, now: MonotonicTime) -> None:
         """Plan the tasks that a pass has placed, and stop what it has to stop."""
         if plan.reserved is not None and plan.reserved.job.id != self._reserved_for:
             kept = plan.reserved
@@ -219,11 +219,11 @@
                 self._moved_at[assignment.job.spec.job_class] = now
         self.unplaced = plan.unplaced
 
-    def _stop(self, assignment: Assignment, why: StopReason, now: Steady) -> None:
+    def _stop(self, assignment: Assignment, why: StopReason, now: MonotonicTime) -> None:
         grace_s = assignment.job.grace_s if assignment.job is not None else 0.0
         self.dispatch.stop_assignment(assignment, grace_s, why, now)
 
-    def _replicas_to_move(self, now: Steady) -> list[Assignment]:
+    def _replicas_to_move(self, now: MonotonicTime) -> list[Assignment]:
         """List the replicas that should run elsewhere: their machine is about to go, or is faulty,
         or is kept for nothing else."""
         found: list[Assignment] = []
@@ -262,7 +262,7 @@
                 return [*found, assignment]
         return found
 
-    def _may_miss(self, jobclass: str, now: Steady) -> bool:
+    def _may_miss(self, jobclass: str, now: MonotonicTime) -> bool:
         serving = sum(
             job.running
             for job in self.ctx.job_table
@@ -293,7 +293,7 @@
                 cpus.free += machine.cpus
         return queueing.order(jobs, self.ctx.settings.params.objectives, gpus, cpus, wall_now())
 
-    def _note_gpus_wanted(self, jobs: list[Job], now: Steady) -> float:
+    def _note_gpus_wanted(self, jobs: list[Job], now: MonotonicTime) -> float:
         """Take note of the GPUs wanted; tell how many are beyond those in use."""
         used = sum(self.ctx.cluster.team_gpus.values())
         wanted = used + sum(job.shortfall * job.spec.gpus for job in jobs)
@@ -323,7 +323,7 @@
             gpus / max(1.0, sum(machine.machine_type.gpus for machine in machines)),
         )
 
-    def _may_place(self, job: Job, unheard_kinds: Sequence[Machine], now: Steady) -> bool:
+    def _may_place(self, job: Job, unheard_kinds: Sequence[Machine], now: MonotonicTime) -> bool:
         if job.cancelled or job.unwritten or now < job.backoff_until:
             # A job's finished batch is written before the job is refilled.
             return False
@@ -339,7 +339,7 @@
             return self._complete_gang(job, now)
         return True
 
-    def _may_probe(self, job: Job, now: Steady) -> bool:
+    def _may_probe(self, job: Job, now: MonotonicTime) -> bool:
         """Tell whether a job that backs off may be placed: one task shows whether it still fails.
 
         Found in a replay: a task was placed in each pass until the first of them had failed.
@@ -350,7 +350,7 @@
             return not job.live
         return job.gang or not self.ctx.cluster.failures.probing(job)
 
-    def _complete_gang(self, job: Job, now: Steady) -> bool:
+    def _complete_gang(self, job: Job, now: MonotonicTime) -> bool:
         """See to a gang with some tasks missing; True if they may be replaced.
 
         Before the gang has started, a replacement with the same attempt completes it. Once it
@@ -381,13 +381,13 @@
         if job.backoff_s:
             return False
         failed_at = job.failed_on.get(machine.id)
-        return failed_at is not None and steady_now() - failed_at <= AVOID_S
+        return failed_at is not None and monotonic_now() - failed_at <= AVOID_S
 
     def _next_attempt(self) -> Attempt:
         self._attempts += 1
         return attempt_of(self.ctx.term, self._attempts)
 
-    def _apply(self, batch: placement.Batch, now: Steady) -> None:
+    def _apply(self, batch: placement.Batch, now: MonotonicTime) -> None:
         job = batch.job
         count = sum(n for _machine, n in batch.parts)
         indices = job.take(count)
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -38,7 +38,7 @@
 )
 from ryewing.state.machine import Machine
 from ryewing.state.paged_records import PagedRecords
-from ryewing.units import JobId, KeyVersion, MachineId, Revision, Steady, steady_now
+from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, Revision, monotonic_now
 from ryewing.wire.messages import MACHINE_KEYS
 
 log = logging.getLogger("ryewing.leader.state_writer")
@@ -133,7 +133,7 @@
         self._on_record = on_record
         self._ops_max = self._ops_allowed = limits.txn_ops
         """How many changes a transaction may hold, and how many are known to be too many."""
-        self._set_aside: dict[str, Steady] = {}
+        self._set_aside: dict[str, MonotonicTime] = {}
         """Keys that the store would not take, and until when it isn't asked again."""
         rate = WRITE_SHARE * ctx.scope.share * limits.write_rps
         self._budget = Budget(rate, rate)
@@ -263,7 +263,7 @@
 
     def write_once(self) -> bool:
         """Write one transaction; True if more is wanted."""
-        now = steady_now()
+        now = monotonic_now()
         wanted = [w for w in self._wanted_writes() if self._set_aside.get(w.key, now) <= now]
         if not wanted:
             return False
@@ -328,7 +328,7 @@
                     write.conflict(key)
 
     def _on_rejected(
-        self, chosen: list[_Write], ops: int, now: Steady, error: RejectedError
+        self, chosen: list[_Write], ops: int, now: MonotonicTime, error: RejectedError
     ) -> None:
         """The store won't take this: find out whether it is the number of changes or one of them.
 
@@ -346,7 +346,7 @@
             return
         self._ops_max = self._ops_allowed
         if not chosen[0].refused():
-            self._set_aside[chosen[0].key] = Steady(now + ASIDE_S)
+            self._set_aside[chosen[0].key] = MonotonicTime(now + ASIDE_S)
 
     def _forget(self, key: str) -> Callable[[Revision], None]:
         return lambda _revision: self.to_forget.pop(key, None)
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -20,7 +20,7 @@
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import JobTable
 from ryewing.state.pending_terminations import Stops
-from ryewing.units import MachineId, steady_now
+from ryewing.units import MachineId, monotonic_now
 from ryewing.wire.messages import MachineType
 
 
@@ -71,7 +71,7 @@
         self.teams = {team.name: team for team in settings.params.teams}
         self.released: OrderedDict[MachineId, None] = OrderedDict()
         """Machines that are certainly gone: nothing that comes in their name counts."""
-        self.began = steady_now()
+        self.began = monotonic_now()
         self.loaded = Event()
         self.place = Event()
         """Something has changed that placing may act on."""
@@ -91,7 +91,7 @@
 
     def may_start(self) -> bool:
         """Tell whether the lease surely holds now."""
-        return not self.stopped and self.authority.may_start(steady_now())
+        return not self.stopped and self.authority.may_start(monotonic_now())
 
     def may_begin(self) -> bool:
         """Tell whether tasks may be started, and machines rented or released, now."""
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -21,10 +21,10 @@
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
     MachineId,
+    MonotonicTime,
     ReportVersion,
-    Steady,
     Zone,
-    steady_now,
+    monotonic_now,
     term_of,
     token_of,
 )
@@ -87,7 +87,7 @@
 
     def on_report(self, report: Report) -> ReportAnswer | None:
         """Answer a worker, or None if this node must not answer 200 now."""
-        now = steady_now()
+        now = monotonic_now()
         if term_of(report.token) > self.ctx.term:
             # A worker has seen a later leader: a 200 from here would be dropped, and would
             # keep the worker here while its lease expires.
@@ -136,7 +136,7 @@
         commands = self._compose(machine, report, fresh, now)
         return ReportAnswer(int(self.ctx.cluster.token(machine)), commands)
 
-    def _inspect(self, machine: Machine, now: Steady) -> None:
+    def _inspect(self, machine: Machine, now: MonotonicTime) -> None:
         """See to what a machine's news bring: tasks that must go, room, finishes to write."""
         self.ctx.place.set()
         if self.ctx.job_table.dirty:
@@ -154,7 +154,7 @@
         if len(machine.faults) >= FAULTS_MAX and not machine.quarantined:
             self._quarantine(machine, now)
 
-    def _quarantine(self, machine: Machine, now: Steady) -> None:
+    def _quarantine(self, machine: Machine, now: MonotonicTime) -> None:
         """Set a machine aside that failed tasks of several sound jobs; never many at once.
 
         Found in a replay: a new leader did not know yet which jobs fail everywhere, and set sound
@@ -168,7 +168,7 @@
         machine.quarantined = True
         log.info("event=quarantined machine=%s jobs=%s", machine.id, ",".join(machine.faults))
 
-    def _drain(self, assignment: Assignment, machine: Machine, now: Steady) -> None:
+    def _drain(self, assignment: Assignment, machine: Machine, now: MonotonicTime) -> None:
         """Save in time before the cloud takes the machine, or let short tasks finish."""
         job = assignment.job
         if job is None or assignment.phase == TaskPhase.SAVING or job.endless:
@@ -181,7 +181,7 @@
         self._stop_whole(assignment, job.grace_s, StopReason.DRAIN, now)
 
     def _stop_whole(
-        self, assignment: Assignment, grace_s: float, why: StopReason, now: Steady
+        self, assignment: Assignment, grace_s: float, why: StopReason, now: MonotonicTime
     ) -> None:
         """Stop a task; of a gang all of them, since an orderly stop needs every one told."""
         job = assignment.job
@@ -192,7 +192,7 @@
             self.stop_assignment(mate, grace_s, why, now)
 
     def stop_assignment(
-        self, assignment: Assignment, grace_s: float, why: StopReason, now: Steady
+        self, assignment: Assignment, grace_s: float, why: StopReason, now: MonotonicTime
     ) -> None:
         """Stop one task attempt: forget it if nothing was sent, else by a tombstone."""
         machine = assignment.machine
@@ -209,7 +209,9 @@
             )
             self.send_soon(machine)
 
-    def _compose(self, machine: Machine, report: Report, fresh: bool, now: Steady) -> list[Command]:
+    def _compose(
+        self, machine: Machine, report: Report, fresh: bool, now: MonotonicTime
+    ) -> list[Command]:
         commands = self._standing_orders(machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
@@ -226,7 +228,7 @@
             commands.append(Command("start", str(assignment.task), int(assignment.attempt)))
         return commands
 
-    def _standing_orders(self, machine: Machine, now: Steady) -> list[Command]:
+    def _standing_orders(self, machine: Machine, now: MonotonicTime) -> list[Command]:
         """Give the commands that may be repeated and may come late: halts and clears.
 
         Halts first: what has ended can wait, a cancelled task can't.
@@ -273,7 +275,7 @@
         """Do one direct exchange."""
         self._sending.add(machine.id)
         try:
-            now = steady_now()
+            now = monotonic_now()
             if not self.ctx.authority.may_answer(now):
                 return
             commands = self._standing_orders(machine, now)
@@ -287,7 +289,7 @@
                 if term_of(report.token) > self.ctx.term:
                     self.ctx.lose("overruled")
                     return
-                now = steady_now()
+                now = monotonic_now()
                 if ReportVersion(report.session, report.sequence) < known:
                     self.ctx.cluster.restarted(machine, now)
                 if self.ctx.cluster.apply_report(machine, report, now, as_report=False):
@@ -300,7 +302,7 @@
         finally:
             self._sending.discard(machine.id)
 
-    def report_in(self, machine: Machine, now: Steady) -> float:
+    def report_in(self, machine: Machine, now: MonotonicTime) -> float:
         """Estimate how soon a worker reports next, so that a start can ride in the answer."""
         since = now - machine.heard_at if machine.heard_at is not None else math.inf
         due = max(0.0, self.ctx.settings.params.workers.report_s - since)
@@ -310,7 +312,9 @@
             return min(due, max(0.1, REPORT_GAP_S - since))
         return due
 
-    def request_early_report(self, machine: Machine, now: Steady, urgent: bool = False) -> None:
+    def request_early_report(
+        self, machine: Machine, now: MonotonicTime, urgent: bool = False
+    ) -> None:
         """Make a worker report soon, so that its starts need not wait for its next report.
 
         A worker reports when a task is cleared, and when its token rises, though that at most
@@ -336,13 +340,13 @@
             machine.token_bumps += 1
         self.send_soon(machine)
 
-    def _may_bump_token(self, machine: Machine, now: Steady) -> bool:
+    def _may_bump_token(self, machine: Machine, now: MonotonicTime) -> bool:
         if machine.token_bumps >= MAX_TOKEN_BUMPS:
             return False
         gap = TOKEN_BUMP_EVERY * self.ctx.settings.params.workers.lease_s
         return machine.token_bumped_at is None or now - machine.token_bumped_at >= gap
 
-    def probe(self, now: Steady) -> None:
+    def probe(self, now: MonotonicTime) -> None:
         """Ask machines directly whose report is late, and those not heard in this term."""
         late = PROBE_AFTER * self.ctx.settings.params.workers.report_s
         for machine in list(self.ctx.cluster.machines.values()):
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -38,7 +38,7 @@
 from ryewing.leader.leader import CUT, UNFOLLOWED, Leader
 from ryewing.leader.scope import TermScope
 from ryewing.leader.term_context import TermContext
-from ryewing.units import JobId, NodeName, Revision, ShardName, Steady, Term, steady_now
+from ryewing.units import JobId, MonotonicTime, NodeName, Revision, ShardName, Term, monotonic_now
 from ryewing.wire.messages import MachineType
 
 log = logging.getLogger("ryewing.process.node")
@@ -87,11 +87,11 @@
         self.leader: Leader | None = None
         self.leader_name: str | None = None
         self._leader_term = Term(0)
-        self._abstain_until = Steady(0.0)
+        self._abstain_until = MonotonicTime(0.0)
         self._load: ShardLoadAnswer | None = None
-        self._load_queried_at = Steady(-1e9)
+        self._load_queried_at = MonotonicTime(-1e9)
         self._hint: ImageHint | None = None
-        self._hinted_at = Steady(-1e9)
+        self._hinted_at = MonotonicTime(-1e9)
         self._rng = random.Random()
 
     @property
@@ -123,7 +123,7 @@
                 self._share_images(self.leader)
                 continue
             self.note(view)
-            wait = self._abstain_until - steady_now()
+            wait = self._abstain_until - monotonic_now()
             if wait > 0 and view.holder is None:
                 gevent.sleep(min(wait, 0.5))
                 view = read_view(self.store)
@@ -146,8 +146,8 @@
 
     def _await_eligibility(self) -> None:
         """Wait for a moment, or until this node may lead."""
-        until = steady_now() + UNELIGIBLE_READ_S
-        while steady_now() < until and not self.eligible():
+        until = monotonic_now() + UNELIGIBLE_READ_S
+        while monotonic_now() < until and not self.eligible():
             gevent.sleep(0.1)
 
     def campaign(self, view: View) -> bool:
@@ -222,15 +222,15 @@
         self.leader = None
         self.leader_name = None
         if why in (CUT, UNFOLLOWED):
-            self._abstain_until = Steady(steady_now() + ABSTAIN_S)
+            self._abstain_until = MonotonicTime(monotonic_now() + ABSTAIN_S)
         leader.stop()
 
     def abstaining(self) -> bool:
         """Tell whether this node resigned for a fault of its own and leaves the lease to others."""
-        return self.leader is None and steady_now() < self._abstain_until
+        return self.leader is None and monotonic_now() < self._abstain_until
 
     def _share_images(self, leader: Leader) -> None:
-        now = steady_now()
+        now = monotonic_now()
         if now - self._hinted_at < HINT_EVERY_S or not leader.placer.gathered:
             return
         self._hinted_at = now
@@ -249,7 +249,7 @@
         Asked for at most once a second. A follower asks in the background, and goes by the last
         answer.
         """
-        now = steady_now()
+        now = monotonic_now()
         if now - self._load_queried_at > LOAD_EVERY_S:
             self._load_queried_at = now
             if self.leader is not None:
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -41,7 +41,7 @@
 from ryewing.process.leader_elector import Candidacy, ProcessParts
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.jobs import CANCELLED, DONE
-from ryewing.units import JobId, NodeName, ShardName, Steady, Zone, steady_now
+from ryewing.units import JobId, MonotonicTime, NodeName, ShardName, Zone, monotonic_now
 from ryewing.wire.messages import JobSpec, JobStatus, MachineType, Report, ReportAnswer
 
 log = logging.getLogger("ryewing.process.node")
@@ -73,13 +73,13 @@
         scopes = self.division.scopes()
         self.store = Store(parse_address(settings.endpoints.state), limits, len(scopes))
         self.store.relay = self._relay
-        self.user_quota = UserQuota(limits.rps, len(settings.members) + 1, steady_now)
+        self.user_quota = UserQuota(limits.rps, len(settings.members) + 1, monotonic_now)
         self.store.on_throttled = self.user_quota.shrink
         self.teams = {team.name: team for team in settings.params.teams}
         self.finals = Finals()
         self._machine_types: dict[str, MachineType] = {}
-        self._machine_types_read_at = Steady(-1e9)
-        self._unconfirmed_cancels: OrderedDict[JobId, Steady] = OrderedDict()
+        self._machine_types_read_at = MonotonicTime(-1e9)
+        self._unconfirmed_cancels: OrderedDict[JobId, MonotonicTime] = OrderedDict()
         """Cancels found in the store that the leader may not know, and since when."""
         self._job_shards: OrderedDict[JobId, ShardName] = OrderedDict()
         sockets = settings.params.resources.fd_limit
@@ -148,7 +148,7 @@
 
     def known_machine_types(self) -> dict[str, MachineType]:
         """Give the machine types; read from the store if this node has none yet."""
-        now = steady_now()
+        now = monotonic_now()
         if not self._machine_types and now - self._machine_types_read_at > 0.5:
             self._machine_types_read_at = now
             self.user_quota.charge()
@@ -224,16 +224,16 @@
         candidacy = self.candidacies.get(shard)
         if candidacy is None:
             return False  # of another division: nobody here knows who leads it
-        seen_at = self._unconfirmed_cancels.setdefault(job, steady_now())
+        seen_at = self._unconfirmed_cancels.setdefault(job, monotonic_now())
         if len(self._unconfirmed_cancels) > UNCONFIRMED_CANCELS_MAX:
             self._unconfirmed_cancels.popitem(last=False)
         self.user_quota.charge()
         # Where the holder is dead, or cut from here: one that can reach the store sees the cancel
-        # in its watch; one that can't loses its authority. So once that time is over since the
-        # mark was seen here, no request is needed. Counted by our own steady clock: by the time at
+        # in its watch; one that can't loses its authority. So once that time is over since the mark
+        # was seen here, no request is needed. Counted by our own monotonic clock: by the time at
         # which the cancel was meant to be written, one carried out late was told before the leader
         # could know.
-        waited_s = steady_now() - seen_at
+        waited_s = monotonic_now() - seen_at
         known = candidacy.holder_knows(job) or (
             waited_s > self.policy.store_lease_s + CANCEL_KNOWN_S
         )
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -24,7 +24,7 @@
 from ryewing.scheduling.plan import Batch, BatchPart, Plan
 from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD, FETCHED_NOW, WARM, Machine, MachineKind
-from ryewing.units import MachineId, Steady, Zone
+from ryewing.units import MachineId, MonotonicTime, Zone
 from ryewing.wire.messages import DAEMON, JobSpec
 
 SHORT_WAIT_S = 2.0
@@ -41,7 +41,7 @@
 
     capacities: Sequence[MachineCapacity]
     quota: Quota
-    now: Steady
+    now: MonotonicTime
     rng: random.Random
     sample: int
     """Machines that are looked at for one array."""
--- a/src/ryewing/scheduling/image_survey.py
+++ b/src/ryewing/scheduling/image_survey.py
@@ -8,7 +8,7 @@
 from ryewing.scheduling.capacity import Candidates, GpuReserve, MachineCapacity
 from ryewing.scheduling.queueing import demand
 from ryewing.state.jobs import Job
-from ryewing.units import Steady
+from ryewing.units import MonotonicTime
 
 COLD_DELAY = 0.5
 """How long a job waits for a machine with its image, as a part of the fetch time."""
@@ -123,7 +123,7 @@
             wanted.work -= count * demand(job) * job.estimate_s()
 
     def may_start_cold(
-        self, job: Job, usable: Candidates, candidates: Candidates, now: Steady
+        self, job: Job, usable: Candidates, candidates: Candidates, now: MonotonicTime
     ) -> bool:
         """Delay scheduling: wait a little for a machine that has the image.
 
--- a/src/ryewing/scheduling/preemption.py
+++ b/src/ryewing/scheduling/preemption.py
@@ -10,7 +10,7 @@
 from ryewing.config.settings import Team
 from ryewing.state.jobs import EPSILON, Job
 from ryewing.state.machine import Assignment, TaskPhase
-from ryewing.units import Steady
+from ryewing.units import MonotonicTime
 
 REPLICA_LOSS_S = 600.0
 """What stopping a replica counts as: it is among the last to be stopped for anything."""
@@ -47,7 +47,7 @@
         )
 
 
-def lost_work(assignment: Assignment, now: Steady) -> float:
+def lost_work(assignment: Assignment, now: MonotonicTime) -> float:
     """Estimate the run time lost by stopping a task now, saving if it can."""
     if assignment.running_since is None or assignment.job is None:
         return 0.0
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -9,7 +9,7 @@
 from ryewing.scheduling.plan import Reservation
 from ryewing.scheduling.preemption import may_preempt
 from ryewing.state.jobs import Job, count_fitting
-from ryewing.units import Steady, Zone
+from ryewing.units import MonotonicTime, Zone
 
 LEAST_WAIT_S = 1.0
 """How long a task that should have ended is still thought to run."""
@@ -58,7 +58,7 @@
     return [], math.inf
 
 
-def _drain_s(job: Job, capacity: MachineCapacity, now: Steady) -> float:
+def _drain_s(job: Job, capacity: MachineCapacity, now: MonotonicTime) -> float:
     """Estimate when a machine will be free of all that the gang would have to wait for."""
     left = 0.0
     for assignment in capacity.machine.assignments.values():
--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -16,7 +16,7 @@
 from ryewing.config.settings import Settings, parse_address
 from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
 from ryewing.sharding.registry import DIVISION_KEY, Registration, ShardRegistry, Zones
-from ryewing.units import NodeName, ShardName, steady_now, wall_now
+from ryewing.units import NodeName, ShardName, monotonic_now, wall_now
 
 MOVE_PATIENCE_S = 60.0
 """How long a move that was begun is watched."""
@@ -88,15 +88,15 @@
         self._follow(name, taken, target)
 
     def _follow(self, name: ShardName, begun: Ownership, target: NodeName) -> None:
-        began = steady_now()
+        began = monotonic_now()
         phase = begun.phase
-        while steady_now() - began < MOVE_PATIENCE_S:
+        while monotonic_now() - began < MOVE_PATIENCE_S:
             self._sleep(LOOK_EVERY_S)
             record = self._registry.read([name]).shards[name].record
             if record is None or record.epoch == begun.epoch:
                 continue
             if record.phase is Phase.OWNED:
-                self._tell_end(name, record, target, steady_now() - began)
+                self._tell_end(name, record, target, monotonic_now() - began)
                 return
             if record.phase is not phase:
                 phase = record.phase
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -40,7 +40,7 @@
 )
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
-from ryewing.units import NodeName, Revision, ShardName, Steady, steady_now
+from ryewing.units import MonotonicTime, NodeName, Revision, ShardName, monotonic_now
 
 log = logging.getLogger("ryewing.sharding")
 
@@ -87,9 +87,9 @@
         self._choice = OwnerChoice(settings)
         self.records: dict[ShardName, Ownership] = {}
         """The ownership of each shard as it was last read."""
-        self._began = steady_now()
-        self._sealed_since: dict[ShardName, Steady] = {}
-        self._orphaned_since: dict[ShardName, Steady] = {}
+        self._began = monotonic_now()
+        self._sealed_since: dict[ShardName, MonotonicTime] = {}
+        self._orphaned_since: dict[ShardName, MonotonicTime] = {}
         self._planned_at = self._began
         for name, candidacy in candidacies.items():
             candidacy.eligible = partial(self._eligible, name)
@@ -168,7 +168,7 @@
     # -- news -------------------------------------------------------------------------------
 
     def _take_note(self, found: Registration) -> None:
-        now = steady_now()
+        now = monotonic_now()
         self._choice.note(found)
         for name, seen in found.shards.items():
             if seen.record is None:
@@ -177,7 +177,7 @@
             self._note_phase(name, seen.record, now)
             self._update_seal(name)
 
-    def _note_phase(self, name: ShardName, record: Ownership, now: Steady) -> None:
+    def _note_phase(self, name: ShardName, record: Ownership, now: MonotonicTime) -> None:
         if record.phase is Phase.SEALED:
             self._sealed_since.setdefault(name, now)
         else:
@@ -228,7 +228,7 @@
     def _settle(self, name: ShardName, seen: StoredOwnership, leader: Leader | None) -> None:
         """Resign once nothing is under way, then say so."""
         if leader is not None:
-            waited_s = steady_now() - self._sealed_since[name]
+            waited_s = monotonic_now() - self._sealed_since[name]
             if not leader.drained() and waited_s < DRAIN_MAX_S:
                 return
             leader.resign(MOVING)
@@ -258,7 +258,7 @@
     def _adopt(self, name: ShardName, seen: StoredOwnership, found: Registration) -> None:
         """See to a shard that nobody healthy owns: one controller is chosen by the same rule
         everywhere, and if it does nothing any other one acts."""
-        now = steady_now()
+        now = monotonic_now()
         since = self._orphaned_since.setdefault(name, now)
         nodes = found.healthy
         if seen.record is None and now - self._began < START_GRACE_S:
@@ -288,7 +288,7 @@
 
     def _plan(self, found: Registration) -> None:
         """Begin a move that evens out the shards, if this controller is the one to plan."""
-        now = steady_now()
+        now = monotonic_now()
         if self._node != min(found.healthy) or now - self._planned_at < PLAN_EVERY_S:
             return
         self._planned_at = now
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ryewing.clients.store import LeaseLostError, Put, Store, StoreUnavailableError
-from ryewing.units import NodeName, Steady, steady_now
+from ryewing.units import MonotonicTime, NodeName, monotonic_now
 from ryewing.wire.messages import Entry
 
 NODE_PREFIX = "shards/node/"
@@ -33,11 +33,11 @@
         self._boot = boot
         self._lease_s = lease_s
         self._lease: int | None = None
-        self._renewed_at = Steady(-1e9)
+        self._renewed_at = MonotonicTime(-1e9)
 
     def keep(self) -> None:
         """Keep this controller's key; raise StoreUnavailableError if that is not possible now."""
-        now = steady_now()
+        now = monotonic_now()
         if self._lease is not None:
             if now - self._renewed_at < self._lease_s / RENEWALS_PER_LEASE:
                 return
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ryewing.units import NodeName, ShardName, Steady
+from ryewing.units import MonotonicTime, NodeName, ShardName
 
 OVERLOAD_COST = 100.0
 """What it costs that the fullest controller has no room for a part of its load."""
@@ -27,7 +27,7 @@
     owner: NodeName | None = None
     """Its present owner, or the next one if it is moving; None if nobody healthy owns it."""
     pinned_to: NodeName | None = None
-    moved_at: Steady | None = None
+    moved_at: MonotonicTime | None = None
 
 
 class NodeRoom(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
 
     shards: Sequence[ShardLoad]
     nodes: Sequence[NodeRoom]
-    now: Steady
+    now: MonotonicTime
     settle_s: float
     moves_allowed: bool = True
 
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -14,7 +14,7 @@
 from ryewing.sharding.planner import next_move
 from ryewing.sharding.registry import Registration
 from ryewing.sharding.settings import ShardSettings
-from ryewing.units import NodeName, ShardName, Steady, steady_now
+from ryewing.units import MonotonicTime, NodeName, ShardName, monotonic_now
 
 EQUAL_LOAD = 1.0
 
@@ -30,7 +30,7 @@
     """A shard's owner, and since when, if that was seen."""
 
     owner: str
-    since: Steady | None
+    since: MonotonicTime | None
 
 
 class OwnerChoice:
@@ -52,7 +52,7 @@
                 continue
             known = self._owned.get(name)
             if known is None or known.owner != seen.record.owner:
-                since = steady_now() if known is not None else None
+                since = monotonic_now() if known is not None else None
                 self._owned[name] = _Owned(seen.record.owner, since)
 
     def assignment(self, found: Registration, nodes: Set[NodeName]) -> Assignment:
@@ -90,4 +90,4 @@
                 )
             )
         rooms = [NodeRoom(node, EQUAL_LOAD) for node in sorted(nodes)]
-        return PlanInputs(loads, rooms, steady_now(), self._settings.settle_s, moves_allowed)
+        return PlanInputs(loads, rooms, monotonic_now(), self._settings.settle_s, moves_allowed)
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -6,7 +6,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.sharding.allowance import NOTHING, Amount, Claim, limit_of, whole_units
 from ryewing.state.jobs import Job
-from ryewing.units import Steady, TeamName, steady_now
+from ryewing.units import MonotonicTime, TeamName, monotonic_now
 
 RESERVATION_S = 60.0
 """How long room is asked for in vain, and for how long after that it is not."""
@@ -26,7 +26,7 @@
         self._ctx = ctx
         self._team = team
         self._ran = NOTHING
-        self._progress_at = steady_now()
+        self._progress_at = monotonic_now()
         """When something was last started, or nothing waited."""
 
     @property
@@ -34,7 +34,7 @@
         """The team's limit over all shards."""
         return limit_of(self._team)
 
-    def note_progress(self, now: Steady) -> None:
+    def note_progress(self, now: MonotonicTime) -> None:
         """Take note of whether the team's work gets on."""
         running = self.running()
         started = running - self._ran != NOTHING
@@ -86,7 +86,7 @@
 
     def _stuck(self) -> bool:
         """Tell whether nothing has been started for too long."""
-        return steady_now() - self._progress_at >= RESERVATION_S
+        return monotonic_now() - self._progress_at >= RESERVATION_S
 
     def _asking(self) -> list[Job]:
         """List the jobs that room is asked for: while nothing gets on, one small one."""
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -22,7 +22,7 @@
 from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
 from ryewing.sharding.team_demand import TeamDemand
 from ryewing.state.jobs import EPSILON
-from ryewing.units import KeyVersion, ShardName, Steady, steady_now
+from ryewing.units import KeyVersion, MonotonicTime, ShardName, monotonic_now
 from ryewing.wire.messages import Entry
 
 log = logging.getLogger("ryewing.sharding")
@@ -69,7 +69,7 @@
             if team.cpus_max or team.gpus_max
         }
         self._records: dict[str, _TeamRecord] = {}
-        self._read_at = Steady(-1e9)
+        self._read_at = MonotonicTime(-1e9)
 
     def teams(self) -> dict[str, Team]:
         """Give the teams with what this shard may use as their limits."""
@@ -100,7 +100,7 @@
         """Read the records if they may have changed, and write what has to change."""
         if not self._demands or not self._ctx.may_begin() or not self._leader.placer.gathered:
             return
-        now = steady_now()
+        now = monotonic_now()
         for demand in self._demands.values():
             demand.note_progress(now)
         if now - self._read_at >= READ_EVERY_S or self._wants_more():
@@ -199,7 +199,7 @@
         if self._ctx.leadership.lost_by(result):
             self._ctx.lose("fenced")
             return
-        self._read_at = Steady(-1e9)
+        self._read_at = MonotonicTime(-1e9)
         if not result.ok:
             return  # another shard changed one of them: all are read again
         for name, wanted in changes.items():
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -27,8 +27,8 @@
     NEVER_HEARD,
     Attempt,
     MachineId,
+    MonotonicTime,
     ReportVersion,
-    Steady,
     TaskId,
     TeamName,
     Term,
@@ -79,7 +79,7 @@
     # -- holds ------------------------------------------------------------------------------
 
     def assign(
-        self, machine: Machine, task: TaskId, attempt: Attempt, phase: TaskPhase, now: Steady
+        self, machine: Machine, task: TaskId, attempt: Attempt, phase: TaskPhase, now: MonotonicTime
     ) -> Assignment:
         """Put a task attempt on a machine."""
         job = self.job_table.get(task.job)
@@ -113,7 +113,7 @@
             self.job_table.touch(job)
         return assignment
 
-    def drop(self, assignment: Assignment, now: Steady, finished: bool = False) -> None:
+    def drop(self, assignment: Assignment, now: MonotonicTime, finished: bool = False) -> None:
         """Take a task attempt off its machine."""
         machine = assignment.machine
         del machine.assignments[assignment.task]
@@ -152,7 +152,7 @@
             if not finished:
                 job.hand_back(number)
 
-    def _set_phase(self, assignment: Assignment, phase: TaskPhase, now: Steady) -> None:
+    def _set_phase(self, assignment: Assignment, phase: TaskPhase, now: MonotonicTime) -> None:
         if assignment.phase == phase:
             return
         job = assignment.job
@@ -182,7 +182,7 @@
     # -- machines ---------------------------------------------------------------------------
 
     def add(
-        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: Steady
+        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: MonotonicTime
     ) -> Machine:
         """Take up a machine, or return it if it is known."""
         machine = self.machines.get(name)
@@ -215,22 +215,22 @@
                 if machine is not None and 0 <= place < len(images):
                     machine.record_image(*images[place])
 
-    def remove(self, machine: Machine, now: Steady) -> None:
+    def remove(self, machine: Machine, now: MonotonicTime) -> None:
         """The machine is certainly gone, and everything on it."""
         self.drop_all(machine, now)
         self.stops.machine_gone(machine.id)
         self.machines.pop(machine.id, None)
 
-    def drop_all(self, machine: Machine, now: Steady) -> None:
+    def drop_all(self, machine: Machine, now: MonotonicTime) -> None:
         """Nothing that was on the machine is there any more."""
         for assignment in list(machine.assignments.values()):
             self.drop(assignment, now)
         machine.ended.clear()
         machine.last_reported.clear()
 
-    def answered(self, machine: Machine, now: Steady) -> None:
+    def answered(self, machine: Machine, now: MonotonicTime) -> None:
         """We are about to answer 200: its lease may run from now on."""
-        until = Steady(now + self._lease_s)
+        until = MonotonicTime(now + self._lease_s)
         if machine.may_hold_until is None or until > machine.may_hold_until:
             machine.may_hold_until = until
 
@@ -240,7 +240,7 @@
             if machine.recorded and not machine.handshaken and machine.may_hold_until is not None:
                 yield machine
 
-    def expire(self, now: Steady) -> list[Machine]:
+    def expire(self, now: MonotonicTime) -> list[Machine]:
         """Drop what was on machines whose lease has surely ended; name those machines."""
         ended = []
         for machine in self.machines.values():
@@ -251,7 +251,7 @@
                 ended.append(machine)
         return ended
 
-    def drop_stale_plans(self, now: Steady, patience_s: float) -> None:
+    def drop_stale_plans(self, now: MonotonicTime, patience_s: float) -> None:
         """Give up plans whose machine did not come to fetch them: nothing was sent."""
         for assignment in list(self._planned):
             if assignment.phase != TaskPhase.PLANNED:
@@ -261,7 +261,9 @@
 
     # -- messages ---------------------------------------------------------------------------
 
-    def apply_report(self, machine: Machine, report: Report, now: Steady, as_report: bool) -> bool:
+    def apply_report(
+        self, machine: Machine, report: Report, now: MonotonicTime, as_report: bool
+    ) -> bool:
         """Take in a worker's message; False if a newer one was there before.
 
         `as_report`: a report proper, which the worker sends only after it has executed or
@@ -293,7 +295,7 @@
             machine.unacknowledged_since = now
         return True
 
-    def _begin_session(self, machine: Machine, now: Steady) -> None:
+    def _begin_session(self, machine: Machine, now: MonotonicTime) -> None:
         """The worker has killed and forgotten everything, and it drops responses to reports of the
         earlier session."""
         for assignment in list(machine.assignments.values()):
@@ -303,14 +305,14 @@
         machine.last_reported.clear()
         machine.ended.clear()
 
-    def _settle_starts(self, machine: Machine, now: Steady) -> None:
+    def _settle_starts(self, machine: Machine, now: MonotonicTime) -> None:
         """Drop starts that a later report does not show: shown, they would have another phase."""
         for assignment in [a for a in machine.assignments.values() if a.phase == TaskPhase.SENT]:
             if assignment.sent_after is not None and machine.version > assignment.sent_after:
                 self.drop(assignment, now)
                 self.require_acknowledgement(machine, "start-lost", now)
 
-    def require_acknowledgement(self, machine: Machine, why: str, now: Steady) -> None:
+    def require_acknowledgement(self, machine: Machine, why: str, now: MonotonicTime) -> None:
         """Something we told a worker has not reached it: no more work until it shows a new token.
 
         Where reports arrive and answers don't, a machine was refilled after each report.
@@ -323,7 +325,7 @@
                 if assignment.phase == TaskPhase.PLANNED:
                     self.drop(assignment, now)
 
-    def restarted(self, machine: Machine, now: Steady) -> None:
+    def restarted(self, machine: Machine, now: MonotonicTime) -> None:
         """Its worker began anew: it has forgotten its sessions, its token and its tasks.
 
         Told by a direct answer that is older than a message which had come before it was asked.
@@ -335,7 +337,7 @@
         machine.acknowledged = -1
         machine.required_acknowledgement = 0
 
-    def _apply_tasks(self, machine: Machine, report: Report, now: Steady) -> None:
+    def _apply_tasks(self, machine: Machine, report: Report, now: MonotonicTime) -> None:
         """Take in the attempts shown, with work in proportion to what differs from before."""
         before, shown = machine.last_reported, {}
         news: list[ReportedTask] = []
@@ -364,7 +366,7 @@
                 self._apply_live(machine, task, reported, now)
 
     def _apply_live(
-        self, machine: Machine, task: TaskId, reported: ReportedTask, now: Steady
+        self, machine: Machine, task: TaskId, reported: ReportedTask, now: MonotonicTime
     ) -> None:
         assignment = machine.assignments.get(task)
         attempt = Attempt(reported.attempt)
@@ -389,7 +391,7 @@
                 machine.record_image(spec.image, spec.image_gb)
 
     def _apply_ended(
-        self, machine: Machine, task: TaskId, reported: ReportedTask, now: Steady
+        self, machine: Machine, task: TaskId, reported: ReportedTask, now: MonotonicTime
     ) -> None:
         attempt = Attempt(reported.attempt)
         job = self.job_table.get(task.job)
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -12,7 +12,7 @@
 
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment, Machine, TaskPhase, ran_well
-from ryewing.units import JobId, Steady
+from ryewing.units import JobId, MonotonicTime
 
 if TYPE_CHECKING:
     from ryewing.state.cluster_state import ClusterState
@@ -39,7 +39,13 @@
         self._cluster = cluster
 
     def replica_ended(
-        self, machine: Machine, job: Job, cause: str, well: bool, planned_at: Steady, now: Steady
+        self,
+        machine: Machine,
+        job: Job,
+        cause: str,
+        well: bool,
+        planned_at: MonotonicTime,
+        now: MonotonicTime,
     ) -> None:
         """Judge the end of a replica: one that ran well for a while runs again at once, anywhere.
 
@@ -71,22 +77,22 @@
         if len(lately) >= max(FAILS_ANYWHERE, len(elsewhere) + 1) and not self.serves(job, now):
             self._back_off(job, now)
 
-    def serves(self, job: Job, now: Steady) -> bool:
+    def serves(self, job: Job, now: MonotonicTime) -> bool:
         """Tell whether a task of the job runs well, and has for a while."""
         return bool(self._running_well(job, now))
 
-    def _running_well(self, job: Job, now: Steady) -> list[Assignment]:
+    def _running_well(self, job: Job, now: MonotonicTime) -> list[Assignment]:
         return [
             assignment
             for assignment in self._cluster.assignments_of(job)
             if assignment.phase == TaskPhase.RUNNING and ran_well(assignment, now)
         ]
 
-    def _back_off(self, job: Job, now: Steady) -> None:
+    def _back_off(self, job: Job, now: MonotonicTime) -> None:
         """The job is at fault, not the machines that it failed on: back off, longer each time."""
         self.clear_faults(job)
         job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, job.backoff_s * 2))
-        job.backoff_until = Steady(now + job.backoff_s)
+        job.backoff_until = MonotonicTime(now + job.backoff_s)
         if not job.gang:
             for assignment in self._cluster.assignments_of(job):
                 if assignment.phase == TaskPhase.PLANNED:
@@ -106,7 +112,7 @@
             if machine is not None:
                 machine.faults.discard(job.id)
 
-    def is_sound(self, job_id: JobId, now: Steady) -> bool:
+    def is_sound(self, job_id: JobId, now: MonotonicTime) -> bool:
         """Tell whether a job's failures say something about machines.
 
         It succeeded elsewhere, or failed on a single one. A job that is not live any more was
@@ -117,7 +123,7 @@
             return True
         return not job.backoff_s and (len(job.failed_on) == 1 or self.serves(job, now))
 
-    def recovered(self, job: Job, now: Steady) -> bool:
+    def recovered(self, job: Job, now: MonotonicTime) -> bool:
         """See whether a job that backed off runs well after all; if so, take the delay back."""
         well = self._running_well(job, now)
         if not well:
@@ -136,7 +142,7 @@
             for assignment in self._cluster.assignments_of(job)
         )
 
-    def _probe_failed(self, job: Job, planned_at: Steady, now: Steady) -> None:
+    def _probe_failed(self, job: Job, planned_at: MonotonicTime, now: MonotonicTime) -> None:
         """A task of a job that backs off has failed too: one step for each probe.
 
         Found in a replay: each of the tasks placed before the first backoff doubled it, so that it
@@ -146,13 +152,13 @@
             self._back_off(job, now)
 
     def task_failed(
-        self, machine: Machine, job: Job, cause: str, planned_at: Steady, now: Steady
+        self, machine: Machine, job: Job, cause: str, planned_at: MonotonicTime, now: MonotonicTime
     ) -> None:
         """Judge a failure: by the job if it fails on several machines, else by the machine."""
         if cause in ("no_room", "in_use", "unknown"):
             # The worker knows better than our sums, or the job's description is not there yet:
             # look again after its next reports instead of at once.
-            job.backoff_until = Steady(max(job.backoff_until, now + 1.0))
+            job.backoff_until = MonotonicTime(max(job.backoff_until, now + 1.0))
             log.warning("job=%s machine=%s event=refused cause=%s", job.id, machine.id, cause)
             return
         if cause != "error":
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -19,7 +19,7 @@
 
 from ryewing.clients.store import readable
 from ryewing.config.settings import Team
-from ryewing.units import JobId, KeyVersion, MachineId, Steady, WallTime, Zone
+from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, WallTime, Zone
 from ryewing.wire.messages import (
     DAEMON,
     GROUP,
@@ -213,15 +213,15 @@
         self.gang_attempt: int | None = None
         self.guaranteed = False
         self.judged = False
-        self.failed_on: dict[MachineId, Steady] = {}
+        self.failed_on: dict[MachineId, MonotonicTime] = {}
         self.result_kept_by: set[MachineId] = set()
         """Machines whose workers keep a result of a replica: used only where there is no other."""
         self.backoff_s = 0.0
-        self.backoff_until = Steady(0.0)
+        self.backoff_until = MonotonicTime(0.0)
         self.run_seen_s: float | None = None
         self.estimate_factor = 1.0
         """How much longer than guessed the class's tasks were seen to take, within bounds."""
-        self.waiting_since: Steady | None = None
+        self.waiting_since: MonotonicTime | None = None
         """Since when the job has waited for a machine with its image."""
         self._done = bytearray((self.spec.task_count + 7) // 8)
         self._returned: list[int] = []
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -12,8 +12,8 @@
     Attempt,
     JobId,
     MachineId,
+    MonotonicTime,
     ReportVersion,
-    Steady,
     TaskId,
     Zone,
 )
@@ -74,7 +74,7 @@
         attempt: Attempt,
         job: Job | None,
         phase: TaskPhase,
-        now: Steady,
+        now: MonotonicTime,
     ) -> None:
         self.machine = machine
         self.task = task
@@ -84,12 +84,12 @@
         self.planned_at = now
         self.sent_after: ReportVersion | None = None
         """The report whose response carried the start; a later report settles it."""
-        self.running_since: Steady | None = None
+        self.running_since: MonotonicTime | None = None
         self.start_observed = False
         """Its run was seen to begin; a task found running after a take-over was not."""
 
 
-def ran_well(assignment: Assignment, now: Steady) -> bool:
+def ran_well(assignment: Assignment, now: MonotonicTime) -> bool:
     """Tell whether a task ran for a while; of a replica that was found running nothing else is
     known."""
     if assignment.running_since is None:
@@ -116,7 +116,7 @@
 
     __slots__ = ("alone", "began")
 
-    def __init__(self, began: Steady, alone: bool) -> None:
+    def __init__(self, began: MonotonicTime, alone: bool) -> None:
         self.began = began
         self.alone = alone
         """No other image was fetched there meanwhile."""
@@ -171,7 +171,7 @@
     )
 
     def __init__(
-        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: Steady
+        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: MonotonicTime
     ) -> None:
         self.id = name
         self.machine_type = machine_type
@@ -186,12 +186,12 @@
         self.required_acknowledgement = 0
         """The token raise that it has to show before it gets work: nothing else tells that our
         answers reach it."""
-        self.unacknowledged_since: Steady | None = None
+        self.unacknowledged_since: MonotonicTime | None = None
         """Since when its messages come although it doesn't hear ours."""
         self.recorded = False
         """The store holds the machine, so that a successor knows that it may have tasks."""
-        self.heard_at: Steady | None = None
-        self.may_hold_until: Steady | None = None
+        self.heard_at: MonotonicTime | None = None
+        self.may_hold_until: MonotonicTime | None = None
         """Until then its lease may run. None: the worker was never answered by anybody."""
         self.rented_at = now
         self.idle_since = now
@@ -200,7 +200,7 @@
         self.pace = 1.0
         """How long tasks take here, as against the same jobs' tasks elsewhere."""
         self.token_bumps = 0
-        self.token_bumped_at: Steady | None = None
+        self.token_bumped_at: MonotonicTime | None = None
         self.leaving = False
         self.retiring = False
         """No more work is wanted here: it is returned once what runs has ended."""
@@ -253,7 +253,7 @@
             ratio = min(MAX_PACE, took_s / job.run_seen_s)
             self.pace += PACE_WEIGHT * (ratio - self.pace)
 
-    def record_fetch(self, spec: JobSpec, fetching: bool, now: Steady) -> float | None:
+    def record_fetch(self, spec: JobSpec, fetching: bool, now: MonotonicTime) -> float | None:
         """Take note of a fetch's begin, or its end: then how much longer than thought it took.
 
         Only of fetches beside others, since whether these share the machine's rate is not known.
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -9,7 +9,7 @@
 import enum
 from collections.abc import Iterator
 
-from ryewing.units import Attempt, MachineId, Steady, TaskId
+from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
 from ryewing.wire.messages import Command
 
 RESEND_S = 1.0
@@ -40,7 +40,7 @@
         attempt: Attempt,
         grace_s: float,
         why: StopReason,
-        now: Steady,
+        now: MonotonicTime,
     ) -> None:
         self.machine = machine
         self.task = task
@@ -48,7 +48,7 @@
         self.grace_s = grace_s
         self.why = why
         self.created_at = now
-        self.sent_at: Steady | None = None
+        self.sent_at: MonotonicTime | None = None
 
     def command(self) -> Command:
         """Give the command that carries this stop."""
@@ -68,7 +68,7 @@
         attempt: Attempt,
         grace_s: float,
         why: StopReason,
-        now: Steady,
+        now: MonotonicTime,
     ) -> bool:
         """Ask for a stop; a later ask can only shorten the grace period. True if it is news."""
         stones = self._by_machine.setdefault(machine, {})
@@ -102,7 +102,7 @@
         """Nothing is on the machine any more."""
         self._by_machine.pop(machine, None)
 
-    def commands(self, machine: MachineId, now: Steady) -> list[Command]:
+    def commands(self, machine: MachineId, now: MonotonicTime) -> list[Command]:
         """Give every stop of a machine, for a report response."""
         stones = self._by_machine.get(machine)
         if not stones:
@@ -111,7 +111,7 @@
             stone.sent_at = now
         return [stone.command() for stone in stones.values()]
 
-    def due(self, now: Steady) -> Iterator[MachineId]:
+    def due(self, now: MonotonicTime) -> Iterator[MachineId]:
         """Name the machines to which stops have to be (re)sent directly."""
         for machine, stones in self._by_machine.items():
             if any(s.sent_at is None or now - s.sent_at >= RESEND_S for s in stones.values()):
--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -1,6 +1,6 @@
 """Ids, versions and times as small types of their own.
 
-Mixing up a steady time with a time of day, or a term with a stamp, is the kind of
+Mixing up a monotonic time with a time of day, or a term with a stamp, is the kind of
 mistake that only shows during a failure; the type checker finds it before that.
 """
 
@@ -27,13 +27,13 @@
 """The state service's change counter."""
 Attempt = NewType("Attempt", int)
 
-Steady = NewType("Steady", float)
-"""A reading of this process's steady clock: for deadlines and leases."""
+MonotonicTime = NewType("MonotonicTime", float)
+"""A reading of this process's monotonic clock: for deadlines and leases."""
 WallTime = NewType("WallTime", float)
 """A time of day: for ages that must outlive a process; off by up to the settings' bound."""
 
 DRIFT = 0.001
-"""Twice the 0.05% by which two machines' steady clocks may drift apart."""
+"""Twice the 0.05% by which two machines' monotonic clocks may drift apart."""
 
 _JOB_ID = re.compile(r"run-[0-9]{1,18}")
 _ATTEMPT_BITS = 24
@@ -63,9 +63,9 @@
 NEVER_HEARD = ReportVersion(0, 0)
 
 
-def steady_now() -> Steady:
-    """Read the steady clock."""
-    return Steady(monotonic())
+def monotonic_now() -> MonotonicTime:
+    """Read the monotonic clock."""
+    return MonotonicTime(monotonic())
 
 
 def wall_now() -> WallTime:
--- a/tests/autoscaling/test_planning.py
+++ b/tests/autoscaling/test_planning.py
@@ -7,7 +7,7 @@
 from support.placement_world import FLAVOURS, T0, World
 
 from ryewing.autoscaling.planning import CapacityBackoff, options_for, plan_rentals, to_return
-from ryewing.units import Steady
+from ryewing.units import MonotonicTime
 
 
 def test_renting_counts_what_is_booting() -> None:
@@ -30,7 +30,7 @@
     first = options_for(one, FLAVOURS, backoff, T0)[0]
     backoff.refused(first, T0)
     assert options_for(one, FLAVOURS, backoff, T0)[0] != first
-    assert options_for(one, FLAVOURS, backoff, Steady(T0 + 21.0))[0] == first
+    assert options_for(one, FLAVOURS, backoff, MonotonicTime(T0 + 21.0))[0] == first
 
 
 @pytest.mark.parametrize(
@@ -51,5 +51,5 @@
     if assignments:
         world.put(world.job("run-9"), machine, 1)
     short = [(job(), 1)] if waiting else []
-    chosen = to_return([machine], short, policy(), Steady(T0 + idle_s))
+    chosen = to_return([machine], short, policy(), MonotonicTime(T0 + idle_s))
     assert (chosen == [machine]) is returned
--- a/tests/clients/test_token_bucket.py
+++ b/tests/clients/test_token_bucket.py
@@ -9,7 +9,7 @@
 from ryewing.clients.token_bucket import Budget
 from ryewing.config.settings import Team
 from ryewing.scheduling.capacity import Quota
-from ryewing.units import Steady
+from ryewing.units import MonotonicTime
 
 
 def test_budget_refills_and_tells_the_wait() -> None:
@@ -17,7 +17,7 @@
     budget = Budget(10.0, 5.0, lambda: now[0])
     assert [budget.take() for _ in range(6)] == [True] * 5 + [False]
     assert budget.wait_s(2.0) == pytest.approx(0.2)
-    now[0] = Steady(T0 + 0.2)
+    now[0] = MonotonicTime(T0 + 0.2)
     assert budget.take(2.0)
     assert not budget.take()
 
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -23,7 +23,7 @@
     UserQuota,
     UserRequest,
 )
-from ryewing.units import Steady
+from ryewing.units import MonotonicTime
 
 JOBS = 75
 USUAL_POLLS_PER_S = JOBS / 5.0
@@ -123,7 +123,7 @@
         """Count what passes in some seconds, asked every 10 ms."""
         count = 0
         for _ in range(round(seconds / 0.01)):
-            now[0] = Steady(now[0] + 0.01)
+            now[0] = MonotonicTime(now[0] + 0.01)
             try:
                 quota.admit(UserRequest.QUESTION)
             except QuotaExceededError:
@@ -138,7 +138,7 @@
         quota.shrink()  # one sign, however many refusals
     assert admitted(0.25) <= 0.25 * full * (0.5 + 0.25 * RECOVERY_PER_S) + 1
     for _ in range(10):
-        now[0] = Steady(now[0] + 0.5)
+        now[0] = MonotonicTime(now[0] + 0.5)
         quota.shrink()
     assert admitted(0.5) >= LEAST_FACTOR * full * 0.5 - 1
     admitted(1.0 / RECOVERY_PER_S)
--- a/tests/election/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -7,7 +7,7 @@
 from support.placement_world import T0
 
 from ryewing.election.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
-from ryewing.units import KeyVersion, NodeName, Revision, Steady, Term
+from ryewing.units import KeyVersion, MonotonicTime, NodeName, Revision, Term
 
 
 @pytest.mark.parametrize(
@@ -32,21 +32,21 @@
     renewed_s: float | None, followed_s: float | None, start: bool, answer: bool
 ) -> None:
     authority = Authority(3.0, 15.0)
-    now = Steady(T0 + 1000.0)
+    now = MonotonicTime(T0 + 1000.0)
     if renewed_s is not None:
-        authority.confirm(Steady(now - renewed_s))
+        authority.confirm(MonotonicTime(now - renewed_s))
     if followed_s is not None:
-        authority.follow(Steady(now - followed_s))
+        authority.follow(MonotonicTime(now - followed_s))
     assert (authority.may_start(now), authority.may_answer(now)) == (start, answer)
 
 
 def test_authority_counts_from_the_latest_send() -> None:
     authority = Authority(3.0, 15.0)
     for note in (authority.confirm, authority.follow):
-        note(Steady(T0 + 2.0))
+        note(MonotonicTime(T0 + 2.0))
         note(T0)  # an older renewal's answer that came later
-    assert authority.may_start(Steady(T0 + 4.5))
-    assert authority.may_answer(Steady(T0 + 16.5))
+    assert authority.may_start(MonotonicTime(T0 + 4.5))
+    assert authority.may_answer(MonotonicTime(T0 + 16.5))
 
 
 def test_hold_leaves_a_cancel_its_time() -> None:
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -20,7 +20,7 @@
 from ryewing.scheduling.capacity import MachineCapacity, Quota
 from ryewing.state.jobs import final_key, impossible
 from ryewing.state.machine import RAN_WELL_S
-from ryewing.units import MachineId, Steady, WallTime, Zone
+from ryewing.units import MachineId, MonotonicTime, WallTime, Zone
 from ryewing.wire.messages import ReportedTask
 
 
@@ -232,7 +232,7 @@
         placement.PassInputs(
             [MachineCapacity(machine)],
             Quota(TEAMS, {}, {}),
-            Steady(T0 + 200),
+            MonotonicTime(T0 + 200),
             random.Random(1),
             64,
         )
@@ -250,7 +250,7 @@
         placement.PassInputs(
             [MachineCapacity(m) for m in world.cluster.machines.values()],
             Quota(TEAMS, {}, {}),
-            Steady(T0 + 200),
+            MonotonicTime(T0 + 200),
             random.Random(1),
             64,
         )
@@ -368,7 +368,7 @@
     assert dispatch.report_in(machine, harness.clock()) == 3.0
     harness.exchange(worker)
     machine.token_bumped_at = harness.clock()
-    assert dispatch.report_in(machine, Steady(harness.clock() + 1.0)) == 2.0
+    assert dispatch.report_in(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
 
 
 def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -30,8 +30,8 @@
     JobId,
     KeyVersion,
     MachineId,
+    MonotonicTime,
     Revision,
-    Steady,
     TaskId,
     Term,
     Zone,
@@ -39,7 +39,7 @@
 )
 from ryewing.wire.messages import Entry, ReportedTask
 
-T0 = Steady(1000.0)
+T0 = MonotonicTime(1000.0)
 SIZES = [60, 260, 1000]
 STATE = settings().params.state
 
@@ -72,7 +72,7 @@
         teams = {team.name: team for team in settings().params.teams}
         capacities = [MachineCapacity(machine) for machine in self.cluster.machines.values()]
         quota = Quota(teams, {}, {})
-        now = Steady(T0 + 100.0)
+        now = MonotonicTime(T0 + 100.0)
         return placement.Pass(
             placement.PassInputs(capacities, quota, now, random.Random(7), policy().sample)
         ).run(jobs)
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -15,7 +15,7 @@
 from ryewing.scheduling.victims import Preemptor
 from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD, Machine
-from ryewing.units import Steady
+from ryewing.units import MonotonicTime
 
 IMAGES = 6
 CPUS = (1.0, 4.0, 16.0)
@@ -62,7 +62,7 @@
         capacities = [MachineCapacity(machine) for machine in self.machines]
         quota = Quota(teams, {}, {})
         return placement.PassInputs(
-            capacities, quota, Steady(T0 + 100.0), random.Random(3), sample, gpus_kept=0.0
+            capacities, quota, MonotonicTime(T0 + 100.0), random.Random(3), sample, gpus_kept=0.0
         )
 
 
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -20,7 +20,16 @@
 from ryewing.state.jobs import Job, JobRecord, JobTable
 from ryewing.state.machine import Assignment, TaskPhase
 from ryewing.state.pending_terminations import Stops
-from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
+from ryewing.units import (
+    Attempt,
+    KeyVersion,
+    MachineId,
+    MonotonicTime,
+    TaskId,
+    Term,
+    WallTime,
+    Zone,
+)
 
 STEP_S = 5.0
 BOUND_S = 240.0
@@ -40,7 +49,7 @@
         self.rng = random.Random(3)
         for n in range(machines):
             machine = self.cluster.add(
-                MachineId(f"i-{n:06d}"), CPU, Zone("ab"[n % 2]), False, Steady(0.0)
+                MachineId(f"i-{n:06d}"), CPU, Zone("ab"[n % 2]), False, MonotonicTime(0.0)
             )
             machine.acknowledged, machine.recorded = 0, True
 
@@ -56,7 +65,7 @@
                 assert job is not None
                 assert assignment.running_since is not None
                 if self.now - assignment.running_since >= job.spec.estimated_s:
-                    self.cluster.drop(assignment, Steady(self.now), finished=True)
+                    self.cluster.drop(assignment, MonotonicTime(self.now), finished=True)
                     job.finish(assignment.task.number)
                     job.unwritten.clear()
                     if job.complete:
@@ -78,18 +87,18 @@
         teams = {"red": Team("red"), "blue": Team("blue")}
         quota = Quota(teams, {}, {})
         plan = placement.Pass(
-            placement.PassInputs(capacities, quota, Steady(self.now), self.rng, 64)
+            placement.PassInputs(capacities, quota, MonotonicTime(self.now), self.rng, 64)
         ).run(ordered, queueing.overdue(ordered, now))
         stopped: list[Assignment] = plan.stops
         for assignment in stopped:
-            self.cluster.drop(assignment, Steady(self.now))
+            self.cluster.drop(assignment, MonotonicTime(self.now))
         for batch in plan.batches:
             self.began.setdefault(batch.job.id, self.now - batch.job.accepted_at)
             for machine, count in batch.parts:
                 for number in batch.job.take(count):
                     task = TaskId(batch.job.id, number)
                     self.cluster.assign(
-                        machine, task, Attempt(1), TaskPhase.RUNNING, Steady(self.now)
+                        machine, task, Attempt(1), TaskPhase.RUNNING, MonotonicTime(self.now)
                     )
 
 
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -9,7 +9,7 @@
 from support.placement_world import T0, TEAMS, World, spread_of
 
 from ryewing.scheduling import preemption, queueing
-from ryewing.units import JobId, Steady, WallTime
+from ryewing.units import JobId, MonotonicTime, WallTime
 from ryewing.wire.messages import Report, ReportedTask
 
 
@@ -295,7 +295,7 @@
             ]
             tick = machine.version.sequence + 1
             report = Report(machine.id, 1, tick, 0, "c32", "a", tasks=shown)
-            world.cluster.apply_report(machine, report, Steady(T0 + at), as_report=True)
+            world.cluster.apply_report(machine, report, MonotonicTime(T0 + at), as_report=True)
     assert world.cluster.fetches_share() is share
 
 
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -15,7 +15,7 @@
 from ryewing.leader.scheduler import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
 from ryewing.scheduling import SHORT_WAIT_S
 from ryewing.state.machine import Assignment, Machine, TaskPhase
-from ryewing.units import Attempt, MachineId, Steady, TaskId
+from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
 
 # -- where replicas go --------------------------------------------------------------------------
 
@@ -275,7 +275,7 @@
     dear = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
     harness.ready(*dear)
     serve(harness, *dear, task_count=8)
-    harness.leader.ctx.began = Steady(harness.clock() - 10_000.0)
+    harness.leader.ctx.began = MonotonicTime(harness.clock() - 10_000.0)
     plain = harness.worker("i-000009")
     harness.ready(plain)
     cluster = harness.leader.ctx.cluster
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -26,7 +26,7 @@
 from ryewing.clients.store import Remove
 from ryewing.sharding.health import NODE_PREFIX, ControllerHealth
 from ryewing.sharding.ownership import Phase
-from ryewing.units import NodeName, Steady
+from ryewing.units import MonotonicTime, NodeName
 
 
 def test_two_shards_are_led_by_two_controllers(divided: MakeCluster) -> None:
@@ -349,7 +349,7 @@
     assert seen.healthy == set(NAMES)
     for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
-        planner._planned_at = Steady(0.0)
+        planner._planned_at = MonotonicTime(0.0)
         planner._act(seen._replace(healthy=healthy))
     cluster.run(20.0)
     assert all_owned(cluster)
--- a/tests/state/test_pending_terminations.py
+++ b/tests/state/test_pending_terminations.py
@@ -5,7 +5,7 @@
 from support.placement_world import T0
 
 from ryewing.state.pending_terminations import RESEND_S, StopReason, Stops
-from ryewing.units import Attempt, JobId, MachineId, Steady, TaskId
+from ryewing.units import Attempt, JobId, MachineId, MonotonicTime, TaskId
 
 
 def test_tombstones_are_resent_until_gone() -> None:
@@ -16,7 +16,7 @@
     assert list(stops.due(T0)) == [machine]
     assert [command.grace_s for command in stops.commands(machine, T0)] == [5.0]
     assert list(stops.due(T0)) == []
-    assert list(stops.due(Steady(T0 + RESEND_S))) == [machine]
+    assert list(stops.due(MonotonicTime(T0 + RESEND_S))) == [machine]
     assert stops.add(machine, task, attempt, 0.0, StopReason.CANCELLED, T0)
     assert list(stops.due(T0)) == [machine]
     stops.gone(machine, task, Attempt(8))  # another attempt
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -37,10 +37,10 @@
 
 
 def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
-    """Give some parts of the service a steady clock that the test moves."""
+    """Give some parts of the service a monotonic clock that the test moves."""
     clock = Clock()
     for part in parts:
-        monkeypatch.setattr(f"ryewing.{part}.steady_now", clock)
+        monkeypatch.setattr(f"ryewing.{part}.monotonic_now", clock)
     return clock
 
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -24,7 +24,7 @@
 from ryewing.config.settings import Settings
 from ryewing.election.leadership import Authority, Leadership
 from ryewing.state.jobs import Job, JobRecord
-from ryewing.units import KeyVersion, MachineId, Revision, Steady, Term
+from ryewing.units import KeyVersion, MachineId, MonotonicTime, Revision, Term
 from ryewing.wire.messages import (
     Change,
     ChangeLog,
@@ -129,13 +129,13 @@
 
 
 class Clock:
-    """A steady clock that the test moves."""
+    """A monotonic clock that the test moves."""
 
     def __init__(self) -> None:
         self.now = 1000.0
 
-    def __call__(self) -> Steady:
-        return Steady(self.now)
+    def __call__(self) -> MonotonicTime:
+        return MonotonicTime(self.now)
 
 
 class FakeStore:
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -14,11 +14,20 @@
 from ryewing.state.jobs import Job, JobRecord, JobTable
 from ryewing.state.machine import Assignment, Machine, TaskPhase
 from ryewing.state.pending_terminations import Stops
-from ryewing.units import Attempt, KeyVersion, MachineId, Steady, TaskId, Term, WallTime, Zone
+from ryewing.units import (
+    Attempt,
+    KeyVersion,
+    MachineId,
+    MonotonicTime,
+    TaskId,
+    Term,
+    WallTime,
+    Zone,
+)
 from ryewing.wire.messages import MachineType
 from support.fakes import CPU, GPU, job_spec, settings
 
-T0 = Steady(1000.0)
+T0 = MonotonicTime(1000.0)
 
 FLAVOURS = {"c32": CPU, "g4": GPU}
 TEAMS = {team.name: team for team in settings().params.teams}
@@ -62,7 +71,14 @@
         quota = Quota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
         capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
         inputs = placement.PassInputs(
-            capacities, quota, Steady(T0 + now), random.Random(1), sample, gpu_reserve, kept, **ways
+            capacities,
+            quota,
+            MonotonicTime(T0 + now),
+            random.Random(1),
+            sample,
+            gpu_reserve,
+            kept,
+            **ways,
         )
         return placement.Pass(inputs).run(jobs, (), moving)
 
--- a/tests/support/planner_inputs.py
+++ b/tests/support/planner_inputs.py
@@ -5,9 +5,9 @@
 import random
 
 from ryewing.sharding.load import NodeRoom, PlanInputs, ShardLoad
-from ryewing.units import NodeName, ShardName, Steady
+from ryewing.units import MonotonicTime, NodeName, ShardName
 
-NOW = Steady(1000.0)
+NOW = MonotonicTime(1000.0)
 
 
 def random_inputs(rng: random.Random, shards: int, nodes: int) -> PlanInputs:
@@ -19,7 +19,7 @@
                 rng.choice((0.0, 0.05, 0.1, 0.3)),
                 rng.choice([*names, NodeName("gone"), None]),
                 rng.choice([None, None, None, names[0]]),
-                rng.choice([None, None, Steady(NOW - 10.0), Steady(NOW - 100.0)]),
+                rng.choice([None, None, MonotonicTime(NOW - 10.0), MonotonicTime(NOW - 100.0)]),
             )
             for number in range(shards)
         ],
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -152,7 +152,7 @@
     parser.add_argument("machines", type=int, nargs="+")
     sizes: list[int] = parser.parse_args().machines
     clock = Clock()
-    clocks = [mock.patch(f"ryewing.{part}.steady_now", clock) for part in TERM_PARTS]
+    clocks = [mock.patch(f"ryewing.{part}.monotonic_now", clock) for part in TERM_PARTS]
     for patched in (
         *clocks,
         mock.patch("ryewing.leader.scheduler.wall_now", return_value=WallTime(0.0)),
