--- a/src/ryewing/api/api.py
+++ b/src/ryewing/api/api.py
@@ -56,9 +56,9 @@
     JobStatus,
     MachineType,
     MalformedError,
+    read_heartbeat,
     read_job_spec,
     read_object,
-    read_report,
 )
 
 log = logging.getLogger("ryewing.api.api")
@@ -121,7 +121,7 @@
         method = environ["REQUEST_METHOD"]
         if path == "/v1/report":
             _only(method, "POST")
-            return self._report(_body(environ))
+            return self._heartbeat(_body(environ))
         if path == "/healthz":
             _only(method, "GET")
             return self._health()
@@ -152,15 +152,15 @@
             return Response(200, {"status": "ok"})
         return self._busy("can't take requests now")
 
-    def _report(self, body: bytes) -> Response:
+    def _heartbeat(self, body: bytes) -> Response:
         try:
-            report = read_report(body)
+            heartbeat = read_heartbeat(body)
         except MalformedError as error:
             return Response(400, {"error": str(error)})
-        answer = self._node.on_report(report)
+        answer = self._node.on_heartbeat(heartbeat)
         if answer is not None:
             return Response(200, answer)
-        name = self._node.foreign_leader(Zone(report.zone))
+        name = self._node.foreign_leader(Zone(heartbeat.zone))
         if name is None:
             return self._busy("no leader is known")
         return Response(421, {"foreman": name})
--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -10,7 +10,7 @@
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Team
 from ryewing.units import JobId, ShardName, Zone
-from ryewing.wire.messages import JobSpec, JobStatus, MachineType, Report, ReportAnswer
+from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus, MachineType
 
 
 class Controller(Protocol):
@@ -25,7 +25,7 @@
     def healthy(self) -> bool:
         """Tell whether requests can be taken."""
 
-    def on_report(self, report: Report) -> ReportAnswer | None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
 
     def foreign_leader(self, zone: Zone) -> str | None:
--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -45,7 +45,7 @@
 class RequestHeaders(dict[str, str]):
     """A request's headers by lower-case name, as `WSGIHandler` asks for them.
 
-    The parser for mail that it comes with took a third of what a report costs, and a leader of
+    The parser for mail that it comes with took a third of what a heartbeat costs, and a leader of
     hundreds of machines gets hundreds a second.
     """
 
--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -1,7 +1,7 @@
 """The client of the workers' own addresses: handshakes, halts and clears.
 
 Starts are never sent this way. A command held back by the network is executed whenever it
-arrives while token and session match, so a start could come minutes late; a halt or a clear
+arrives while token and incarnation match, so a start could come minutes late; a halt or a clear
 names one attempt, and attempts are never given out twice.
 """
 
@@ -15,7 +15,7 @@
 from ryewing.clients.http_client import HttpClient, UnreachableError
 from ryewing.config.settings import parse_address
 from ryewing.units import Token
-from ryewing.wire.messages import Command, DirectCommands, MalformedError, Report, read_report
+from ryewing.wire.messages import Command, DirectCommands, Heartbeat, MalformedError, read_heartbeat
 
 DEADLINE_S = 2.0
 KEPT_SHARE = 0.07
@@ -42,14 +42,16 @@
             self._clients.popitem(last=False)[1].close()
         return client
 
-    def send(self, address: str, token: Token, session: int, commands: Sequence[Command]) -> Report:
-        """Send commands; return the worker's report, which tells if they were taken.
+    def send(
+        self, address: str, token: Token, incarnation: int, commands: Sequence[Command]
+    ) -> Heartbeat:
+        """Send commands; return the worker's heartbeat, which tells if they were taken.
 
         An empty list is the handshake: a worker that takes it refuses older terms from then on.
         """
         if any(command.verb == "start" for command in commands):
-            raise ValueError("starts ride in report responses only")
-        body = msgspec.json.encode(DirectCommands(int(token), session, list(commands)))
+            raise ValueError("starts ride in heartbeat responses only")
+        body = msgspec.json.encode(DirectCommands(int(token), incarnation, list(commands)))
         try:
             client = self._client(address)
             reply = client.request("POST", "/orders", body, DEADLINE_S)
@@ -58,7 +60,7 @@
         if reply.status not in (200, 409):
             raise WorkerUnavailableError(str(reply.status))
         try:
-            return read_report(reply.body)
+            return read_heartbeat(reply.body)
         except MalformedError as error:
             raise WorkerUnavailableError(str(error)) from None
 
--- a/src/ryewing/election/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -62,14 +62,14 @@
         if self.followed_at is None or asked_at > self.followed_at:
             self.followed_at = asked_at
 
-    def expired_session(self, now: MonotonicTime) -> bool:
+    def lease_expired(self, now: MonotonicTime) -> bool:
         """Tell whether the lease may have ended."""
         return self.renewed_at is None or now >= self.renewed_at + self._lease_s
 
     def may_start(self, now: MonotonicTime) -> bool:
         """Starting tasks, renting and answering users need an unexpired lease and the jobs."""
         return (
-            not self.expired_session(now)
+            not self.lease_expired(now)
             and self.followed_at is not None
             and now < self.followed_at + FOLLOW_S
         )
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -44,7 +44,7 @@
 BOOT_LEAST_S = 60.0
 """How long a machine may take to boot at the least: deleted sooner, it costs as much."""
 LATE_AFTER = 1.3
-"""Report intervals, a little more than the longest one, after which a report is late."""
+"""Heartbeat intervals, a little more than the longest one, after which a heartbeat is late."""
 
 
 class Renter:
@@ -154,8 +154,8 @@
                 silent.append(machine)
             elif deaf_since is not None and now - deaf_since > times.lease_s:
                 unacknowledging.append(machine)
-        # Judged by those that are late by one report, not by those silent for long: when all
-        # fall silent, their last reports lie an interval apart.
+        # Judged by those that are late by one heartbeat, not by those silent for long: when all
+        # fall silent, their last heartbeats lie an interval apart.
         most = max(2, known // 3)
         few = late <= most
         result = [(machine, "never-booted") for machine in never_booted]
@@ -163,7 +163,7 @@
             (machine, "silent") for machine in silent if few or machine.may_hold_until is None
         ]
         if few and len(unacknowledging) <= most:
-            # Its reports come, our answers don't reach it: it can't be used, but it is paid for.
+            # Its heartbeats come, our answers don't reach it: it can't be used, but it is paid for.
             result += [(machine, "unheeding") for machine in unacknowledging]
         return result
 
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -25,7 +25,7 @@
 from ryewing.leader.worker_commands import PROBE_AFTER, Dispatch
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, KeyVersion, MonotonicTime, Term, monotonic_now
-from ryewing.wire.messages import JobStatus, Report, ReportAnswer
+from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobStatus
 
 log = logging.getLogger("ryewing.leader.leader")
 
@@ -72,9 +72,9 @@
 
     # -- what other parts of the process ask ------------------------------------------------
 
-    def on_report(self, report: Report) -> ReportAnswer | None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
-        return self.dispatch.on_report(report)
+        return self.dispatch.on_heartbeat(heartbeat)
 
     def poll(self, job_id: JobId) -> JobStatus | None:
         """Tell a job's state, or None if only the store can tell."""
@@ -159,7 +159,7 @@
         except StoreUnavailableError as error:
             log.debug("event=renew-failed error=%s", error)
             return False
-        if self.ctx.authority.expired_session(sent_at):
+        if self.ctx.authority.lease_expired(sent_at):
             log.info("event=lease-confirmed-again term=%d", self.ctx.term)
             self.ctx.place.set()
             self.ctx.write.set()
@@ -242,7 +242,7 @@
     def is_cut_from_workers(self, now: MonotonicTime) -> bool:
         """Tell whether most machines fell silent at once, so that the fault is likely here.
 
-        Each has missed a report and not answered when asked directly. Time in which this process
+        Each has missed a heartbeat and not answered when asked directly. Time in which this process
         stood still does not count: found in replays, where a leader that was itself again resigned
         for it, and left leadership alone for a while.
         """
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -38,13 +38,14 @@
 log = logging.getLogger("ryewing.leader.scheduler")
 
 PASS_GAP_S = 0.2
-"""The least pause between passes: a start waits for a report anyway, which takes half a second."""
+"""The least pause between passes: a start waits for a heartbeat anyway, which takes half a
+second."""
 PASS_REST = 9.0
 """Times its own length that a pass is rested from: passes take a tenth of the time at the most, so
 that a leader that never comes to rest still answers workers, users and health checks first."""
 GPUS_WANTED_HALF_LIFE_S = 60.0
-FRESH_REPORTS = 2.5
-"""Report intervals for which a machine counts as heard: no new task goes to a silent one."""
+FRESH_HEARTBEATS = 2.5
+"""Heartbeat intervals for which a machine counts as heard: no new task goes to a silent one."""
 KINDS_MAX = 32
 """Classes of which it is remembered what a task takes."""
 ATTEMPTS_LEFT = 1 << 20
@@ -102,7 +103,7 @@
             if self.ctx.may_begin() and self.ready_to_place():
                 self.run_pass()
             took = time.perf_counter() - began
-            # A pass that takes long is made less often, so that reports are always answered.
+            # A pass that takes long is made less often, so that heartbeats are always answered.
             gevent.sleep(max(PASS_GAP_S, self._rest_s(took)))
 
     def _rest_s(self, took: float) -> float:
@@ -165,7 +166,7 @@
         self, unheard: Sequence[Machine], gpus_kept: float, now: MonotonicTime
     ) -> placement.PassInputs:
         cluster = self.ctx.cluster
-        fresh = now - FRESH_REPORTS * self.ctx.settings.params.workers.report_s
+        fresh = now - FRESH_HEARTBEATS * self.ctx.settings.params.workers.report_s
         capacities = [
             MachineCapacity(machine, self._being_stopped(machine))
             for machine in cluster.machines.values()
@@ -189,7 +190,7 @@
             avoid=self._avoid,
             fetches_share=cluster.fetches_share(),
             recent_specs=tuple(self._recent_specs.values()),
-            report_in=lambda machine: self.dispatch.report_in(machine, now),
+            next_heartbeat_in_s=lambda machine: self.dispatch.next_heartbeat_in_s(machine, now),
         )
 
     def _carry_out(self, plan: placement.Plan, now: MonotonicTime) -> None:
@@ -210,7 +211,7 @@
                 serving |= names
         for name in sorted(planned, key=lambda name: name not in serving):
             machine = self.ctx.cluster.machines[name]
-            self.dispatch.request_early_report(machine, now, name in serving)
+            self.dispatch.request_early_heartbeat(machine, now, name in serving)
         for assignment in plan.stops:
             self._stop(assignment, StopReason.PREEMPTED, now)
         for assignment in plan.moves:
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -1,7 +1,7 @@
-"""What passes between the leader and the workers: reports, answers, direct commands.
+"""What passes between the leader and the workers: heartbeats, answers, direct commands.
 
-Starts ride only in the answers to reports. Halts and clears ride there too, and are sent directly
-when that brings them sooner.
+Starts ride only in the answers to heartbeats. Halts and clears ride there too, and are sent
+directly when that brings them sooner.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from ryewing.state.pending_terminations import StopReason
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
+    HeartbeatVersion,
     MachineId,
     MonotonicTime,
-    ReportVersion,
     Zone,
     monotonic_now,
     term_of,
     token_of,
 )
-from ryewing.wire.messages import Command, Report, ReportAnswer
+from ryewing.wire.messages import Command, Heartbeat, HeartbeatResponse
 
 log = logging.getLogger("ryewing.leader.worker_commands")
 
@@ -41,17 +41,17 @@
 TOKEN_BUMP_EVERY = 0.51
 """Leases between two raises of a worker's token: it reports one in half a lease."""
 UNWAITED_S = 4.5
-"""A worker waits 4 s for the answer to a report; so long after a newer message none does."""
-EARLY_REPORT_WITHIN = 0.7
-"""Report intervals since the last report after which hastening the next is not worth it."""
-EARLY_REPORTS_PER_CORE = 60.0
+"""A worker waits 4 s for the answer to a heartbeat; so long after a newer message none does."""
+EARLY_HEARTBEAT_WITHIN = 0.7
+"""Heartbeat intervals since the last heartbeat after which hastening the next is not worth it."""
+EARLY_HEARTBEATS_PER_CORE = 60.0
 """Messages a second and core that only make starts a little sooner: a tenth of the core."""
-REPORT_GAP_S = 0.5
-"""The least time between two reports of a worker."""
+MIN_HEARTBEAT_GAP_S = 0.5
+"""The least time between two heartbeats of a worker."""
 FAULTS_MAX = 2
 """Sound jobs that may fail on a machine, none finishing there since, before it is set aside."""
 PROBE_AFTER = 1.6
-"""Report intervals after which a silent machine is asked directly."""
+"""Heartbeat intervals after which a silent machine is asked directly."""
 
 
 def sends_at_once(sockets: int) -> int:
@@ -78,17 +78,17 @@
         self._others_turn = False
         """The lines take turns: neither waits for the other's silent machines."""
         core_share = ctx.scope.share * ctx.settings.params.resources.core_share
-        rate = EARLY_REPORTS_PER_CORE * core_share
-        self._early_report_budget = Budget(rate, rate)
+        rate = EARLY_HEARTBEATS_PER_CORE * core_share
+        self._early_heartbeat_budget = Budget(rate, rate)
 
     def stop(self) -> None:
         """End the exchanges under way."""
         self._senders.kill(block=False)
 
-    def on_report(self, report: Report) -> ReportAnswer | None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
         now = monotonic_now()
-        if term_of(report.token) > self.ctx.term:
+        if term_of(heartbeat.token) > self.ctx.term:
             # A worker has seen a later leader: a 200 from here would be dropped, and would
             # keep the worker here while its lease expires.
             self.ctx.lose("overruled")
@@ -99,31 +99,31 @@
             or not self.ctx.authority.may_answer(now)
         ):
             return None
-        if not self.ctx.scope.covers(report.zone):
+        if not self.ctx.scope.covers(heartbeat.zone):
             # A shard's machines are counted and commanded by its own leader alone: two leaders
             # that took one up would both place tasks on it.
             return None
-        name = MachineId(report.machine)
+        name = MachineId(heartbeat.machine)
         if name in self.ctx.released:
             return None
         machine = self.ctx.cluster.machines.get(name)
         if machine is None:
-            if term_of(report.token) != self.ctx.term:
+            if term_of(heartbeat.token) != self.ctx.term:
                 # Nobody knows it, so it holds nothing (it is recorded before its first start): it
                 # is new, or what comes in its name is old. Only the worker itself can show our
-                # token, which comes with this answer. Found with copies of reports that reached a
-                # new leader: machines long gone were recorded, and kept jobs waiting for a lease.
-                return ReportAnswer(int(token_of(self.ctx.term)), [])
+                # token, which comes with this answer. Found with copies of heartbeats that reached
+                # a new leader: machines long gone were recorded, and kept jobs waiting for a lease.
+                return HeartbeatResponse(int(token_of(self.ctx.term)), [])
             machine = self.ctx.cluster.add(
                 name,
-                self.ctx.machine_type(report.machine_type),
-                Zone(report.zone),
-                report.spot,
+                self.ctx.machine_type(heartbeat.machine_type),
+                Zone(heartbeat.zone),
+                heartbeat.spot,
                 now,
             )
-            log.info("event=unexpected-machine machine=%s flavour=%s", name, report.machine_type)
-        new_address = bool(report.address) and machine.address != report.address
-        fresh = self.ctx.cluster.apply_report(machine, report, now, as_report=True)
+            log.info("event=unexpected-machine machine=%s flavour=%s", name, heartbeat.machine_type)
+        new_address = bool(heartbeat.address) and machine.address != heartbeat.address
+        fresh = self.ctx.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=True)
         if not fresh and machine.heard_at is not None and now - machine.heard_at > UNWAITED_S:
             # A copy of something old: nobody waits for the answer, and no lease is renewed by it.
             return None
@@ -133,8 +133,8 @@
         if fresh:
             self._inspect(machine, now)
         self.ctx.cluster.answered(machine, now)
-        commands = self._compose(machine, report, fresh, now)
-        return ReportAnswer(int(self.ctx.cluster.token(machine)), commands)
+        commands = self._compose(machine, heartbeat, fresh, now)
+        return HeartbeatResponse(int(self.ctx.cluster.token(machine)), commands)
 
     def _inspect(self, machine: Machine, now: MonotonicTime) -> None:
         """See to what a machine's news bring: tasks that must go, room, finishes to write."""
@@ -210,14 +210,14 @@
             self.send_soon(machine)
 
     def _compose(
-        self, machine: Machine, report: Report, fresh: bool, now: MonotonicTime
+        self, machine: Machine, heartbeat: Heartbeat, fresh: bool, now: MonotonicTime
     ) -> list[Command]:
         commands = self._standing_orders(machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
         if machine.notice_s is not None or machine.leaving or not self.ctx.may_begin():
             return commands
-        version = ReportVersion(report.session, report.sequence)
+        version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         for assignment in machine.assignments.values():
             if assignment.phase != TaskPhase.PLANNED or len(commands) >= ORDERS_MAX:
                 continue
@@ -279,43 +279,45 @@
             if not self.ctx.authority.may_answer(now):
                 return
             commands = self._standing_orders(machine, now)
-            session = max(1, machine.version.session)
+            incarnation = max(1, machine.version.incarnation)
             for _ in range(2):
                 token = self.ctx.cluster.token(machine)
                 known = machine.version
-                report = self.workers.send(machine.address, token, session, commands)
-                if report.machine != machine.id:
+                heartbeat = self.workers.send(machine.address, token, incarnation, commands)
+                if heartbeat.machine != machine.id:
                     return
-                if term_of(report.token) > self.ctx.term:
+                if term_of(heartbeat.token) > self.ctx.term:
                     self.ctx.lose("overruled")
                     return
                 now = monotonic_now()
-                if ReportVersion(report.session, report.sequence) < known:
+                if HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence) < known:
                     self.ctx.cluster.restarted(machine, now)
-                if self.ctx.cluster.apply_report(machine, report, now, as_report=False):
+                if self.ctx.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=False):
                     self._inspect(machine, now)
-                if report.session == session:
+                if heartbeat.incarnation == incarnation:
                     return
-                session = report.session  # the session had changed: nothing was executed
+                incarnation = (
+                    heartbeat.incarnation
+                )  # the incarnation had changed: nothing was executed
         except WorkerUnavailableError as error:
             log.debug("event=worker-silent machine=%s error=%s", machine.id, error)
         finally:
             self._sending.discard(machine.id)
 
-    def report_in(self, machine: Machine, now: MonotonicTime) -> float:
+    def next_heartbeat_in_s(self, machine: Machine, now: MonotonicTime) -> float:
         """Estimate how soon a worker reports next, so that a start can ride in the answer."""
         since = now - machine.heard_at if machine.heard_at is not None else math.inf
         due = max(0.0, self.ctx.settings.params.workers.report_s - since)
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
             return due
         if self._may_bump_token(machine, now) or (machine.ended and self._clears(machine)):
-            return min(due, max(0.1, REPORT_GAP_S - since))
+            return min(due, max(0.1, MIN_HEARTBEAT_GAP_S - since))
         return due
 
-    def request_early_report(
+    def request_early_heartbeat(
         self, machine: Machine, now: MonotonicTime, urgent: bool = False
     ) -> None:
-        """Make a worker report soon, so that its starts need not wait for its next report.
+        """Make a worker report soon, so that its starts need not wait for its next heartbeat.
 
         A worker reports when a task is cleared, and when its token rises, though that at most
         once in half a lease. Only machines with starts to fetch are hastened, and within a rate:
@@ -325,15 +327,15 @@
         times = self.ctx.settings.params.workers
         if machine.heard_at is None:
             return
-        if not urgent and now - machine.heard_at > EARLY_REPORT_WITHIN * times.report_s:
-            return  # the next report is due anyway
+        if not urgent and now - machine.heard_at > EARLY_HEARTBEAT_WITHIN * times.report_s:
+            return  # the next heartbeat is due anyway
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
             # A response with the lower token, overtaken by this, would be dropped.
             return
         clears = bool(machine.ended) and bool(self._clears(machine))
         if not clears and not self._may_bump_token(machine, now):
             return
-        if not self._early_report_budget.take() and not urgent:
+        if not self._early_heartbeat_budget.take() and not urgent:
             return
         if not clears:
             machine.token_bumped_at = now
@@ -347,7 +349,7 @@
         return machine.token_bumped_at is None or now - machine.token_bumped_at >= gap
 
     def probe(self, now: MonotonicTime) -> None:
-        """Ask machines directly whose report is late, and those not heard in this term."""
+        """Ask machines directly whose heartbeat is late, and those not heard in this term."""
         late = PROBE_AFTER * self.ctx.settings.params.workers.report_s
         for machine in list(self.ctx.cluster.machines.values()):
             if machine.may_hold_until is None:
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -42,7 +42,7 @@
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.jobs import CANCELLED, DONE
 from ryewing.units import JobId, MonotonicTime, NodeName, ShardName, Zone, monotonic_now
-from ryewing.wire.messages import JobSpec, JobStatus, MachineType, Report, ReportAnswer
+from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus, MachineType
 
 log = logging.getLogger("ryewing.process.node")
 CANCEL_KNOWN_S = 10.0
@@ -121,11 +121,11 @@
 
     # -- what the interface for users and workers needs -------------------------------------
 
-    def on_report(self, report: Report) -> ReportAnswer | None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
-        candidacy = self._candidacy_of(Zone(report.zone))
+        candidacy = self._candidacy_of(Zone(heartbeat.zone))
         leader = candidacy.leader if candidacy is not None else None
-        return leader.on_report(report) if leader is not None else None
+        return leader.on_heartbeat(heartbeat) if leader is not None else None
 
     def foreign_leader(self, zone: Zone) -> str | None:
         """Name the leader to whom a zone's workers should be sent, if it is another node."""
--- a/src/ryewing/scheduling/capacity.py
+++ b/src/ryewing/scheduling/capacity.py
@@ -71,11 +71,11 @@
         "gpus",
         "machine",
         "memory_gb",
+        "next_heartbeat_in_s",
         "number",
         "releasing_cpus",
         "releasing_gpus",
         "releasing_memory_gb",
-        "report_in",
         "reserved_s",
         "stopping",
         "victims",
@@ -91,8 +91,8 @@
         self.memory_gb = machine.memory_gb
         self.reserved_s: float | None = None
         """A gang waits for this machine, and for so long at the least."""
-        self.report_in: float | None = None
-        """How soon its worker is thought to report, found once a pass."""
+        self.next_heartbeat_in_s: float | None = None
+        """How soon its worker is thought to heartbeat, found once a pass."""
         self.stopping: set[Assignment] = set(stopping)
         self.victims: dict[VictimKey, list[Assignment]] = {}
         """Whom a job of some rank (or a team's guarantee) may stop here, found once a pass."""
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -28,7 +28,7 @@
 from ryewing.wire.messages import DAEMON, JobSpec
 
 SHORT_WAIT_S = 2.0
-"""What a replica may wait for a report and its image where it would wait longer, or others would
+"""What a replica may wait for a heartbeat and its image where it would wait longer, or others would
 have to be stopped for it, elsewhere."""
 FETCH_UNDER_WAY_S = 0.2
 """What a fetch that should be over takes at the least."""
@@ -53,8 +53,8 @@
     """Images fetched at once share a machine's rate."""
     recent_specs: Sequence[JobSpec] = ()
     """What else is run lately: one of each class."""
-    report_in: Callable[[Machine], float] = lambda _machine: 0.0
-    """How soon a machine's worker is thought to report."""
+    next_heartbeat_in_s: Callable[[Machine], float] = lambda _machine: 0.0
+    """How soon a machine's worker is thought to heartbeat."""
 
 
 class Choice(NamedTuple):
@@ -188,10 +188,11 @@
     # -- how soon ---------------------------------------------------------------------------
 
     def start_s(self, spec: JobSpec, capacity: MachineCapacity) -> float:
-        """Estimate when a replica would run: the worker has to report first, and have the image."""
-        if capacity.report_in is None:
-            capacity.report_in = self.inputs.report_in(capacity.machine)
-        return capacity.report_in + self._image_s(spec, capacity)
+        """Estimate when a replica would run: the worker has to heartbeat first, and have the
+        image."""
+        if capacity.next_heartbeat_in_s is None:
+            capacity.next_heartbeat_in_s = self.inputs.next_heartbeat_in_s(capacity.machine)
+        return capacity.next_heartbeat_in_s + self._image_s(spec, capacity)
 
     def _image_s(self, spec: JobSpec, capacity: MachineCapacity) -> float:
         here = capacity.machine
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -26,9 +26,9 @@
     MAX_TOKEN_BUMPS,
     NEVER_HEARD,
     Attempt,
+    HeartbeatVersion,
     MachineId,
     MonotonicTime,
-    ReportVersion,
     TaskId,
     TeamName,
     Term,
@@ -39,7 +39,7 @@
     token_bumps_of,
     token_of,
 )
-from ryewing.wire.messages import MachineType, Report, ReportedTask
+from ryewing.wire.messages import Heartbeat, MachineType, ReportedTask
 
 log = logging.getLogger("ryewing.state.cluster_state")
 
@@ -100,7 +100,7 @@
             self.team_gpus[team] = self.team_gpus.get(team, 0.0) + spec.gpus
             other = job.live.get(task.number)
             if other is not None and other != machine.id:
-                # An old report, held back until a new leader began, tells of where the task was.
+                # An old heartbeat, held back until a new leader began, tells of where the task was.
                 # Which one is old shows later: until then it is on both, and gone once it is gone
                 # from both. Found by a table: the old one went, and the task was started again.
                 log.error("task=%s event=seen-twice machine=%s other=%s", task, machine.id, other)
@@ -246,7 +246,7 @@
         for machine in self.machines.values():
             if machine.may_hold_until is not None and now >= machine.may_hold_until:
                 machine.may_hold_until = None
-                machine.expired_session = machine.version.session
+                machine.expired_incarnation = machine.version.incarnation
                 self.drop_all(machine, now)
                 ended.append(machine)
         return ended
@@ -261,33 +261,33 @@
 
     # -- messages ---------------------------------------------------------------------------
 
-    def apply_report(
-        self, machine: Machine, report: Report, now: MonotonicTime, as_report: bool
+    def apply_heartbeat(
+        self, machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, is_heartbeat: bool
     ) -> bool:
         """Take in a worker's message; False if a newer one was there before.
 
-        `as_report`: a report proper, which the worker sends only after it has executed or
+        `is_heartbeat`: a heartbeat proper, which the worker sends only after it has executed or
         dropped our last response; so it settles assumed starts. The body of `/orders` may have
         overtaken a response, and settles nothing.
         """
-        version = ReportVersion(report.session, report.sequence)
-        if term_of(report.token) == self.term:
+        version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
+        if term_of(heartbeat.token) == self.term:
             # A reading of the token: true whatever the order in which messages come.
-            machine.acknowledged = max(machine.acknowledged, token_bumps_of(report.token))
+            machine.acknowledged = max(machine.acknowledged, token_bumps_of(heartbeat.token))
             machine.token_bumps = max(machine.token_bumps, machine.acknowledged)
-        if version <= machine.version or report.session <= machine.expired_session:
+        if version <= machine.version or heartbeat.incarnation <= machine.expired_incarnation:
             return False
-        if report.session > machine.version.session and machine.version != NEVER_HEARD:
-            self._begin_session(machine, now)
+        if heartbeat.incarnation > machine.version.incarnation and machine.version != NEVER_HEARD:
+            self._begin_incarnation(machine, now)
         machine.version = version
         machine.heard_at = now
-        if report.address:
-            machine.address = report.address
-        if report.notice_s is not None and machine.notice_s is None:
+        if heartbeat.address:
+            machine.address = heartbeat.address
+        if heartbeat.notice_s is not None and machine.notice_s is None:
             machine.noticed_at = now
-        machine.notice_s = report.notice_s
-        self._apply_tasks(machine, report, now)
-        if as_report:
+        machine.notice_s = heartbeat.notice_s
+        self._apply_tasks(machine, heartbeat, now)
+        if is_heartbeat:
             self._settle_starts(machine, now)
         if machine.acknowledges:
             machine.unacknowledged_since = None
@@ -295,18 +295,19 @@
             machine.unacknowledged_since = now
         return True
 
-    def _begin_session(self, machine: Machine, now: MonotonicTime) -> None:
-        """The worker has killed and forgotten everything, and it drops responses to reports of the
-        earlier session."""
+    def _begin_incarnation(self, machine: Machine, now: MonotonicTime) -> None:
+        """The worker has killed and forgotten everything, and it drops responses to heartbeats of
+        the earlier incarnation."""
         for assignment in list(machine.assignments.values()):
             if assignment.phase != TaskPhase.PLANNED:
                 self.drop(assignment, now)
-        self.require_acknowledgement(machine, "new-session", now)
+        self.require_acknowledgement(machine, "new-incarnation", now)
         machine.last_reported.clear()
         machine.ended.clear()
 
     def _settle_starts(self, machine: Machine, now: MonotonicTime) -> None:
-        """Drop starts that a later report does not show: shown, they would have another phase."""
+        """Drop starts that a later heartbeat does not show: shown, they would have another
+        phase."""
         for assignment in [a for a in machine.assignments.values() if a.phase == TaskPhase.SENT]:
             if assignment.sent_after is not None and machine.version > assignment.sent_after:
                 self.drop(assignment, now)
@@ -315,7 +316,7 @@
     def require_acknowledgement(self, machine: Machine, why: str, now: MonotonicTime) -> None:
         """Something we told a worker has not reached it: no more work until it shows a new token.
 
-        Where reports arrive and answers don't, a machine was refilled after each report.
+        Where heartbeats arrive and answers don't, a machine was refilled after each heartbeat.
         """
         if machine.acknowledges and machine.token_bumps < MAX_TOKEN_BUMPS:
             machine.token_bumps += 1
@@ -326,22 +327,22 @@
                     self.drop(assignment, now)
 
     def restarted(self, machine: Machine, now: MonotonicTime) -> None:
-        """Its worker began anew: it has forgotten its sessions, its token and its tasks.
+        """Its worker began anew: it has forgotten its incarnations, its token and its tasks.
 
         Told by a direct answer that is older than a message which had come before it was asked.
         """
         log.info("event=worker-restarted machine=%s", machine.id)
         self.drop_all(machine, now)
         machine.version = NEVER_HEARD
-        machine.expired_session = 0
+        machine.expired_incarnation = 0
         machine.acknowledged = -1
         machine.required_acknowledgement = 0
 
-    def _apply_tasks(self, machine: Machine, report: Report, now: MonotonicTime) -> None:
+    def _apply_tasks(self, machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) -> None:
         """Take in the attempts shown, with work in proportion to what differs from before."""
         before, shown = machine.last_reported, {}
         news: list[ReportedTask] = []
-        for reported in report.tasks:
+        for reported in heartbeat.tasks:
             key = (reported.task_id, reported.attempt)
             shown[key] = reported
             if before.get(key) != reported:
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -157,7 +157,7 @@
         """Judge a failure: by the job if it fails on several machines, else by the machine."""
         if cause in ("no_room", "in_use", "unknown"):
             # The worker knows better than our sums, or the job's description is not there yet:
-            # look again after its next reports instead of at once.
+            # look again after its next heartbeats instead of at once.
             job.backoff_until = MonotonicTime(max(job.backoff_until, now + 1.0))
             log.warning("job=%s machine=%s event=refused cause=%s", job.id, machine.id, cause)
             return
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -204,7 +204,8 @@
         """Accepted before this leader's term: its tasks may sit on machines not yet heard."""
         self.live: dict[int, MachineId] = {}
         self.duplicates: dict[int, set[MachineId]] = {}
-        """Further machines that a task was reported from: all but one of these reports are old."""
+        """Further machines that a task was reported from: all but one of these heartbeats are
+        old."""
         self.zones: Counter[Zone] = Counter()
         self.running = 0
         self.done_count = 0
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -10,10 +10,10 @@
 from ryewing.units import (
     NEVER_HEARD,
     Attempt,
+    HeartbeatVersion,
     JobId,
     MachineId,
     MonotonicTime,
-    ReportVersion,
     TaskId,
     Zone,
 )
@@ -30,7 +30,7 @@
 SLOW_PACE = 1.4
 """Where tasks take so many times as long as elsewhere, the machine is slow."""
 SLOWDOWN_FROM_S = 5.0
-"""How long a fetch has to take to tell whether fetches share a machine's rate: a report tells of
+"""How long a fetch has to take to tell whether fetches share a machine's rate: a heartbeat tells of
 its end seconds late."""
 
 
@@ -49,7 +49,7 @@
 LIVE_PHASES = frozenset(
     (TaskPhase.FETCHING, TaskPhase.GATHERING, TaskPhase.RUNNING, TaskPhase.SAVING)
 )
-"""What a worker reports of an attempt that is on its machine."""
+"""What a worker heartbeats of an attempt that is on its machine."""
 
 
 class Assignment:
@@ -82,8 +82,8 @@
         self.job = job
         self.phase = phase
         self.planned_at = now
-        self.sent_after: ReportVersion | None = None
-        """The report whose response carried the start; a later report settles it."""
+        self.sent_after: HeartbeatVersion | None = None
+        """The heartbeat whose response carried the start; a later heartbeat settles it."""
         self.running_since: MonotonicTime | None = None
         self.start_observed = False
         """Its run was seen to begin; a task found running after a take-over was not."""
@@ -139,7 +139,7 @@
         "assignments",
         "cpus",
         "ended",
-        "expired_session",
+        "expired_incarnation",
         "faults",
         "fetches",
         "gpus",
@@ -179,8 +179,8 @@
         self.spot = spot
         self.address = ""
         self.version = NEVER_HEARD
-        self.expired_session = 0
-        """The newest session that is surely over: what is said of it is an old copy."""
+        self.expired_incarnation = 0
+        """The newest incarnation that is surely over: what is said of it is an old copy."""
         self.acknowledged = -1
         """The highest raise of our term's token that its messages have shown; -1: nothing of it."""
         self.required_acknowledgement = 0
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -103,7 +103,7 @@
         self._by_machine.pop(machine, None)
 
     def commands(self, machine: MachineId, now: MonotonicTime) -> list[Command]:
-        """Give every stop of a machine, for a report response."""
+        """Give every stop of a machine, for a heartbeat response."""
         stones = self._by_machine.get(machine)
         if not stones:
             return []
--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -53,14 +53,14 @@
         return f"{self.job}/{self.number}"
 
 
-class ReportVersion(NamedTuple):
+class HeartbeatVersion(NamedTuple):
     """Orders a worker's messages: the larger one is the newer one."""
 
-    session: int
+    incarnation: int
     sequence: int
 
 
-NEVER_HEARD = ReportVersion(0, 0)
+NEVER_HEARD = HeartbeatVersion(0, 0)
 
 
 def monotonic_now() -> MonotonicTime:
--- a/src/ryewing/wire/messages.py
+++ b/src/ryewing/wire/messages.py
@@ -77,9 +77,9 @@
     saved: bool = False
 
 
-_REPORT_KEYS = {
+_HEARTBEAT_KEYS = {
     "machine": "host",
-    "session": "tenure",
+    "incarnation": "tenure",
     "sequence": "tick",
     "token": "mandate",
     "machine_type": "flavour",
@@ -91,11 +91,11 @@
 }
 
 
-class Report(msgspec.Struct, rename=_REPORT_KEYS):
+class Heartbeat(msgspec.Struct, rename=_HEARTBEAT_KEYS):
     """What a worker reports; also the body of `/orders` and `/show`."""
 
     machine: str
-    session: int
+    incarnation: int
     sequence: int
     token: int
     machine_type: str
@@ -118,21 +118,21 @@
     grace_s: float | None = None
 
 
-class ReportAnswer(msgspec.Struct, rename={"token": "mandate", "commands": "orders"}):
-    """The 200 to a report."""
+class HeartbeatResponse(msgspec.Struct, rename={"token": "mandate", "commands": "orders"}):
+    """The 200 to a heartbeat."""
 
     token: int
     commands: list[Command]
 
 
-_DIRECT_COMMANDS_KEYS = {"token": "mandate", "session": "tenure", "commands": "orders"}
+_DIRECT_COMMANDS_KEYS = {"token": "mandate", "incarnation": "tenure", "commands": "orders"}
 
 
 class DirectCommands(msgspec.Struct, rename=_DIRECT_COMMANDS_KEYS):
     """The body of a direct command."""
 
     token: int
-    session: int
+    incarnation: int
     commands: list[Command]
 
 
@@ -308,7 +308,7 @@
 
 _job_spec_decoder = msgspec.json.Decoder(JobSpec)
 _required_flags_decoder = msgspec.json.Decoder(_RequiredFlags)
-_report_decoder = msgspec.json.Decoder(Report)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def read_object(body: bytes) -> dict[str, Any]:
@@ -365,9 +365,9 @@
             raise MalformedError(f"{key}: must be a finite number, 0 or more")
 
 
-def read_report(body: bytes) -> Report:
+def read_heartbeat(body: bytes) -> Heartbeat:
     """Decode a worker's message, or raise MalformedError."""
     try:
-        return _report_decoder.decode(body)
+        return _heartbeat_decoder.decode(body)
     except UNREADABLE as error:
         raise MalformedError(str(error)) from None
--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -169,7 +169,7 @@
     ],
 )
 def test_headers(lines: bytes, wrong: bool, length: str | None) -> None:
-    """Read by our own hand, since the mail parser took a third of what a report costs."""
+    """Read by our own hand, since the mail parser took a third of what a heartbeat costs."""
     headers = RequestHeaders.read(io.BytesIO(lines + b"\r\nbody"))
     assert bool(headers.status) is wrong
     if not wrong:
@@ -279,5 +279,5 @@
 ) -> None:
     client.node.leader = FakeLeader() if leads else None
     client.node.follows = follows
-    report = {"host": "i-1", "tenure": 1, "tick": 1, "mandate": 0, "flavour": "c32", "site": "a"}
-    assert client("POST", "/v1/report", msgspec.json.encode(report)) == (status, body)
+    heartbeat = {"host": "i-1", "tenure": 1, "tick": 1, "mandate": 0, "flavour": "c32", "site": "a"}
+    assert client("POST", "/v1/report", msgspec.json.encode(heartbeat)) == (status, body)
--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -77,11 +77,11 @@
 
 
 def test_reports_are_answered_between_polls(cluster: Cluster) -> None:
-    """No question leaves anything behind that a report would have to wait for."""
+    """No question leaves anything behind that a heartbeat would have to wait for."""
     refs = jobs(cluster)
     worker = cluster.workers["i-000001"]
     poll_all(cluster, refs)
-    status, answer = cluster.report(NAMES[0], worker.report())
+    status, answer = cluster.send_heartbeat(NAMES[0], worker.heartbeat())
     assert status == 200
     assert "orders" in answer
     assert all(not api._submits and not api._reads for api in cluster.apis.values())
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -21,7 +21,7 @@
 from ryewing.process.node import Node
 from ryewing.state.jobs import live_key
 from ryewing.units import JobId, Revision
-from ryewing.wire.messages import BODY_LIMIT, MalformedError, read_report
+from ryewing.wire.messages import BODY_LIMIT, MalformedError, read_heartbeat
 
 PATIENT_S = 10.0
 GOOD_REPORT = {
@@ -115,7 +115,7 @@
 def test_reports_that_cannot_be_read_are_refused(body: bytes) -> None:
     assert Client()("POST", "/v1/report", body)[0] == 400
     with pytest.raises(MalformedError):
-        read_report(body)
+        read_heartbeat(body)
 
 
 # -- store and cloud ------------------------------------------------------------------------------
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -26,7 +26,7 @@
 """No fixed limit stands below so many times the machines."""
 TASKS_A_MACHINE = 4
 LOOKS = 14
-"""Looks at the fleet, a report interval apart: longer than old hold and lease."""
+"""Looks at the fleet, a heartbeat interval apart: longer than old hold and lease."""
 TASKS = MACHINES * TASKS_A_MACHINE
 
 
@@ -52,10 +52,10 @@
         self._boot()
         writes = harness.store.writes
         for _ in range(2):
-            self.report_all()
+            self.all_send_heartbeats()
         harness.write()
         writes = harness.store.writes - writes
-        self.report_all()
+        self.all_send_heartbeats()
         return len(harness.cloud.requests) - requests, writes
 
     def _boot(self) -> None:
@@ -65,25 +65,25 @@
                     name, machine.machine_type.name, machine.zone, machine.spot
                 )
 
-    def report_all(self) -> None:
+    def all_send_heartbeats(self) -> None:
         """Let every worker that can speak report and execute its answer."""
-        self.report(self.workers)
+        self.send_heartbeats(self.workers)
 
-    def report_planned(self) -> None:
+    def planned_send_heartbeats(self) -> None:
         """Let those report for which starts are planned."""
         machines = self.harness.leader.ctx.cluster.machines
         phases = {
             name: {assignment.phase for assignment in machine.assignments.values()}
             for name, machine in machines.items()
         }
-        self.report([name for name, found in phases.items() if TaskPhase.PLANNED in found])
+        self.send_heartbeats([name for name, found in phases.items() if TaskPhase.PLANNED in found])
 
-    def report(self, names: Iterable[str]) -> None:
+    def send_heartbeats(self, names: Iterable[str]) -> None:
         """Let some workers report, of those that can speak, and execute their answers."""
         for name in names:
             worker = self.workers[name]
             if name not in self.silent:
-                answer = self.harness.leader.on_report(worker.report())
+                answer = self.harness.leader.on_heartbeat(worker.heartbeat())
                 assert answer is not None
                 self._execute(name, worker, answer.token, answer.commands)
 
@@ -137,15 +137,15 @@
         passes += 1
         assert passes <= MACHINES / policy().sample + 1
         harness.later(0.1)
-        fleet.report_planned()
-    fleet.report_all()
+        fleet.planned_send_heartbeats()
+    fleet.all_send_heartbeats()
 
 
 def test_four_thousand_machines_through_a_take_over_and_a_mass_loss(fleet: Fleet) -> None:
     harness = fleet.harness
     fill(fleet)
 
-    # A take-over: every machine is heard by its reports, nothing is started again.
+    # A take-over: every machine is heard by its heartbeats, nothing is started again.
     asked: Counter[MachineId] = Counter()
     leader = harness.new_leader(7)
     leader.dispatch.send_soon = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
@@ -153,9 +153,9 @@
     assert len(leader.ctx.cluster.machines) == MACHINES
     assert not leader.placer.ready_to_place()
     for _ in range(2):
-        fleet.report_all()
+        fleet.all_send_heartbeats()
     harness.place()
-    fleet.report_all()
+    fleet.all_send_heartbeats()
     assert (job.running, job.shortfall) == (TASKS, 0)
     assert set(fleet.started.values()) == {1}
     leader.dispatch.probe(harness.clock())
@@ -169,7 +169,7 @@
     fleet.silent = set(lost)
     for look in range(LOOKS):
         harness.later(3.0)
-        fleet.report_all()
+        fleet.all_send_heartbeats()
         leader.tend_once()
         harness.place()
         given_up = leader.renter.to_give_up(harness.clock())
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -57,9 +57,9 @@
     ]
     for take_away, give_back in guards:
         take_away()
-        report = worker.report()
-        report.token = 0 if not machine.handshaken else report.token
-        answer = harness.leader.on_report(report)
+        heartbeat = worker.heartbeat()
+        heartbeat.token = 0 if not machine.handshaken else heartbeat.token
+        answer = harness.leader.on_heartbeat(heartbeat)
         assert answer is not None
         assert not starts(answer.commands)
         give_back()
@@ -75,13 +75,13 @@
 ) -> None:
     worker = harness.ready_worker()
     harness.later(seconds, renewed=False)
-    assert (harness.leader.on_report(worker.report()) is not None) is answered
+    assert (harness.leader.on_heartbeat(worker.heartbeat()) is not None) is answered
 
 
 def test_a_report_with_a_later_token_ends_the_term(harness: LeaderHarness) -> None:
     worker = harness.worker()
     worker.token = token_of(Term(6))
-    assert harness.leader.on_report(worker.report()) is None
+    assert harness.leader.on_heartbeat(worker.heartbeat()) is None
     assert harness.lost == ["overruled"]
 
 
@@ -89,7 +89,7 @@
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
-    answer = harness.leader.on_report(worker.report())  # this answer is lost on its way
+    answer = harness.leader.on_heartbeat(worker.heartbeat())  # this answer is lost on its way
     assert answer is not None
     assert len(starts(answer.commands)) == 1
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
@@ -97,7 +97,7 @@
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
     harness.leader.placer.run_pass()
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
-    assert not starts(harness.exchange(worker))  # a later report: never executed, given up
+    assert not starts(harness.exchange(worker))  # a later heartbeat: never executed, given up
     assert harness.assignments() == {}
 
 
@@ -116,7 +116,7 @@
     harness.place()
     assert asked == [worker.name]  # a start is on its way, and half a lease is not over
     harness.new_leader(6)
-    answer = harness.leader.on_report(worker.report())
+    answer = harness.leader.on_heartbeat(worker.heartbeat())
     assert answer is not None
     assert answer.token > worker.token
 
@@ -124,23 +124,23 @@
 def test_a_new_session_seen_in_an_orders_body_voids_an_assumed_start(
     harness: LeaderHarness,
 ) -> None:
-    """The worker drops responses to reports of an earlier session."""
+    """The worker drops responses to heartbeats of an earlier incarnation."""
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
-    assert harness.leader.on_report(worker.report()) is not None  # lost on its way
-    worker.session += 1
+    assert harness.leader.on_heartbeat(worker.heartbeat()) is not None  # lost on its way
+    worker.incarnation += 1
     harness.leader.dispatch.send(harness.leader.ctx.cluster.machines[MachineId(worker.name)])
     assert harness.assignments() == {}
 
 
 def test_a_late_report_is_answered_without_starts(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    late = worker.report()
+    late = worker.heartbeat()
     harness.exchange(worker)
     harness.accept(task_count=1)
     harness.place()
-    answer = harness.leader.on_report(late)
+    answer = harness.leader.on_heartbeat(late)
     assert answer is not None
     assert not starts(answer.commands)
     assert list(harness.assignments().values()) == [TaskPhase.PLANNED]
@@ -151,7 +151,7 @@
     harness.begin(worker, task_count=1)
     harness.exchange(worker)
     assert list(harness.assignments().values()) == [TaskPhase.RUNNING]
-    worker.session += 1
+    worker.incarnation += 1
     worker.sequence = 0
     worker.tasks.clear()
     harness.exchange(worker)
@@ -235,7 +235,9 @@
     assert harness.cloud.released == ["i-000001"]
     harness.place()
     assert harness.assignments("i-000002") == {"run-1/0": TaskPhase.PLANNED}
-    assert harness.leader.on_report(silent.report()) is None  # a late report of a gone machine
+    assert (
+        harness.leader.on_heartbeat(silent.heartbeat()) is None
+    )  # a late heartbeat of a gone machine
 
 
 def test_a_late_transaction_of_an_earlier_term_dies(harness: LeaderHarness) -> None:
@@ -337,7 +339,7 @@
         harness.exchange(worker)
     lost = next(worker for worker in workers if worker.tasks)
     lost.tasks.clear()
-    lost.session += 1
+    lost.incarnation += 1
     harness.exchange(lost)
     harness.place()
     for worker in workers:
@@ -362,7 +364,7 @@
     lost, left = [worker for worker in workers if worker.tasks]
     old = {attempt for _, attempt in left.tasks}
     lost.tasks.clear()
-    lost.session += 1
+    lost.incarnation += 1
     harness.exchange(lost)
     harness.place()
     for worker in workers:
@@ -455,5 +457,5 @@
     harness.ready(worker)
     [entry] = harness.store.listing(MACHINE_PREFIX)[0]
     records = msgspec.json.decode(entry.data, type=dict[str, MachineRecord])
-    address = worker.report().address
+    address = worker.heartbeat().address
     assert records == {worker.name: MachineRecord("c32", "b", True, address, True)}
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -358,17 +358,17 @@
 
 
 def test_how_soon_a_worker_reports(harness: LeaderHarness) -> None:
-    """A nudge brings a report in half a second; not while a response is under way, nor twice."""
+    """A nudge brings a heartbeat in half a second; not while a response is under way, nor twice."""
     worker = harness.ready_worker()
     dispatch = harness.leader.dispatch
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    assert dispatch.report_in(machine, harness.clock()) == 0.5
+    assert dispatch.next_heartbeat_in_s(machine, harness.clock()) == 0.5
     harness.begin(worker, task_count=1)
     machine.token_bumped_at = None
-    assert dispatch.report_in(machine, harness.clock()) == 3.0
+    assert dispatch.next_heartbeat_in_s(machine, harness.clock()) == 3.0
     harness.exchange(worker)
     machine.token_bumped_at = harness.clock()
-    assert dispatch.report_in(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
+    assert dispatch.next_heartbeat_in_s(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
 
 
 def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -36,12 +36,12 @@
 
 
 def test_another_shards_machine_is_neither_answered_nor_counted(east: LeaderHarness) -> None:
-    """By its report, nor where the list or a late rental of another shard brings it up."""
+    """By its heartbeat, nor where the list or a late rental of another shard brings it up."""
     ours, theirs = east.worker("i-000001", zone="a"), east.worker("i-000002", zone="b")
     east.exchange(ours)  # shows the worker our token
     east.exchange(ours)
     theirs.token = ours.token
-    assert east.leader.on_report(theirs.report()) is None
+    assert east.leader.on_heartbeat(theirs.heartbeat()) is None
     east.cloud.listed = [
         ListedMachine("i-000003", "c32", "a", "running"),
         ListedMachine("i-000004", "c32", "b", "failed"),
@@ -78,7 +78,7 @@
     east.place()
     east.leader.ctx.sealed = True
     assert starts(east.exchange(worker)) == []
-    assert east.leader.on_report(worker.report()) is not None
+    assert east.leader.on_heartbeat(worker.heartbeat()) is not None
     machine = east.leader.ctx.cluster.machines[next(iter(east.leader.ctx.cluster.machines))]
     east.leader.renter.release([(machine, "idle")])
     east.leader.renter.pending_requests.clear()
@@ -119,8 +119,8 @@
         "writes": (leader.writer._budget.rate, 0.65 * params.state.write_rps),
         "cloud": (renter.cloud.budget.rate, 0.8 * params.cloud.rps),
         "list": (leader.renter.listing._budget.rate, LIST_SHARE * params.cloud.rps),
-        "early reports": (
-            leader.dispatch._early_report_budget.rate,
+        "early heartbeats": (
+            leader.dispatch._early_heartbeat_budget.rate,
             60.0 * params.resources.core_share,
         ),
     }
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -19,15 +19,15 @@
 from ryewing.leader.worker_commands import ORDERS_MAX
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, Term, token_of
-from ryewing.wire.messages import RentalRequest, Report, ReportedTask
+from ryewing.wire.messages import Heartbeat, RentalRequest, ReportedTask
 
 LEASE_S = settings().params.workers.lease_s
 REPORT_S = settings().params.workers.report_s
 
 
 def unanswered(harness: LeaderHarness, worker: FakeWorker) -> None:
-    """A report that arrives, and an answer that doesn't."""
-    harness.leader.on_report(worker.report())
+    """A heartbeat that arrives, and an answer that doesn't."""
+    harness.leader.on_heartbeat(worker.heartbeat())
 
 
 def placed_in_rounds(harness: LeaderHarness, worker: FakeWorker, rounds: int) -> int:
@@ -36,13 +36,13 @@
     for _ in range(rounds):
         harness.later(REPORT_S)
         harness.place()
-        answer = harness.leader.on_report(worker.report())
+        answer = harness.leader.on_heartbeat(worker.heartbeat())
         given += answer is not None and bool(starts(answer.commands))
     return given
 
 
 def test_a_machine_that_does_not_hear_gets_no_more_work(harness: LeaderHarness) -> None:
-    """Reports arrive, answers don't: it was refilled after every report, for ever."""
+    """Heartbeats arrive, answers don't: it was refilled after every heartbeat, for ever."""
     deaf = harness.ready_worker()
     harness.accept(task_count=4)
     assert placed_in_rounds(harness, deaf, 12) == 1
@@ -63,7 +63,7 @@
 
 def test_a_session_that_rises_although_it_was_answered_casts_doubt(harness: LeaderHarness) -> None:
     deaf = harness.ready_worker()
-    deaf.session += 1
+    deaf.incarnation += 1
     harness.accept(task_count=1)
     unanswered(harness, deaf)
     harness.place()
@@ -113,11 +113,11 @@
 ) -> None:
     """Late copies must not renew, settle, or bring back what is gone."""
     worker = harness.ready_worker()
-    older = worker.report()
-    harness.leader.on_report(older)
+    older = worker.heartbeat()
+    harness.leader.on_heartbeat(older)
     harness.begin(worker, task_count=2)
-    newest = worker.report()
-    harness.leader.on_report(newest)
+    newest = worker.heartbeat()
+    harness.leader.on_heartbeat(newest)
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     heard_at, until = machine.heard_at, machine.may_hold_until
     assert heard_at is not None
@@ -130,7 +130,7 @@
     gone = not alive and age_s > LEASE_S
     copy_of = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
-        answer = harness.leader.on_report(copy_of)
+        answer = harness.leader.on_heartbeat(copy_of)
         assert answer is None or not starts(answer.commands)
     assert machine.heard_at == heard_at
     if not alive and age_s > 4.5:
@@ -145,34 +145,34 @@
 def test_a_held_back_report_newer_than_any_does_not_bring_back_a_machine(
     harness: LeaderHarness,
 ) -> None:
-    """The last report of a machine that is gone, delivered well after its lease."""
+    """The last heartbeat of a machine that is gone, delivered well after its lease."""
     worker = harness.ready_worker()
     harness.begin(worker, task_count=2)
     harness.exchange(worker)
-    held_back = worker.report()
+    held_back = worker.heartbeat()
     harness.later(LEASE_S + 1.0)
     harness.leader.ctx.cluster.expire(harness.clock())
     assert harness.assignments() == {}
-    assert harness.leader.on_report(held_back) is None
+    assert harness.leader.on_heartbeat(held_back) is None
     assert harness.assignments() == {}
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert machine.may_hold_until is None
-    worker.session += 1  # whereas the worker itself would come in a new session
+    worker.incarnation += 1  # whereas the worker itself would come in a new incarnation
     worker.tasks.clear()
-    assert harness.leader.on_report(worker.report()) is not None
+    assert harness.leader.on_heartbeat(worker.heartbeat()) is not None
 
 
 def test_copies_settle_no_assumed_start(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
-    before = worker.report()
-    harness.leader.on_report(before)
+    before = worker.heartbeat()
+    harness.leader.on_heartbeat(before)
     [phase] = harness.assignments().values()
     assert phase == TaskPhase.SENT
     for late in (1.0, 6.0):
         harness.later(late)
-        harness.leader.on_report(copy.deepcopy(before))
+        harness.leader.on_heartbeat(copy.deepcopy(before))
         assert list(harness.assignments().values()) == [TaskPhase.SENT]
 
 
@@ -181,9 +181,9 @@
 ) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=1)
-    late = worker.report()
+    late = worker.heartbeat()
     harness.new_leader(6)
-    assert harness.leader.on_report(late) is not None  # it might be the worker itself
+    assert harness.leader.on_heartbeat(late) is not None  # it might be the worker itself
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     assert not machine.handshaken
     assert not machine.usable()
@@ -192,12 +192,12 @@
     assert found.shortfall == 0
     for _ in range(4):
         harness.later(6.0)
-        assert harness.leader.on_report(copy.deepcopy(late)) is None
+        assert harness.leader.on_heartbeat(copy.deepcopy(late)) is None
     bound = policy().hold_s + LEASE_S
     harness.later(bound)
     harness.leader.ctx.cluster.expire(harness.clock())
     assert found.shortfall == 1  # and no longer than it may
-    assert harness.leader.on_report(copy.deepcopy(late)) is None
+    assert harness.leader.on_heartbeat(copy.deepcopy(late)) is None
     assert found.shortfall == 1
 
 
@@ -208,12 +208,12 @@
     """
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=1)
-    late = worker.report()
+    late = worker.heartbeat()
     harness.leader.writer.machines.drop(MachineId(worker.name))
     harness.write()
     harness.new_leader(6)
     for _ in range(4):
-        answer = harness.leader.on_report(copy.deepcopy(late))
+        answer = harness.leader.on_heartbeat(copy.deepcopy(late))
         assert answer is None or not answer.commands
         assert not harness.leader.ctx.cluster.machines
         found = harness.leader.ctx.job_table.get(job)
@@ -230,23 +230,23 @@
 
 
 def test_a_restarted_worker_is_told_by_its_direct_answer(harness: LeaderHarness) -> None:
-    """Back within a fraction of a second it counts anew: its reports looked like old copies."""
+    """Back within a fraction of a second it counts anew: its heartbeats looked like old copies."""
     worker = harness.ready_worker()
     harness.begin(worker, task_count=2)
     for _ in range(5):
         harness.exchange(worker)
-    old = worker.report()
-    harness.leader.on_report(old)
-    worker.session, worker.sequence, worker.token = 1, 0, 0
+    old = worker.heartbeat()
+    harness.leader.on_heartbeat(old)
+    worker.incarnation, worker.sequence, worker.token = 1, 0, 0
     worker.tasks.clear()
     harness.later(0.3)
-    harness.leader.on_report(worker.report())
+    harness.leader.on_heartbeat(worker.heartbeat())
     assert len(harness.assignments()) == 2  # not believed yet
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     harness.leader.dispatch.send(machine)
     assert harness.assignments() == {}
     assert machine.handshaken
-    harness.leader.on_report(copy.deepcopy(old))  # a late copy from before
+    harness.leader.on_heartbeat(copy.deepcopy(old))  # a late copy from before
     harness.leader.dispatch.send(machine)
     assert harness.assignments() == {}
     harness.place()
@@ -260,10 +260,10 @@
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
 
     class Overtaken:
-        """The report that follows the answer arrives before it."""
+        """The heartbeat that follows the answer arrives before it."""
 
-        def send(self, *_args: object) -> Report:
-            answer = worker.report()
+        def send(self, *_args: object) -> Heartbeat:
+            answer = worker.heartbeat()
             harness.exchange(worker)
             return answer
 
@@ -284,8 +284,8 @@
     job = harness.accept(task_count=1)
     harness.place()
     harness.later(cut_s, renewed=False)
-    report = worker.report()
-    answer = harness.leader.on_report(report)
+    heartbeat = worker.heartbeat()
+    answer = harness.leader.on_heartbeat(heartbeat)
     assert (answer is not None) is answers
     assert bool(answer and starts(answer.commands)) is starts_work
     # Nothing is told from memory that a reader of the store might contradict.
@@ -352,7 +352,7 @@
         leader.intake.take_cancel(job)  # a stop for each task, to be sent directly
     harness.later(policy().hold_s + 1.0 if act == "halt" else 5.0, renewed=False)
     if act == "start":
-        answer = leader.on_report(worker.report())
+        answer = leader.on_heartbeat(worker.heartbeat())
         assert answer is not None
         assert not starts(answer.commands)
     elif act == "rent":
@@ -385,7 +385,7 @@
     harness.exchange(worker)
     harness.exchange(worker)
     assert worker.token >= token_of(Term(6))
-    assert old.on_report(worker.report()) is None
+    assert old.on_heartbeat(worker.heartbeat()) is None
     assert "overruled" in harness.lost
 
 
@@ -421,17 +421,18 @@
 def test_a_task_told_from_two_machines_is_gone_once_it_is_gone_from_both(
     harness: LeaderHarness, old_first: bool, cancelled: bool
 ) -> None:
-    """One of the two reports is old, held back until a new leader began; which one shows later."""
+    """One of the two heartbeats is old, held back until a new leader began; which one shows
+    later."""
     was, runs = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(was, runs)
     name = harness.accept(task_count=1)
-    held_back = was.report()
+    held_back = was.heartbeat()
     held_back.tasks = [ReportedTask(f"{name}/0", 3, "running")]
     runs.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
     harness.new_leader(6)
-    reports = [held_back, runs.report()]
-    for report in reports if old_first else reversed(reports):
-        assert harness.leader.on_report(report) is not None
+    heartbeats = [held_back, runs.heartbeat()]
+    for heartbeat in heartbeats if old_first else reversed(heartbeats):
+        assert harness.leader.on_heartbeat(heartbeat) is not None
     found = harness.leader.ctx.job_table.get(name)
     assert found is not None
     assert found.shortfall == 0
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -10,7 +10,7 @@
 
 from ryewing.scheduling import preemption, queueing
 from ryewing.units import JobId, MonotonicTime, WallTime
-from ryewing.wire.messages import Report, ReportedTask
+from ryewing.wire.messages import Heartbeat, ReportedTask
 
 
 def test_fullest_fitting_machine_first() -> None:
@@ -294,8 +294,10 @@
                 for task, assignment in machine.assignments.items()
             ]
             tick = machine.version.sequence + 1
-            report = Report(machine.id, 1, tick, 0, "c32", "a", tasks=shown)
-            world.cluster.apply_report(machine, report, MonotonicTime(T0 + at), as_report=True)
+            heartbeat = Heartbeat(machine.id, 1, tick, 0, "c32", "a", tasks=shown)
+            world.cluster.apply_heartbeat(
+                machine, heartbeat, MonotonicTime(T0 + at), is_heartbeat=True
+            )
     assert world.cluster.fetches_share() is share
 
 
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -95,7 +95,7 @@
         world.machine(name).record_image("img-1", 2.0)
     waits = {"i-1": 2.6, "i-2": 0.4, "i-3": 1.8}
     found = world.plan(
-        world.job("run-1", **SERVICE, task_count=1), report_in=lambda m: waits[str(m.id)]
+        world.job("run-1", **SERVICE, task_count=1), next_heartbeat_in_s=lambda m: waits[str(m.id)]
     )
     assert spread_of(found) == {"i-2": 1}
 
@@ -287,7 +287,7 @@
     def moved(after_s: float) -> int:
         harness.later(after_s)
         harness.exchange(plain)
-        harness.later(1.5)  # its next report is due soon
+        harness.later(1.5)  # its next heartbeat is due soon
         harness.place()
         return sum(verbs(harness.exchange(worker)).count("halt") for worker in dear)
 
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -71,7 +71,7 @@
     assert set(cluster.rules.final.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
     assert not cluster.rules.halted
-    assert {worker.session for worker in cluster.workers.values()} == {1}
+    assert {worker.incarnation for worker in cluster.workers.values()} == {1}
 
 
 def jobs_in_both(cluster: Cluster) -> None:
@@ -199,7 +199,7 @@
     move_until(cluster, Phase.SETTLED)
     cluster.run(1.0)
     for name in ("n-0", "n-2", "n-0"):
-        status, answer = cluster.report(name, worker.report())
+        status, answer = cluster.send_heartbeat(name, worker.heartbeat())
         assert (status, answer.get("foreman")) == ((200, None) if name == "n-2" else (421, "n-2"))
     assert cluster.leader("n-0", EAST) is None
 
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -13,7 +13,7 @@
 from ryewing.clients.user_request_limiter import UserQuota
 from ryewing.state.jobs import JobRecord, final_key, live_key
 from ryewing.units import JobId, ShardName, Zone
-from ryewing.wire.messages import JobSpec, JobStatus, Report, ReportAnswer
+from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus
 from support.fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 UNBOUNDED_RPS = 1e9
@@ -29,7 +29,7 @@
     def poll(self, job: JobId) -> JobStatus | None:
         return self.states.get(job)
 
-    def on_report(self, _report: Any) -> ReportAnswer | None:
+    def on_heartbeat(self, _report: Any) -> HeartbeatResponse | None:
         return None
 
 
@@ -73,8 +73,8 @@
     def local_status(self, job: JobId) -> JobStatus | None:
         return self.leader.poll(job) if self.leader is not None else None
 
-    def on_report(self, report: Report) -> ReportAnswer | None:
-        return self.leader.on_report(report) if self.leader is not None else None
+    def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
+        return self.leader.on_heartbeat(heartbeat) if self.leader is not None else None
 
 
 class Client:
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,6 +1,6 @@
 """Several controllers, their store, workers and users, played step by step by a clock of the test.
 
-What happens goes by the code paths of the service: records in the store, reports and their
+What happens goes by the code paths of the service: records in the store, heartbeats and their
 answers, frames between controllers, requests of users. Nothing waits and no thread runs; who can't
 reach whom is a switch. `RuleChecker` keeps what users were told and what workers ran.
 """
@@ -33,7 +33,7 @@
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import MachineId, ShardName, is_job_id, parse_task
-from ryewing.wire.messages import GROUP, JobSpec, MachineTypeList, Report
+from ryewing.wire.messages import GROUP, Heartbeat, JobSpec, MachineTypeList
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
@@ -217,8 +217,8 @@
         if leader is not None:
             leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
             leader.writer._budget = self._budget(leader.writer._budget)
-            early = self._budget(leader.dispatch._early_report_budget)
-            leader.dispatch._early_report_budget = early
+            early = self._budget(leader.dispatch._early_heartbeat_budget)
+            leader.dispatch._early_heartbeat_budget = early
             leader.placer._rng = random.Random(int(leader.term))
             leader.dispatch.workers = DirectLink(self, node.name)  # type: ignore[assignment]
             leader.dispatch.send_soon = leader.dispatch.send  # type: ignore[method-assign]
@@ -270,9 +270,9 @@
         self.workers[name] = TimedWorker(self, name, **kind)
         return self.workers[name]
 
-    def report(self, node: str, report: Report) -> tuple[int, Any]:
-        """Bring a report, or a copy of one, to a controller."""
-        return self._http(node, "POST", "/v1/report", msgspec.json.encode(report))
+    def send_heartbeat(self, node: str, heartbeat: Heartbeat) -> tuple[int, Any]:
+        """Bring a heartbeat, or a copy of one, to a controller."""
+        return self._http(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
 
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
         """A user submits a job, or repeats its submission."""
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -30,12 +30,12 @@
     ChangeLog,
     Command,
     Entry,
+    Heartbeat,
     JobSpec,
     ListedMachine,
     MachinePage,
     MachineType,
     RentalRequest,
-    Report,
     ReportedTask,
 )
 
@@ -286,16 +286,16 @@
         self.zone = zone
         self.spot = spot
         self.token = 0
-        self.session = 1
+        self.incarnation = 1
         self.sequence = 0
         self.notice_s: float | None = None
         self.tasks: dict[tuple[str, int], ReportedTask] = {}
 
-    def report(self) -> Report:
+    def heartbeat(self) -> Heartbeat:
         self.sequence += 1
-        return Report(
+        return Heartbeat(
             self.name,
-            self.session,
+            self.incarnation,
             self.sequence,
             self.token,
             self.machine_type,
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -15,7 +15,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.state.jobs import JobRecord, live_key
 from ryewing.units import JobId, KeyVersion, MachineId, Token
-from ryewing.wire.messages import Command, Report
+from ryewing.wire.messages import Command, Heartbeat
 from support.fakes import (
     Clock,
     FakeCloud,
@@ -35,12 +35,14 @@
         self.workers = workers
         self.sent: list[Command] = []
 
-    def send(self, address: str, term: Token, session: int, commands: list[Command]) -> Report:
-        worker = next(w for w in self.workers.values() if w.report().address == address)
-        if term >= worker.token and session == worker.session:
+    def send(
+        self, address: str, term: Token, incarnation: int, commands: list[Command]
+    ) -> Heartbeat:
+        worker = next(w for w in self.workers.values() if w.heartbeat().address == address)
+        if term >= worker.token and incarnation == worker.incarnation:
             worker.execute(term, commands)
             self.sent.extend(commands)
-        return worker.report()
+        return worker.heartbeat()
 
     def forget(self, address: str) -> None:
         """Nothing is kept here."""
@@ -119,8 +121,8 @@
         return worker
 
     def exchange(self, worker: FakeWorker) -> list[Command]:
-        """One report and its answer, executed."""
-        answer = self.leader.on_report(worker.report())
+        """One heartbeat and its answer, executed."""
+        answer = self.leader.on_heartbeat(worker.heartbeat())
         assert answer is not None
         worker.execute(answer.token, answer.commands)
         return answer.commands
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -50,12 +50,12 @@
 from ryewing.wire.messages import (  # noqa: E402
     DAEMON,
     DirectCommands,
+    HeartbeatResponse,
     ListedMachine,
     MachineNames,
     MachinePage,
     MachineTypeList,
     RentalRequest,
-    ReportAnswer,
     ReportedTask,
 )
 from support.fakes import RAW_SETTINGS, FakeCloud, FakeStore, FakeWorker  # noqa: E402
@@ -253,18 +253,18 @@
         self.live[worker.name] = worker
         port = self.port + 100 + int(worker.name[2:])
 
-        def report() -> Any:
-            message = worker.report()
+        def heartbeat() -> Any:
+            message = worker.heartbeat()
             message.address = f"127.0.0.1:{port}"
             return message
 
         def commands(method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, Any]:
             if path == "/orders":
                 ask = msgspec.json.decode(body, type=DirectCommands)
-                if ask.token < worker.token or ask.session != worker.session:
-                    return 409, report()
+                if ask.token < worker.token or ask.incarnation != worker.incarnation:
+                    return 409, heartbeat()
                 self._obey(worker, ask.token, ask.commands)
-            return 200, report()
+            return 200, heartbeat()
 
         server = serve(port, commands)
         clients = {name: HttpClient(("127.0.0.1", api), 1) for name, api in self.api.items()}
@@ -272,12 +272,12 @@
         while worker.name in self.live:
             try:
                 reply = clients[at].request(
-                    "POST", "/v1/report", msgspec.json.encode(report()), 4.0
+                    "POST", "/v1/report", msgspec.json.encode(heartbeat()), 4.0
                 )
             except UnreachableError:
                 reply = None
             if reply is not None and reply.status == 200:
-                answer = msgspec.json.decode(reply.body, type=ReportAnswer)
+                answer = msgspec.json.decode(reply.body, type=HeartbeatResponse)
                 self._obey(worker, answer.token, answer.commands)
             elif reply is not None and reply.status == 421:
                 at = msgspec.json.decode(reply.body).get("foreman") or at
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -10,7 +10,7 @@
 
 from ryewing.clients.workers import WorkerUnavailableError
 from ryewing.units import Token
-from ryewing.wire.messages import Command, Report, ReportedTask
+from ryewing.wire.messages import Command, Heartbeat, ReportedTask
 from support.fakes import FakeWorker
 
 STEP_S = 0.25
@@ -38,15 +38,15 @@
         self.mute = False
         """It can't reach any controller; direct commands reach it."""
         self.deaf = False
-        """Its reports arrive; answers and direct commands are lost."""
+        """Its heartbeats arrive; answers and direct commands are lost."""
         self.holds_up = False
         """Direct commands get no answer, and are carried out when `catch_up` is called."""
         self._held_up: list[tuple[Token, int, list[Command]]] = []
         self.answer_s = 0.0
-        """How long the answer to a report is on its way."""
+        """How long the answer to a heartbeat is on its way."""
         self._answer: tuple[float, Callable[[], None]] | None = None
         self._gathering_since: dict[tuple[str, int], float] = {}
-        self.address = self.report().address
+        self.address = self.heartbeat().address
 
     def execute(self, token: int, commands: list[Command]) -> bool:
         before = dict(self.tasks)
@@ -86,7 +86,7 @@
                 self._set_status(key, "ended", "incomplete")
 
     def tend(self) -> None:
-        """Report when it is time; end the session when the lease is over."""
+        """Heartbeat when it is time; end the incarnation when the lease is over."""
         now = self._cluster.clock()
         if self.hangs:
             return
@@ -95,7 +95,7 @@
             arrive, self._answer = self._answer[1], None
             arrive()
         if now > self.lease_from + self._cluster.settings.params.workers.lease_s:
-            self.session += 1
+            self.incarnation += 1
             self.sequence = 0
             self.tasks.clear()
             self.lease_from = now
@@ -103,22 +103,24 @@
             self.next_report = now + self._cluster.settings.params.workers.report_s
             self.report_now()
 
-    def report_now(self) -> Report:
-        """Send one report and heed the answer."""
+    def report_now(self) -> Heartbeat:
+        """Send one heartbeat and heed the answer."""
         cluster = self._cluster
         sent_at = cluster.clock()
-        sent = self.report()
+        sent = self.heartbeat()
         if self.mute or self.node in self.unreachable or self.node in cluster.dead | cluster.frozen:
             self._next()
             return sent
-        status, answer = cluster.report(self.node, sent)
+        status, answer = cluster.send_heartbeat(self.node, sent)
         if self.deaf:
             return sent
         if self.answer_s:
-            session = self.session
+            incarnation = self.incarnation
             self._answer = (
                 sent_at + self.answer_s,
-                lambda: self._heed(sent_at, status, answer) if session == self.session else None,
+                lambda: (
+                    self._heed(sent_at, status, answer) if incarnation == self.incarnation else None
+                ),
             )
         else:
             self._heed(sent_at, status, answer)
@@ -138,15 +140,15 @@
         else:
             self._next()
 
-    def hold_up(self, token: Token, session: int, commands: list[Command]) -> None:
+    def hold_up(self, token: Token, incarnation: int, commands: list[Command]) -> None:
         """A direct command is on its way for longer than its sender waits."""
-        self._held_up.append((token, session, copy.deepcopy(commands)))
+        self._held_up.append((token, incarnation, copy.deepcopy(commands)))
 
     def catch_up(self) -> None:
-        """Carry out the direct commands that were held up, if token and session still match."""
+        """Carry out the direct commands that were held up, if token and incarnation still match."""
         held_up, self._held_up = self._held_up, []
-        for token, session, commands in held_up:
-            if token >= self.token and session == self.session:
+        for token, incarnation, commands in held_up:
+            if token >= self.token and incarnation == self.incarnation:
                 self.execute(token, commands)
 
     def _next(self) -> None:
@@ -161,7 +163,9 @@
         self._cluster = cluster
         self._here = here
 
-    def send(self, address: str, token: Token, session: int, commands: list[Command]) -> Report:
+    def send(
+        self, address: str, token: Token, incarnation: int, commands: list[Command]
+    ) -> Heartbeat:
         found = [w for w in self._cluster.workers.values() if w.address == address]
         if not found:
             raise WorkerUnavailableError("deadline")
@@ -169,11 +173,11 @@
         if worker.hangs or worker.deaf or self._here in worker.unreachable:
             raise WorkerUnavailableError("deadline")
         if worker.holds_up:
-            worker.hold_up(token, session, commands)
+            worker.hold_up(token, incarnation, commands)
             raise WorkerUnavailableError("deadline")
-        if token >= worker.token and session == worker.session:
+        if token >= worker.token and incarnation == worker.incarnation:
             worker.execute(token, commands)
-        return worker.report()
+        return worker.heartbeat()
 
     def forget(self, address: str) -> None:
         """Nothing is kept here."""
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -115,7 +115,7 @@
     old = copy.deepcopy(first.report_now())
     second = cluster.worker("i-000002")
     cluster.run(6.0)
-    first.session += 1
+    first.incarnation += 1
     first.sequence = 0
     first.tasks.clear()
     first.hangs = True
@@ -132,7 +132,7 @@
     second.report_now()
     second.report_now()
     for name in ("n-1", "n-2"):
-        cluster.report(name, copy.deepcopy(old))
+        cluster.send_heartbeat(name, copy.deepcopy(old))
     cluster.run(1.0)
     first.mute = False
     cluster.run(30.0)
@@ -147,13 +147,13 @@
     cluster.run(30.0)
     assert second.tasks  # released as silent, or its lease was over
     second.tasks.clear()
-    second.session += 1
+    second.incarnation += 1
     cluster.dead.add("n-0")
     while not any(cluster.leader(name) for name in NAMES[1:]):
         cluster.run(0.25)
     for name in ("n-1", "n-2"):
         for _ in range(3):
-            cluster.report(name, copy.deepcopy(old))
+            cluster.send_heartbeat(name, copy.deepcopy(old))
     cluster.run(8.0)
     assert second.tasks, "the job waits for a machine that is gone"
     leader = cluster.leader(cluster.leader_name)
@@ -302,7 +302,7 @@
     cluster.cancel("n-1")
     cluster.run(2.0)
     cluster.frozen.clear()
-    cluster.report("n-0", worker.report())
+    cluster.send_heartbeat("n-0", worker.heartbeat())
     cluster.poll("n-0")
     cluster.run(3.0)
 
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -113,15 +113,15 @@
     cluster = leader.ctx.cluster
     gc.collect()
 
-    def reports() -> None:
+    def heartbeats() -> None:
         for worker in workers:
-            leader.on_report(worker.report())
+            leader.on_heartbeat(worker.heartbeat())
 
     sample.time_ms("pass_ms", harness.place)
     sample.figures["machines_examined"] = leader.placer.machines_examined // leader.placer.passes
     sample.figures["short_jobs"] = len(leader.placer.unplaced)
-    sample.time_ms("reports_ms", reports)
-    sample.figures["report_us"] = round(1000 * sample.figures.pop("reports_ms") / count, 1)
+    sample.time_ms("heartbeats_ms", heartbeats)
+    sample.figures["heartbeat_us"] = round(1000 * sample.figures.pop("heartbeats_ms") / count, 1)
     sample.time_ms("tend_ms", leader.tend_once)
     sample.time_ms("give_up_ms", lambda: leader.renter.to_give_up(clock()))
     sample.time_ms("retire_ms", leader.renter._retire)
