--- a/src/ryewing/clients/store.py
+++ b/src/ryewing/clients/store.py
@@ -38,7 +38,7 @@
 PROBE_KEY = "lead/term"
 TXN_PATH = "/txn"
 KEPT_CONNECTIONS = 6
-WATCHES_A_TERM = 2
+WATCHES_PER_TERM = 2
 """Watches that each term has open: of its lease and of the jobs."""
 T = TypeVar("T")
 Relay = Callable[[str, str, bytes | None], Reply | None]
@@ -147,7 +147,7 @@
 
     def __init__(self, address: Address, limits: StateLimits, terms: int = 1) -> None:
         self._http = HttpClient(address, KEPT_CONNECTIONS)
-        self._watches = HttpClient(address, WATCHES_A_TERM * terms)
+        self._watches = HttpClient(address, WATCHES_PER_TERM * terms)
         self.limits = limits
         """What may be asked of it, now and later."""
         self.relay: Relay | None = None
--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -14,7 +14,7 @@
 
 from ryewing.clients.http_client import HttpClient, UnreachableError
 from ryewing.config.settings import parse_address
-from ryewing.units import Token
+from ryewing.units import FencingToken
 from ryewing.wire.messages import Command, DirectCommands, Heartbeat, MalformedError, read_heartbeat
 
 DEADLINE_S = 2.0
@@ -43,7 +43,7 @@
         return client
 
     def send(
-        self, address: str, token: Token, incarnation: int, commands: Sequence[Command]
+        self, address: str, token: FencingToken, incarnation: int, commands: Sequence[Command]
     ) -> Heartbeat:
         """Send commands; return the worker's heartbeat, which tells if they were taken.
 
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -234,7 +234,7 @@
         kept = frozenset(machine_type.name for machine_type in machine_types)
         if kept != self._types_kept:
             # Noted only once it is written: other nodes take no job before they know the types.
-            catalogue.write(self.ctx.store, self.ctx.leadership.fenced(), machine_types)
+            catalogue.write(self.ctx.store, self.ctx.leadership.fencing_conditions(), machine_types)
             self._types_kept = kept
 
     def read_list(self) -> None:
@@ -323,7 +323,8 @@
             # what was rented, instead of renting again.
             self.pending_requests[request.id] = request
             result = self.ctx.store.txn(
-                self.ctx.leadership.fenced(), [Put(REQUEST_PREFIX + request.id, request)]
+                self.ctx.leadership.fencing_conditions(),
+                [Put(REQUEST_PREFIX + request.id, request)],
             )
             if not result.ok:
                 self.ctx.lose("fenced")
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -104,7 +104,7 @@
 
     def _followed(self, asked_at: MonotonicTime) -> None:
         """All that was in the store at this time is known."""
-        self.ctx.authority.follow(asked_at)
+        self.ctx.lease_validity.confirm_jobs(asked_at)
         # Whatever came while this was under way, the next one is asked after that.
         self._cancelled_early.clear()
 
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -24,7 +24,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import PROBE_AFTER, Dispatch
 from ryewing.state.machine import TaskPhase
-from ryewing.units import JobId, KeyVersion, MonotonicTime, Term, monotonic_now
+from ryewing.units import JobId, KeyVersion, MonotonicTime, TermNumber, monotonic_now
 from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobStatus
 
 log = logging.getLogger("ryewing.leader.leader")
@@ -66,7 +66,7 @@
         self._tended_at = self._running_since = self.ctx.began
 
     @property
-    def term(self) -> Term:
+    def term(self) -> TermNumber:
         """The term's number."""
         return self.ctx.term
 
@@ -159,20 +159,20 @@
         except StoreUnavailableError as error:
             log.debug("event=renew-failed error=%s", error)
             return False
-        if self.ctx.authority.lease_expired(sent_at):
+        if self.ctx.lease_validity.lease_expired(sent_at):
             log.info("event=lease-confirmed-again term=%d", self.ctx.term)
             self.ctx.place.set()
             self.ctx.write.set()
-        self.ctx.authority.confirm(sent_at)
-        since = max(self.ctx.authority.followed_at or self.ctx.began, self.ctx.began)
+        self.ctx.lease_validity.confirm_renewal(sent_at)
+        since = max(self.ctx.lease_validity.jobs_known_at or self.ctx.began, self.ctx.began)
         if self.ctx.settings.members and sent_at - since > UNFOLLOWED_S:
             # It keeps the lease and may do nothing with it: another node may be able to read.
             self.resign(UNFOLLOWED)
         return True
 
     def resign(self, why: str) -> None:
-        """Leave leadership to another node. Authority ends before the lease does: the end of that
-        may be made known late."""
+        """Leave leadership to another node. LeaseValidity ends before the lease does: the end of
+        that may be made known late."""
         self.ctx.lose(why)
         try:
             self.ctx.store.resign(self.ctx.leadership.lease)
@@ -226,7 +226,7 @@
         for machine in self.ctx.cluster.expire(now):
             log.info("event=lease-over machine=%s", machine.id)
             self.ctx.place.set()
-        if not self.ctx.authority.may_answer(now):
+        if not self.ctx.lease_validity.may_answer_workers(now):
             return
         for name in list(self.ctx.stops.due(now)):
             stopping = self.ctx.cluster.machines.get(name)
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -72,7 +72,7 @@
             record = read_record(entry.data, entry.key)
             if record is not None:
                 self._intake.put(record, KeyVersion(entry.key_version), inherited=True)
-        self._ctx.authority.follow(now)
+        self._ctx.lease_validity.confirm_jobs(now)
 
     def _load_finishes(self) -> None:
         entries, _ = self._ctx.store.listing(DONE_PREFIX)
--- a/src/ryewing/leader/scope.py
+++ b/src/ryewing/leader/scope.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ryewing.state.jobs import JobRecord
-from ryewing.units import ShardName, Term, Zone
+from ryewing.units import ShardName, TermNumber, Zone
 from ryewing.wire.messages import MachineType
 
 
@@ -45,7 +45,7 @@
             for machine_type in machine_types
         ]
 
-    def request_name(self, term: Term, number: int) -> str:
+    def request_name(self, term: TermNumber, number: int) -> str:
         """Name a rental request; terms of two shards may have the same number."""
         prefix = "r" if self.shard is None else f"r-{self.shard}"
         return f"{prefix}-{term}-{number}"
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -283,7 +283,7 @@
         except StoreUnavailableError:
             self._unanswered |= finals
             raise
-        if not result.ok and self.ctx.leadership.lost_by(result):
+        if not result.ok and self.ctx.leadership.is_superseded(result):
             self.ctx.lose("fenced")
             return False
         self._take_result(chosen, result)
@@ -314,7 +314,7 @@
             conditions.update(write.conditions)
         self._sending = True
         try:
-            return self.ctx.store.txn(self.ctx.leadership.fenced(conditions), ops)
+            return self.ctx.store.txn(self.ctx.leadership.fencing_conditions(conditions), ops)
         finally:
             self._sending = False
 
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -61,7 +61,7 @@
         self.store = store
         self.leadership = leadership
         self.term = leadership.term
-        self.authority = leadership.authority
+        self.lease_validity = leadership.lease_validity
         self.job_table = JobTable()
         self.stops = Stops()
         self.cluster = ClusterState(
@@ -91,7 +91,7 @@
 
     def may_start(self) -> bool:
         """Tell whether the lease surely holds now."""
-        return not self.stopped and self.authority.may_start(monotonic_now())
+        return not self.stopped and self.lease_validity.may_start(monotonic_now())
 
     def may_begin(self) -> bool:
         """Tell whether tasks may be started, and machines rented or released, now."""
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -24,9 +24,9 @@
     MachineId,
     MonotonicTime,
     Zone,
+    fencing_token,
     monotonic_now,
-    term_of,
-    token_of,
+    term_of_token,
 )
 from ryewing.wire.messages import Command, Heartbeat, HeartbeatResponse
 
@@ -88,7 +88,7 @@
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
         now = monotonic_now()
-        if term_of(heartbeat.token) > self.ctx.term:
+        if term_of_token(heartbeat.token) > self.ctx.term:
             # A worker has seen a later leader: a 200 from here would be dropped, and would
             # keep the worker here while its lease expires.
             self.ctx.lose("overruled")
@@ -96,7 +96,7 @@
         if (
             self.ctx.stopped
             or not self.ctx.loaded.is_set()
-            or not self.ctx.authority.may_answer(now)
+            or not self.ctx.lease_validity.may_answer_workers(now)
         ):
             return None
         if not self.ctx.scope.covers(heartbeat.zone):
@@ -108,12 +108,12 @@
             return None
         machine = self.ctx.cluster.machines.get(name)
         if machine is None:
-            if term_of(heartbeat.token) != self.ctx.term:
+            if term_of_token(heartbeat.token) != self.ctx.term:
                 # Nobody knows it, so it holds nothing (it is recorded before its first start): it
                 # is new, or what comes in its name is old. Only the worker itself can show our
                 # token, which comes with this answer. Found with copies of heartbeats that reached
                 # a new leader: machines long gone were recorded, and kept jobs waiting for a lease.
-                return HeartbeatResponse(int(token_of(self.ctx.term)), [])
+                return HeartbeatResponse(int(fencing_token(self.ctx.term)), [])
             machine = self.ctx.cluster.add(
                 name,
                 self.ctx.machine_type(heartbeat.machine_type),
@@ -276,7 +276,7 @@
         self._sending.add(machine.id)
         try:
             now = monotonic_now()
-            if not self.ctx.authority.may_answer(now):
+            if not self.ctx.lease_validity.may_answer_workers(now):
                 return
             commands = self._standing_orders(machine, now)
             incarnation = max(1, machine.version.incarnation)
@@ -286,7 +286,7 @@
                 heartbeat = self.workers.send(machine.address, token, incarnation, commands)
                 if heartbeat.machine != machine.id:
                     return
-                if term_of(heartbeat.token) > self.ctx.term:
+                if term_of_token(heartbeat.token) > self.ctx.term:
                     self.ctx.lose("overruled")
                     return
                 now = monotonic_now()
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -29,16 +29,24 @@
 from ryewing.election.leadership import (
     HOLDER_KEY,
     PREFIX,
-    Holder,
-    View,
+    ElectionRecord,
+    LeaseHolder,
     campaign,
     may_campaign,
-    read_view,
+    read_election_record,
 )
 from ryewing.leader.leader import CUT, UNFOLLOWED, Leader
 from ryewing.leader.scope import TermScope
 from ryewing.leader.term_context import TermContext
-from ryewing.units import JobId, MonotonicTime, NodeName, Revision, ShardName, Term, monotonic_now
+from ryewing.units import (
+    JobId,
+    MonotonicTime,
+    NodeName,
+    Revision,
+    ShardName,
+    TermNumber,
+    monotonic_now,
+)
 from ryewing.wire.messages import MachineType
 
 log = logging.getLogger("ryewing.process.node")
@@ -48,18 +56,18 @@
 """How often the leader tells the others which machines have which images."""
 ABSTAIN_S = 15.0
 """How long a node that resigned leaves leadership to the others."""
-UNELIGIBLE_READ_S = 1.0
+INELIGIBLE_READ_S = 1.0
 """How often a node that may not lead looks who does while nobody seems to."""
 
 
 class ProcessParts:
-    """What the candidacies of one process share."""
+    """What the electors of one process share."""
 
     def __init__(
         self,
         settings: Settings,
         policy: Policy,
-        boot: str,
+        boot_id: str,
         peers: Peers,
         on_final: Callable[[JobId, str], None],
         on_machine_types: Callable[[list[MachineType]], None],
@@ -67,13 +75,13 @@
         self.settings = settings
         self.policy = policy
         self.name = NodeName(settings.node)
-        self.boot = boot
+        self.boot_id = boot_id
         self.peers = peers
         self.on_final = on_final
         self.on_machine_types = on_machine_types
 
 
-class Candidacy:
+class LeaderElector:
     """One lease, as this process follows it."""
 
     def __init__(self, process: ProcessParts, store: TermStore, scope: TermScope) -> None:
@@ -86,7 +94,7 @@
         """Called with each new leader before it begins."""
         self.leader: Leader | None = None
         self.leader_name: str | None = None
-        self._leader_term = Term(0)
+        self._leader_term = TermNumber(0)
         self._abstain_until = MonotonicTime(0.0)
         self._load: ShardLoadAnswer | None = None
         self._load_queried_at = MonotonicTime(-1e9)
@@ -114,7 +122,7 @@
 
     def follow(self) -> None:
         """Watch who leads; try to lead when nobody does."""
-        view = read_view(self.store)
+        election = read_election_record(self.store)
         while True:
             if self.leader is not None:
                 gevent.sleep(0.2)
@@ -122,42 +130,42 @@
                     return
                 self._share_images(self.leader)
                 continue
-            self.note(view)
+            self.note(election)
             wait = self._abstain_until - monotonic_now()
-            if wait > 0 and view.holder is None:
+            if wait > 0 and election.holder is None:
                 gevent.sleep(min(wait, 0.5))
-                view = read_view(self.store)
+                election = read_election_record(self.store)
                 continue
-            if may_campaign(view, self._process.name, self._process.boot):
+            if may_campaign(election, self._process.name, self._process.boot_id):
                 if not self.eligible():
                     self._await_eligibility()
-                elif self.campaign(view):
+                elif self.campaign(election):
                     continue
-                view = read_view(self.store)
+                election = read_election_record(self.store)
                 continue
             try:
-                changes = self.store.watch(PREFIX, view.revision, WATCH_S)
+                changes = self.store.watch(PREFIX, election.revision, WATCH_S)
             except WatchExpiredError:
                 return
             if changes.log:
-                view = read_view(self.store)
+                election = read_election_record(self.store)
             else:
-                view.revision = Revision(max(view.revision, changes.revision))
+                election.revision = Revision(max(election.revision, changes.revision))
 
     def _await_eligibility(self) -> None:
         """Wait for a moment, or until this node may lead."""
-        until = monotonic_now() + UNELIGIBLE_READ_S
+        until = monotonic_now() + INELIGIBLE_READ_S
         while monotonic_now() < until and not self.eligible():
             gevent.sleep(0.1)
 
-    def campaign(self, view: View) -> bool:
+    def campaign(self, election: ElectionRecord) -> bool:
         """Try to take over; True if this node leads now."""
         process = self._process
         leadership = campaign(
             self.store,
-            view,
+            election,
             process.name,
-            process.boot,
+            process.boot_id,
             process.policy.store_lease_s,
             process.policy.hold_s,
         )
@@ -191,9 +199,9 @@
     def _log_suffix(self) -> str:
         return "" if self.shard is None else f" shard={self.shard}"
 
-    def note(self, view: View) -> None:
+    def note(self, election: ElectionRecord) -> None:
         """Take note of who leads."""
-        holder = view.holder
+        holder = election.holder
         if holder is None:
             self.leader_name = None
         elif holder.term >= self._leader_term:
@@ -205,7 +213,7 @@
                     self._log_suffix(),
                 )
             self.leader_name = holder.node
-            self._leader_term = Term(holder.term)
+            self._leader_term = TermNumber(holder.term)
 
     def step_down(self, why: str) -> None:
         """End this node's term, if it leads."""
@@ -225,7 +233,7 @@
             self._abstain_until = MonotonicTime(monotonic_now() + ABSTAIN_S)
         leader.stop()
 
-    def abstaining(self) -> bool:
+    def is_abstaining(self) -> bool:
         """Tell whether this node resigned for a fault of its own and leaves the lease to others."""
         return self.leader is None and monotonic_now() < self._abstain_until
 
@@ -297,14 +305,14 @@
             self.step_down("notice")
         if notice.term >= self._leader_term and self.leader is None:
             self.leader_name = notice.node
-            self._leader_term = Term(notice.term)
+            self._leader_term = TermNumber(notice.term)
 
     def holder_knows(self, job: JobId) -> bool:
         """Tell whether the holder of the lease knows, or need not know, that a job is cancelled."""
         entry = self.store.get(HOLDER_KEY)
         if entry is None:
             return True
-        holder = readable(entry.data, Holder, entry.key)
+        holder = readable(entry.data, LeaseHolder, entry.key)
         if holder is None:
             return False
         if holder.node == self._process.name:
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -36,9 +36,9 @@
 from ryewing.clients.user_request_limiter import UserQuota
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings, parse_address
-from ryewing.election.leadership import new_boot
+from ryewing.election.leadership import new_boot_id
 from ryewing.leader.division import Division, WholeFleet
-from ryewing.process.leader_elector import Candidacy, ProcessParts
+from ryewing.process.leader_elector import LeaderElector, ProcessParts
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.jobs import CANCELLED, DONE
 from ryewing.units import JobId, MonotonicTime, NodeName, ShardName, Zone, monotonic_now
@@ -47,8 +47,8 @@
 log = logging.getLogger("ryewing.process.node")
 CANCEL_KNOWN_S = 10.0
 """With the lease, above the longest for which a leader that has not seen a change may start tasks
-or answer users (`leadership.FOLLOW_S`); 0.1.0 and 0.2.0 went by their watch, of 8 s and its
-deadline."""
+or answer users (`leadership.JOBS_KNOWN_MAX_AGE_S`); 0.1.0 and 0.2.0 went by their watch, of 8 s and
+its deadline."""
 UNCONFIRMED_CANCELS_MAX = 10_000
 JOB_SHARDS_KEPT = 20_000
 """Jobs of which it is remembered to which shard they belong."""
@@ -67,7 +67,7 @@
         self.settings = settings
         self.policy = policy
         self.name = NodeName(settings.node)
-        self.boot = new_boot()
+        self.boot_id = new_boot_id()
         limits = settings.params.state.strictest()
         self.division = division or WholeFleet()
         scopes = self.division.scopes()
@@ -89,23 +89,23 @@
             {m.node: Peer(parse_address(m.address), at_once) for m in settings.members}
         )
         self._relay_budget = Budget(0.2 * limits.rps, 0.2 * limits.rps)
-        self.candidacies = self._make_candidacies(self.store)
+        self.electors = self._make_electors(self.store)
         self._api = HttpServer(
             parse_address(settings.api_addr), Api(self), max(16, int(API_SHARE * sockets))
         )
         self._mesh = MeshServer(parse_address(settings.mesh_addr), self._on_mesh, mesh_sockets)
 
-    def _make_candidacies(self, store: Store) -> dict[ShardName | None, Candidacy]:
+    def _make_electors(self, store: Store) -> dict[ShardName | None, LeaderElector]:
         parts = ProcessParts(
             self.settings,
             self.policy,
-            self.boot,
+            self.boot_id,
             self.peers,
             self.finals.put,
             self._set_machine_types,
         )
         return {
-            scope.shard: Candidacy(parts, self.division.store_for(scope, store), scope)
+            scope.shard: LeaderElector(parts, self.division.store_for(scope, store), scope)
             for scope in self.division.scopes()
         }
 
@@ -113,29 +113,29 @@
         """Run until the process is killed."""
         self._api.start()
         self._mesh.start()
-        log.info("event=serving node=%s boot=%s version=%s", self.name, self.boot, __version__)
-        first, *others = self.candidacies.values()
-        for candidacy in others:
-            gevent.spawn(candidacy.run)
+        log.info("event=serving node=%s boot=%s version=%s", self.name, self.boot_id, __version__)
+        first, *others = self.electors.values()
+        for elector in others:
+            gevent.spawn(elector.run)
         first.run()
 
     # -- what the interface for users and workers needs -------------------------------------
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
-        candidacy = self._candidacy_of(Zone(heartbeat.zone))
-        leader = candidacy.leader if candidacy is not None else None
+        elector = self._elector_of(Zone(heartbeat.zone))
+        leader = elector.leader if elector is not None else None
         return leader.on_heartbeat(heartbeat) if leader is not None else None
 
     def foreign_leader(self, zone: Zone) -> str | None:
         """Name the leader to whom a zone's workers should be sent, if it is another node."""
-        candidacy = self._candidacy_of(zone)
-        return candidacy.foreign_leader() if candidacy is not None else None
+        elector = self._elector_of(zone)
+        return elector.foreign_leader() if elector is not None else None
 
-    def _candidacy_of(self, zone: Zone) -> Candidacy | None:
-        for candidacy in self.candidacies.values():
-            if candidacy.scope.covers(zone):
-                return candidacy
+    def _elector_of(self, zone: Zone) -> LeaderElector | None:
+        for elector in self.electors.values():
+            if elector.scope.covers(zone):
+                return elector
         return None
 
     def healthy(self) -> bool:
@@ -169,20 +169,18 @@
         Raise NoShardError if no shard could ever run it.
         """
         loads = {
-            shard: candidacy.load()
-            for shard, candidacy in self.candidacies.items()
-            if shard is not None
+            shard: elector.load() for shard, elector in self.electors.items() if shard is not None
         }
         return self.division.choose(spec, self._machine_types, loads)
 
     def full(self, shard: ShardName | None) -> bool:
         """Tell whether a shard's leader holds as many jobs as its memory allows."""
-        return self.candidacies[shard].full()
+        return self.electors[shard].full()
 
     def local_status(self, job: JobId) -> JobStatus | None:
         """Tell a job's state from the memory of a leader here, if it may answer."""
-        for candidacy in self.candidacies.values():
-            state = candidacy.leader.poll(job) if candidacy.leader is not None else None
+        for elector in self.electors.values():
+            state = elector.leader.poll(job) if elector.leader is not None else None
             if state is not None:
                 return state
         return None
@@ -203,9 +201,9 @@
     def _leaders_to_ask(self, job: JobId) -> Iterable[str]:
         """Name the controllers that may lead the job's shard."""
         shard = self._job_shards.get(job)
-        known = self.candidacies.get(shard) if shard is not None else None
-        candidacies = [known] if known is not None else self.candidacies.values()
-        names = [candidacy.foreign_leader() for candidacy in candidacies]
+        known = self.electors.get(shard) if shard is not None else None
+        electors = [known] if known is not None else self.electors.values()
+        names = [elector.foreign_leader() for elector in electors]
         return dict.fromkeys(name for name in names if name is not None)
 
     def remember_shard(self, job: JobId, shard: ShardName) -> None:
@@ -221,8 +219,8 @@
         after it reads the jobs after its take-over. So it is enough to tell the one who holds it:
         that of the job's shard.
         """
-        candidacy = self.candidacies.get(shard)
-        if candidacy is None:
+        elector = self.electors.get(shard)
+        if elector is None:
             return False  # of another division: nobody here knows who leads it
         seen_at = self._unconfirmed_cancels.setdefault(job, monotonic_now())
         if len(self._unconfirmed_cancels) > UNCONFIRMED_CANCELS_MAX:
@@ -234,9 +232,7 @@
         # which the cancel was meant to be written, one carried out late was told before the leader
         # could know.
         waited_s = monotonic_now() - seen_at
-        known = candidacy.holder_knows(job) or (
-            waited_s > self.policy.store_lease_s + CANCEL_KNOWN_S
-        )
+        known = elector.holder_knows(job) or (waited_s > self.policy.store_lease_s + CANCEL_KNOWN_S)
         if known:
             self._unconfirmed_cancels.pop(job, None)
         return known
@@ -257,28 +253,28 @@
         if isinstance(request, RelayRequest):
             return self._on_relay(request)
         shard = ShardName(request.shard) if request.shard is not None else None
-        candidacy = self.candidacies.get(shard)
-        if candidacy is None:
+        elector = self.electors.get(shard)
+        if elector is None:
             return Ack(False)  # from a controller that divides the fleet in another way
         if isinstance(request, CancelNotice):
-            leader = candidacy.leader
+            leader = elector.leader
             return Ack(leader is not None and leader.take_cancel(JobId(request.job)))
         if isinstance(request, LoadQuery):
-            return candidacy.on_load_query()
+            return elector.on_load_query()
         if isinstance(request, ImageHint):
-            candidacy.on_image_hint(request)
+            elector.on_image_hint(request)
         elif isinstance(request, LeaderNotice):
-            candidacy.on_leader_notice(request)
+            elector.on_leader_notice(request)
         return Ack(True)
 
     def _on_poll(self, job: JobId) -> JobState:
         final = self.finals.get(job)
         if final is not None:
             return JobState(final)
-        for candidacy in self.candidacies.values():
-            state = candidacy.leader.poll(job) if candidacy.leader is not None else None
+        for elector in self.electors.values():
+            state = elector.leader.poll(job) if elector.leader is not None else None
             if state is not None:
-                shard = candidacy.shard if candidacy.shard is not None else msgspec.UNSET
+                shard = elector.shard if elector.shard is not None else msgspec.UNSET
                 return JobState(state.status, state.done, state.running, shard)
         return JobState()
 
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -3,7 +3,7 @@
 One loop at each controller. What it goes by is in the store: the ownership records and the health
 of the controllers. Each step is one conditional write, so any controller may take any step that is
 due, at any time and on old news: it is taken once or not at all. Leading itself is left to the
-shard's candidacy, which this tells whether it may.
+shard's elector, which this tells whether it may.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from ryewing.clients.store import Store, StoreUnavailableError, WatchExpiredError
 from ryewing.leader.leader import Leader
-from ryewing.process.leader_elector import Candidacy
+from ryewing.process.leader_elector import LeaderElector
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.health import ControllerHealth
 from ryewing.sharding.owner_choice import OwnerChoice
@@ -74,7 +74,7 @@
         division: ShardDivision,
         store: Store,
         health: ControllerHealth,
-        candidacies: Mapping[ShardName, Candidacy],
+        electors: Mapping[ShardName, LeaderElector],
     ) -> None:
         self._node = node
         self._members = members
@@ -83,7 +83,7 @@
         self._store = store
         self._registry = ShardRegistry(store)
         self._health = health
-        self._candidacies = candidacies
+        self._candidacies = electors
         self._choice = OwnerChoice(settings)
         self.records: dict[ShardName, Ownership] = {}
         """The ownership of each shard as it was last read."""
@@ -91,9 +91,9 @@
         self._sealed_since: dict[ShardName, MonotonicTime] = {}
         self._orphaned_since: dict[ShardName, MonotonicTime] = {}
         self._planned_at = self._began
-        for name, candidacy in candidacies.items():
-            candidacy.eligible = partial(self._eligible, name)
-            candidacy.on_elected = partial(self._on_elected, name)
+        for name, elector in electors.items():
+            elector.eligible = partial(self._eligible, name)
+            elector.on_elected = partial(self._on_elected, name)
 
     def run(self) -> None:
         """Take steps until the process is killed."""
@@ -149,7 +149,7 @@
             self._advance(name, seen, found)
         self._plan(found)
 
-    # -- what the candidacies ask -----------------------------------------------------------
+    # -- what the electors ask -----------------------------------------------------------
 
     def _eligible(self, name: ShardName) -> bool:
         record = self.records.get(name)
@@ -238,7 +238,7 @@
         self, name: ShardName, seen: StoredOwnership, found: Registration
     ) -> None:
         """Leave a shard to another controller if this one has resigned for a fault of its own."""
-        if not self._candidacies[name].abstaining():
+        if not self._candidacies[name].is_abstaining():
             return
         others = found.healthy - {self._node}
         if not others:
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -18,19 +18,19 @@
 RENEWALS_PER_LEASE = 3
 
 
-class NodeRecord(msgspec.Struct, frozen=True):
+class NodeRecord(msgspec.Struct, frozen=True, rename={"boot_id": "boot"}):
     """The value of a controller's key."""
 
-    boot: str
+    boot_id: str
 
 
 class ControllerHealth:
     """This controller's key, and the reading of all of them."""
 
-    def __init__(self, store: Store, node: NodeName, boot: str, lease_s: float) -> None:
+    def __init__(self, store: Store, node: NodeName, boot_id: str, lease_s: float) -> None:
         self._store = store
         self._node = node
-        self._boot = boot
+        self._boot_id = boot_id
         self._lease_s = lease_s
         self._lease: int | None = None
         self._renewed_at = MonotonicTime(-1e9)
@@ -48,7 +48,7 @@
             except LeaseLostError:
                 self._lease = None
         lease = self._store.grant(self._lease_s)
-        record = NodeRecord(self._boot)
+        record = NodeRecord(self._boot_id)
         try:
             self._store.txn({}, [Put(NODE_PREFIX + self._node, record, lease)])
         except LeaseLostError as error:
--- a/src/ryewing/sharding/serve.py
+++ b/src/ryewing/sharding/serve.py
@@ -24,14 +24,12 @@
     division = node.division
     if not isinstance(division, ShardDivision):
         raise TypeError("the controller's fleet is not divided")
-    health = ControllerHealth(node.store, node.name, node.boot, node.policy.store_lease_s)
-    candidacies = {
-        ShardName(shard): candidacy
-        for shard, candidacy in node.candidacies.items()
-        if shard is not None
+    health = ControllerHealth(node.store, node.name, node.boot_id, node.policy.store_lease_s)
+    electors = {
+        ShardName(shard): elector for shard, elector in node.electors.items() if shard is not None
     }
     return Coordinator(
-        node.name, known_nodes(node.settings), shards, division, node.store, health, candidacies
+        node.name, known_nodes(node.settings), shards, division, node.store, health, electors
     )
 
 
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -193,10 +193,10 @@
             known = self._records[name]
             known.ceiling = known.usable(self._shard).at_most(wanted.of(self._shard))
         result = self._ctx.store.txn(
-            self._ctx.leadership.fenced(conditions),
+            self._ctx.leadership.fencing_conditions(conditions),
             [Put(_key(name), wanted) for name, wanted in changes.items()],
         )
-        if self._ctx.leadership.lost_by(result):
+        if self._ctx.leadership.is_superseded(result):
             self._ctx.lose("fenced")
             return
         self._read_at = MonotonicTime(-1e9)
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -26,18 +26,18 @@
     MAX_TOKEN_BUMPS,
     NEVER_HEARD,
     Attempt,
+    FencingToken,
     HeartbeatVersion,
     MachineId,
     MonotonicTime,
     TaskId,
     TeamName,
-    Term,
-    Token,
+    TermNumber,
     Zone,
+    bumps_of_token,
+    fencing_token,
     parse_task,
-    term_of,
-    token_bumps_of,
-    token_of,
+    term_of_token,
 )
 from ryewing.wire.messages import Heartbeat, MachineType, ReportedTask
 
@@ -54,7 +54,7 @@
 class ClusterState:
     """All machines, with what their tasks take of teams' limits."""
 
-    def __init__(self, term: Term, lease_s: float, job_table: JobTable, stops: Stops) -> None:
+    def __init__(self, term: TermNumber, lease_s: float, job_table: JobTable, stops: Stops) -> None:
         self.term = term
         self.job_table = job_table
         self.stops = stops
@@ -72,9 +72,9 @@
         """Tell whether images fetched at once seem to share a machine's rate."""
         return self.fetch_slowdown > SHARED_SLOWDOWN
 
-    def token(self, machine: Machine) -> Token:
+    def token(self, machine: Machine) -> FencingToken:
         """Give the token for any message to this machine: the highest one sent to it so far."""
-        return token_of(self.term, machine.token_bumps)
+        return fencing_token(self.term, machine.token_bumps)
 
     # -- holds ------------------------------------------------------------------------------
 
@@ -271,9 +271,9 @@
         overtaken a response, and settles nothing.
         """
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
-        if term_of(heartbeat.token) == self.term:
+        if term_of_token(heartbeat.token) == self.term:
             # A reading of the token: true whatever the order in which messages come.
-            machine.acknowledged = max(machine.acknowledged, token_bumps_of(heartbeat.token))
+            machine.acknowledged = max(machine.acknowledged, bumps_of_token(heartbeat.token))
             machine.token_bumps = max(machine.token_bumps, machine.acknowledged)
         if version <= machine.version or heartbeat.incarnation <= machine.expired_incarnation:
             return False
--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -17,9 +17,9 @@
 ShardName = NewType("ShardName", str)
 Zone = NewType("Zone", str)
 
-Term = NewType("Term", int)
+TermNumber = NewType("TermNumber", int)
 """Who may command: raised by every new leader."""
-Token = NewType("Token", int)
+FencingToken = NewType("FencingToken", int)
 """What workers compare: the term, and below it a count of raises for this worker."""
 KeyVersion = NewType("KeyVersion", int)
 """The state service's version of one key; 0 says that the key does not exist."""
@@ -86,23 +86,23 @@
     return TaskId(JobId(job), int(index))
 
 
-def attempt_of(term: Term, counter: int) -> Attempt:
+def attempt_of(term: TermNumber, counter: int) -> Attempt:
     """Derive an attempt number that no other term can give out."""
     if not 0 <= counter <= MAX_ATTEMPTS:
         raise ValueError(f"attempt {counter} would be another term's")
     return Attempt((int(term) << _ATTEMPT_BITS) | counter)
 
 
-def token_of(term: Term, token_bumps: int = 0) -> Token:
+def fencing_token(term: TermNumber, token_bumps: int = 0) -> FencingToken:
     """Make a token: any of a later term is higher than all of an earlier one."""
-    return Token((int(term) << _TOKEN_BUMP_BITS) | min(token_bumps, MAX_TOKEN_BUMPS))
+    return FencingToken((int(term) << _TOKEN_BUMP_BITS) | min(token_bumps, MAX_TOKEN_BUMPS))
 
 
-def term_of(token: int) -> Term:
+def term_of_token(token: int) -> TermNumber:
     """Tell whose token it is."""
-    return Term(token >> _TOKEN_BUMP_BITS)
+    return TermNumber(token >> _TOKEN_BUMP_BITS)
 
 
-def token_bumps_of(token: int) -> int:
+def bumps_of_token(token: int) -> int:
     """Tell how often the worker was nudged under the token's term."""
     return token & MAX_TOKEN_BUMPS
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -171,7 +171,7 @@
             raise gevent.GreenletExit
         raise faults.pop(0)
 
-    monkeypatch.setattr(node.candidacies[None], "follow", follow)
+    monkeypatch.setattr(node.electors[None], "follow", follow)
     monkeypatch.setattr(node, "_api", _Started())
     monkeypatch.setattr(node, "_mesh", _Started())
     monkeypatch.setattr("gevent.sleep", lambda _seconds: None)
--- a/tests/election/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -1,4 +1,4 @@
-"""Election and authority."""
+"""Election and lease validity."""
 
 from __future__ import annotations
 
@@ -6,8 +6,14 @@
 from support.fakes import policy, settings
 from support.placement_world import T0
 
-from ryewing.election.leadership import FOLLOW_S, Authority, Holder, View, may_campaign
-from ryewing.units import KeyVersion, MonotonicTime, NodeName, Revision, Term
+from ryewing.election.leadership import (
+    JOBS_KNOWN_MAX_AGE_S,
+    ElectionRecord,
+    LeaseHolder,
+    LeaseValidity,
+    may_campaign,
+)
+from ryewing.units import KeyVersion, MonotonicTime, NodeName, Revision, TermNumber
 
 
 @pytest.mark.parametrize(
@@ -19,8 +25,8 @@
         (14.9, 14.9, False, True),  # state outage: workers are kept alive
         (15.0, 15.0, False, False),  # the hold is over: 421 or 503
         (500.0, 500.0, False, False),  # a process that was paused past everything
-        (0.0, FOLLOW_S - 0.1, True, True),  # a slow watch beside renewals
-        (0.0, FOLLOW_S, False, True),  # one that hangs: others may have cancelled
+        (0.0, JOBS_KNOWN_MAX_AGE_S - 0.1, True, True),  # a slow watch beside renewals
+        (0.0, JOBS_KNOWN_MAX_AGE_S, False, True),  # one that hangs: others may have cancelled
         (0.0, 14.9, False, True),
         (0.0, 15.0, False, False),  # and its cancelled tasks must be gone in time
         (15.0, 0.0, False, False),
@@ -31,22 +37,25 @@
 def test_authority_by_time_since_renewal_and_since_the_jobs_are_known(
     renewed_s: float | None, followed_s: float | None, start: bool, answer: bool
 ) -> None:
-    authority = Authority(3.0, 15.0)
+    lease_validity = LeaseValidity(3.0, 15.0)
     now = MonotonicTime(T0 + 1000.0)
     if renewed_s is not None:
-        authority.confirm(MonotonicTime(now - renewed_s))
+        lease_validity.confirm_renewal(MonotonicTime(now - renewed_s))
     if followed_s is not None:
-        authority.follow(MonotonicTime(now - followed_s))
-    assert (authority.may_start(now), authority.may_answer(now)) == (start, answer)
+        lease_validity.confirm_jobs(MonotonicTime(now - followed_s))
+    assert (lease_validity.may_start(now), lease_validity.may_answer_workers(now)) == (
+        start,
+        answer,
+    )
 
 
 def test_authority_counts_from_the_latest_send() -> None:
-    authority = Authority(3.0, 15.0)
-    for note in (authority.confirm, authority.follow):
+    lease_validity = LeaseValidity(3.0, 15.0)
+    for note in (lease_validity.confirm_renewal, lease_validity.confirm_jobs):
         note(MonotonicTime(T0 + 2.0))
         note(T0)  # an older renewal's answer that came later
-    assert authority.may_start(MonotonicTime(T0 + 4.5))
-    assert authority.may_answer(MonotonicTime(T0 + 16.5))
+    assert lease_validity.may_start(MonotonicTime(T0 + 4.5))
+    assert lease_validity.may_answer_workers(MonotonicTime(T0 + 16.5))
 
 
 def test_hold_leaves_a_cancel_its_time() -> None:
@@ -58,11 +67,11 @@
     ("holder", "expected"),
     [
         (None, True),  # the lease has ended
-        (Holder("n-1", "b1", 4), False),  # another node: wait for its lease
-        (Holder("n-0", "me", 4), False),  # this very process
-        (Holder("n-0", "earlier", 4), True),  # an earlier process of this node is dead
+        (LeaseHolder("n-1", "b1", 4), False),  # another node: wait for its lease
+        (LeaseHolder("n-0", "me", 4), False),  # this very process
+        (LeaseHolder("n-0", "earlier", 4), True),  # an earlier process of this node is dead
     ],
 )
-def test_who_may_campaign(holder: Holder | None, expected: bool) -> None:
-    view = View(holder, KeyVersion(3), Term(4), KeyVersion(3), Revision(9))
+def test_who_may_campaign(holder: LeaseHolder | None, expected: bool) -> None:
+    view = ElectionRecord(holder, KeyVersion(3), TermNumber(4), KeyVersion(3), Revision(9))
     assert may_campaign(view, NodeName("n-0"), "me") is expected
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -18,7 +18,7 @@
 from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
 from ryewing.leader.worker_commands import SENDS_AT_ONCE, sends_at_once
 from ryewing.state.machine import TaskPhase
-from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, Term, attempt_of
+from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
 from ryewing.wire.messages import Command, ListedMachine
 
 MACHINES = 4000
@@ -223,9 +223,9 @@
     assert not harness.lost
     harness.place()
     assert harness.lost == ["attempts-used-up"]
-    assert attempt_of(Term(5), MAX_ATTEMPTS) < attempt_of(Term(6), 0)
+    assert attempt_of(TermNumber(5), MAX_ATTEMPTS) < attempt_of(TermNumber(6), 0)
     with pytest.raises(ValueError, match="another term"):
-        attempt_of(Term(5), MAX_ATTEMPTS + 1)
+        attempt_of(TermNumber(5), MAX_ATTEMPTS + 1)
 
 
 def test_fixed_limits_stand_above_the_fleet() -> None:
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -12,11 +12,11 @@
 
 from ryewing.clients.peers import ImageHint
 from ryewing.clients.store import Put, StoreUnavailableError
-from ryewing.election.leadership import campaign, read_view
+from ryewing.election.leadership import campaign, read_election_record
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
 from ryewing.state.jobs import JobRecord, final_key, live_key
 from ryewing.state.machine import COLD, WARM, TaskPhase
-from ryewing.units import KeyVersion, MachineId, NodeName, Term, token_of
+from ryewing.units import KeyVersion, MachineId, NodeName, TermNumber, fencing_token
 from ryewing.wire.messages import ReportedTask
 
 
@@ -80,7 +80,7 @@
 
 def test_a_report_with_a_later_token_ends_the_term(harness: LeaderHarness) -> None:
     worker = harness.worker()
-    worker.token = token_of(Term(6))
+    worker.token = fencing_token(TermNumber(6))
     assert harness.leader.on_heartbeat(worker.heartbeat()) is None
     assert harness.lost == ["overruled"]
 
@@ -110,7 +110,7 @@
     assert asked == [worker.name]
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     harness.leader.dispatch.send(machine)
-    assert worker.token == token_of(Term(5), 1)
+    assert worker.token == fencing_token(TermNumber(5), 1)
     assert len(starts(harness.exchange(worker))) == 2  # a lower token would be dropped
     harness.accept("run-2", task_count=1)
     harness.place()
@@ -180,7 +180,7 @@
     machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
     harness.leader.dispatch.send(machine)  # the handshake
     assert machine.handshaken
-    assert worker.token == token_of(Term(6))
+    assert worker.token == fencing_token(TermNumber(6))
     assert harness.leader.placer.ready_to_place()
     harness.leader.placer.run_pass()
     found = harness.leader.ctx.job_table.get(job)
@@ -437,17 +437,17 @@
 
 def test_one_of_two_candidates_wins(harness: LeaderHarness) -> None:
     store: Any = harness.store
-    view = read_view(store)
-    first = campaign(store, view, NodeName("n-0"), "b0", 3.0, 15.0)
-    second = campaign(store, view, NodeName("n-1"), "b1", 3.0, 15.0)
+    election = read_election_record(store)
+    first = campaign(store, election, NodeName("n-0"), "b0", 3.0, 15.0)
+    second = campaign(store, election, NodeName("n-1"), "b1", 3.0, 15.0)
     assert first is not None
     assert second is None
     assert first.term == 6
-    again = read_view(store)
+    again = read_election_record(store)
     assert again.holder is not None
     assert again.holder.node == "n-0"
     harness.store.expire(first.lease)
-    third = campaign(store, read_view(store), NodeName("n-1"), "b1", 3.0, 15.0)
+    third = campaign(store, read_election_record(store), NodeName("n-1"), "b1", 3.0, 15.0)
     assert third is not None
     assert third.term == 7
 
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -33,7 +33,7 @@
     MonotonicTime,
     Revision,
     TaskId,
-    Term,
+    TermNumber,
     Zone,
     parse_task,
 )
@@ -49,7 +49,7 @@
 
     def __init__(self, size: int) -> None:
         self.job_table = JobTable()
-        self.cluster = ClusterState(Term(5), 20.0, self.job_table, Stops())
+        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, Stops())
         for n in range(size):
             machine_type = GPU if n % 4 == 0 else CPU
             machine = self.cluster.add(
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -20,7 +20,7 @@
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
 from ryewing.state.jobs import Job, JobRecord, live_key
-from ryewing.units import JobId, KeyVersion, ShardName, Term, Zone
+from ryewing.units import JobId, KeyVersion, ShardName, TermNumber, Zone
 from ryewing.wire.messages import ListedMachine, MachineType
 
 EAST, WEST = ShardName("east"), ShardName("west")
@@ -58,7 +58,7 @@
     assert {request.zone for request in east.cloud.requests} == {"a"}
     assert {request.id for request in east.cloud.requests} == {"r-east-5-1"}
     west = TermScope(WEST, frozenset({Zone("b")}), 0.5)
-    assert west.request_name(Term(5), 1) != east.scope.request_name(Term(5), 1)
+    assert west.request_name(TermNumber(5), 1) != east.scope.request_name(TermNumber(5), 1)
 
 
 @pytest.mark.parametrize("shard", ["west", None])
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -15,10 +15,10 @@
 
 from ryewing.clients.http_client import Reply
 from ryewing.clients.store import Store, StoreUnavailableError
-from ryewing.election.leadership import campaign, may_campaign, read_view
+from ryewing.election.leadership import campaign, may_campaign, read_election_record
 from ryewing.leader.worker_commands import ORDERS_MAX
 from ryewing.state.machine import TaskPhase
-from ryewing.units import JobId, MachineId, NodeName, Term, token_of
+from ryewing.units import JobId, MachineId, NodeName, TermNumber, fencing_token
 from ryewing.wire.messages import Heartbeat, RentalRequest, ReportedTask
 
 LEASE_S = settings().params.workers.lease_s
@@ -384,7 +384,7 @@
     harness.new_leader(6)
     harness.exchange(worker)
     harness.exchange(worker)
-    assert worker.token >= token_of(Term(6))
+    assert worker.token >= fencing_token(TermNumber(6))
     assert old.on_heartbeat(worker.heartbeat()) is None
     assert "overruled" in harness.lost
 
@@ -404,16 +404,16 @@
     store.txn = recorded
     node = NodeName("n-0")
     with pytest.raises(StoreUnavailableError):
-        campaign(store, read_view(store), node, "before", 3.0, 15.0)
-    won = campaign(store, read_view(store), node, "after", 3.0, 15.0)
+        campaign(store, read_election_record(store), node, "before", 3.0, 15.0)
+    won = campaign(store, read_election_record(store), node, "after", 3.0, 15.0)
     assert won is not None
     for conditions, writes in [*sent, *sent]:
         assert not real(conditions, writes).ok
-    view = read_view(store)
-    assert view.holder is not None
-    assert (view.holder.boot, view.term) == ("after", won.term)
-    assert not may_campaign(view, node, "after")
-    assert may_campaign(view, node, "again")
+    election = read_election_record(store)
+    assert election.holder is not None
+    assert (election.holder.boot_id, election.term) == ("after", won.term)
+    assert not may_campaign(election, node, "after")
+    assert may_campaign(election, node, "again")
 
 
 @pytest.mark.parametrize("old_first", [True, False])
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -26,7 +26,7 @@
     MachineId,
     MonotonicTime,
     TaskId,
-    Term,
+    TermNumber,
     WallTime,
     Zone,
 )
@@ -40,7 +40,7 @@
 
     def __init__(self, machines: int, small: dict[str, Any], waiting: int) -> None:
         self.job_table = JobTable()
-        self.cluster = ClusterState(Term(5), 20.0, self.job_table, Stops())
+        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, Stops())
         self.now = 0.0
         self.small = small
         self.waiting = waiting
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -137,7 +137,7 @@
     while begun < moves and number < 6 * moves:
         submit_some(cluster, rng, 10 * number, 1)
         cluster.run(rng.choice((0.25, 0.5, 1.0)))
-        shard = rng.choice([str(name) for name in cluster.nodes[NAMES[0]].candidacies])
+        shard = rng.choice([str(name) for name in cluster.nodes[NAMES[0]].electors])
         if not cluster.store.down:
             begun += begin(cluster, shard, rng.choice(NAMES))
         cluster.run(rng.choice((0.25, 0.5, 1.0)))
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -7,7 +7,7 @@
 from support.harness import LeaderHarness, starts
 
 from ryewing.clients.store import Put
-from ryewing.election.leadership import HOLDER_KEY, read_view
+from ryewing.election.leadership import HOLDER_KEY, read_election_record
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.shard_store import ShardStore
 from ryewing.state.jobs import live_key
@@ -56,7 +56,7 @@
     west = harness.new_leader(other_term)
     assert not west.ctx.cluster.machines
     assert not west.ctx.job_table.jobs
-    assert read_view(west.ctx.store).term == other_term
+    assert read_election_record(west.ctx.store).term == other_term
     assert west.ctx.store.get(HOLDER_KEY) is None
 
     harness.leader, harness.store = east, shard(whole, "east")  # type: ignore[assignment]
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -22,9 +22,9 @@
 from ryewing.clients.token_bucket import Budget
 from ryewing.config.policy import defaults
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import may_campaign, read_view
+from ryewing.election.leadership import may_campaign, read_election_record
 from ryewing.leader.leader import Leader
-from ryewing.process.leader_elector import Candidacy
+from ryewing.process.leader_elector import LeaderElector
 from ryewing.process.node import Node
 from ryewing.sharding.coordinator import Coordinator
 from ryewing.sharding.division import ShardDivision
@@ -110,8 +110,8 @@
         link = StoreLink(self.store)
         link.on_throttled = node.store.on_throttled
         node.store = link  # type: ignore[assignment]
-        for candidacy in node.candidacies.values():
-            candidacy.store = node.division.store_for(candidacy.scope, node.store)
+        for elector in node.electors.values():
+            elector.store = node.division.store_for(elector.scope, node.store)
         if shards is not None:
             self.coordinators[name] = coordinator(node, shards)
         for other in NAMES:
@@ -139,8 +139,8 @@
     def _step_node(self, name: str, node: Node) -> None:
         if name in self.coordinators:
             self._coordinate(name)
-        for candidacy in node.candidacies.values():
-            self._step_term(node, candidacy)
+        for elector in node.electors.values():
+            self._step_term(node, elector)
 
     def _coordinate(self, name: str) -> None:
         try:
@@ -148,10 +148,10 @@
         except (StoreUnavailableError, DivisionDiffersError):
             pass
 
-    def _step_term(self, node: Node, candidacy: Candidacy) -> None:
-        if candidacy.leader is None:
-            self._follow(node, candidacy)
-        leader = candidacy.leader
+    def _step_term(self, node: Node, elector: LeaderElector) -> None:
+        if elector.leader is None:
+            self._follow(node, elector)
+        leader = elector.leader
         if leader is None:
             return
         if not leader.ctx.loaded.is_set() and not self.load(leader):
@@ -166,7 +166,7 @@
             self._placing(leader),
             self._giving_up(leader),
         ):
-            if candidacy.leader is leader:
+            if elector.leader is leader:
                 try:
                     act()
                 except (StoreUnavailableError, CloudUnavailableError):
@@ -205,15 +205,15 @@
         limits = leader.ctx.team_limits
         return limits.step if isinstance(limits, ShardTeamLimits) else lambda: None
 
-    def _follow(self, node: Node, candidacy: Candidacy) -> None:
+    def _follow(self, node: Node, elector: LeaderElector) -> None:
         try:
-            view = read_view(candidacy.store)
-            candidacy.note(view)
-            if may_campaign(view, node.name, node.boot) and candidacy.eligible():
-                candidacy.campaign(view)
+            election = read_election_record(elector.store)
+            elector.note(election)
+            if may_campaign(election, node.name, node.boot_id) and elector.eligible():
+                elector.campaign(election)
         except StoreUnavailableError:
             return
-        leader = candidacy.leader
+        leader = elector.leader
         if leader is not None:
             leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
             leader.writer._budget = self._budget(leader.writer._budget)
@@ -256,12 +256,12 @@
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
         """The term that a controller leads, if it does."""
-        return self.nodes[name].candidacies[ShardName(shard) if shard else None].leader
+        return self.nodes[name].electors[ShardName(shard) if shard else None].leader
 
     def latest_leaders(self) -> list[Leader]:
         """The latest term of each shard."""
         found = [
-            self.leader(self.leader_of(shard), shard) for shard in self.nodes[NAMES[0]].candidacies
+            self.leader(self.leader_of(shard), shard) for shard in self.nodes[NAMES[0]].electors
         ]
         return [leader for leader in found if leader is not None]
 
@@ -361,7 +361,7 @@
     def waiting_in_vain(self) -> list[str]:
         """Name the jobs that wait although a machine that fits has room."""
         leaders = self.latest_leaders()
-        assert len(leaders) == len(self.nodes[NAMES[0]].candidacies)
+        assert len(leaders) == len(self.nodes[NAMES[0]].electors)
         jobs = {job.id: job for leader in leaders for job in leader.ctx.job_table}
         used: dict[str, float] = defaultdict(float)
         for worker in self.workers.values():
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -35,7 +35,7 @@
 
 def ownership(cluster: Cluster) -> Registration:
     """Read the records as an operator does."""
-    names = [shard for shard in cluster.nodes[NAMES[0]].candidacies if shard is not None]
+    names = [shard for shard in cluster.nodes[NAMES[0]].electors if shard is not None]
     return ShardRegistry(cluster.store).read(names)  # type: ignore[arg-type]
 
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -22,9 +22,9 @@
 )
 from ryewing.config.policy import Policy, defaults
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import Authority, Leadership
+from ryewing.election.leadership import Leadership, LeaseValidity
 from ryewing.state.jobs import Job, JobRecord
-from ryewing.units import KeyVersion, MachineId, MonotonicTime, Revision, Term
+from ryewing.units import KeyVersion, MachineId, MonotonicTime, Revision, TermNumber
 from ryewing.wire.messages import (
     Change,
     ChangeLog,
@@ -337,8 +337,8 @@
         self.tasks[key] = ReportedTask(*key, "ended", cause)
 
 
-def leadership(term: int = 5, authority: Authority | None = None) -> Leadership:
+def leadership(term: int = 5, lease_validity: LeaseValidity | None = None) -> Leadership:
     """Make a won term whose lease was confirmed just now."""
-    if authority is None:
-        authority = Authority(3.0, 15.0)
-    return Leadership(Term(term), KeyVersion(0), 1, authority)
+    if lease_validity is None:
+        lease_validity = LeaseValidity(3.0, 15.0)
+    return Leadership(TermNumber(term), KeyVersion(0), 1, lease_validity)
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -9,12 +9,12 @@
 from ryewing.clients.peers import ImageHint
 from ryewing.clients.store import Put
 from ryewing.config.settings import NextLimits
-from ryewing.election.leadership import TERM_KEY, Authority
+from ryewing.election.leadership import TERM_KEY, LeaseValidity
 from ryewing.leader.leader import Leader
 from ryewing.leader.scope import WHOLE_FLEET
 from ryewing.leader.term_context import TermContext
 from ryewing.state.jobs import JobRecord, live_key
-from ryewing.units import JobId, KeyVersion, MachineId, Token
+from ryewing.units import FencingToken, JobId, KeyVersion, MachineId
 from ryewing.wire.messages import Command, Heartbeat
 from support.fakes import (
     Clock,
@@ -36,7 +36,7 @@
         self.sent: list[Command] = []
 
     def send(
-        self, address: str, term: Token, incarnation: int, commands: list[Command]
+        self, address: str, term: FencingToken, incarnation: int, commands: list[Command]
     ) -> Heartbeat:
         worker = next(w for w in self.workers.values() if w.heartbeat().address == address)
         if term >= worker.token and incarnation == worker.incarnation:
@@ -65,9 +65,9 @@
         self.leader = self.new_leader(5)
 
     def new_leader(self, term: int, hint: ImageHint | None = None) -> Leader:
-        authority = Authority(3.0, policy().hold_s)
-        authority.confirm(self.clock())
-        won = leadership(term, authority)
+        lease_validity = LeaseValidity(3.0, policy().hold_s)
+        lease_validity.confirm_renewal(self.clock())
+        won = leadership(term, lease_validity)
         result = self.store.txn({}, [Put(TERM_KEY, {"term": term})])
         won.term_key_version = KeyVersion(result.revision)
         ctx = TermContext(
@@ -104,8 +104,8 @@
     def later(self, seconds: float, renewed: bool = True) -> None:
         self.clock.now += seconds
         if renewed:
-            self.leader.ctx.authority.confirm(self.clock())
-            self.leader.ctx.authority.follow(self.clock())
+            self.leader.ctx.lease_validity.confirm_renewal(self.clock())
+            self.leader.ctx.lease_validity.confirm_jobs(self.clock())
 
     def accept(self, ref: str = "run-1", **changes: Any) -> JobId:
         record = JobRecord(job_spec(ref, **changes), 0.0, shard=self.scope.shard)
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -20,7 +20,7 @@
     MachineId,
     MonotonicTime,
     TaskId,
-    Term,
+    TermNumber,
     WallTime,
     Zone,
 )
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.job_table = JobTable()
         self.stops = Stops()
-        self.cluster = ClusterState(Term(5), 20.0, self.job_table, self.stops)
+        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, self.stops)
 
     def machine(
         self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -78,12 +78,12 @@
         for name, node in self._cluster.nodes.items():
             if name in self._cluster.dead:
                 continue
-            for candidacy in node.candidacies.values():
-                leader = candidacy.leader
+            for elector in node.electors.values():
+                leader = elector.leader
                 if leader is None or not leader.ctx.may_start():
                     continue
                 for machine in leader.ctx.cluster.machines:
-                    owners.setdefault(machine, []).append(f"{name}/{candidacy.shard}")
+                    owners.setdefault(machine, []).append(f"{name}/{elector.shard}")
         for machine_id, names in owners.items():
             if len(names) > 1:
                 self._violation("counted_twice", f"{machine_id} by {', '.join(names)}")
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ryewing.clients.workers import WorkerUnavailableError
-from ryewing.units import Token
+from ryewing.units import FencingToken
 from ryewing.wire.messages import Command, Heartbeat, ReportedTask
 from support.fakes import FakeWorker
 
@@ -41,7 +41,7 @@
         """Its heartbeats arrive; answers and direct commands are lost."""
         self.holds_up = False
         """Direct commands get no answer, and are carried out when `catch_up` is called."""
-        self._held_up: list[tuple[Token, int, list[Command]]] = []
+        self._held_up: list[tuple[FencingToken, int, list[Command]]] = []
         self.answer_s = 0.0
         """How long the answer to a heartbeat is on its way."""
         self._answer: tuple[float, Callable[[], None]] | None = None
@@ -140,7 +140,7 @@
         else:
             self._next()
 
-    def hold_up(self, token: Token, incarnation: int, commands: list[Command]) -> None:
+    def hold_up(self, token: FencingToken, incarnation: int, commands: list[Command]) -> None:
         """A direct command is on its way for longer than its sender waits."""
         self._held_up.append((token, incarnation, copy.deepcopy(commands)))
 
@@ -164,7 +164,7 @@
         self._here = here
 
     def send(
-        self, address: str, token: Token, incarnation: int, commands: list[Command]
+        self, address: str, token: FencingToken, incarnation: int, commands: list[Command]
     ) -> Heartbeat:
         found = [w for w in self._cluster.workers.values() if w.address == address]
         if not found:
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -95,7 +95,7 @@
     cluster.run(3.25)
     worker.unreachable |= {"n-1", "n-2"}
     cluster.store.tend()
-    cluster.nodes["n-1"].candidacies[None].leader = None
+    cluster.nodes["n-1"].electors[None].leader = None
     assert cluster.cancel("n-1") == 200  # nobody holds the lease
     cluster.store.down = True
     cluster.run(10.0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,7 +15,7 @@
 
 from ryewing.clients import peers as mesh
 from ryewing.clients.store import Put
-from ryewing.election.leadership import Holder, TermRecord
+from ryewing.election.leadership import LeaseHolder, TermRecord
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
 from ryewing.state.jobs import (
     DONE_PREFIX,
@@ -92,7 +92,7 @@
 
 def test_who_leads_is_read_as_the_earlier_version_wrote_it() -> None:
     holder = b'{"node":"n-0","boot":"0011223344aa","term":7}'
-    assert msgspec.json.decode(holder, type=Holder) == Holder("n-0", "0011223344aa", 7)
+    assert msgspec.json.decode(holder, type=LeaseHolder) == LeaseHolder("n-0", "0011223344aa", 7)
     assert msgspec.json.decode(b'{"term":7}', type=TermRecord).term == 7
 
 
@@ -228,7 +228,7 @@
         (MachineRecord("c32", "a", True, "10.1.0.2:9000", True), OldMachineRecord),
         (MachineTypeList([CPU, GPU]), OldFlavourList),
         (RentalRequest("r-3-1", "c32", "a", True, 12), OldHire),
-        (Holder("n-0", "0011", 7), OldHolder),
+        (LeaseHolder("n-0", "0011", 7), OldHolder),
         (FinalRecord("cancelled"), OldStatus),
     ],
 )
