--- a/src/ryewing/api/api.py
+++ b/src/ryewing/api/api.py
@@ -25,7 +25,7 @@
     TxnResult,
     readable,
 )
-from ryewing.clients.user_request_limiter import QuotaExceededError, UserRequest
+from ryewing.clients.user_request_limiter import RateLimitExceededError, UserRequest
 from ryewing.leader.division import NoShardError, NotReadyError
 from ryewing.state.jobs import (
     CANCELLED,
@@ -64,8 +64,8 @@
 log = logging.getLogger("ryewing.api.api")
 T = TypeVar("T")
 
-SUBMITS_AT_ONCE = 64
-STORE_READS_AT_ONCE = 24
+MAX_SUBMISSIONS_IN_FLIGHT = 64
+MAX_STORE_READS_IN_FLIGHT = 24
 CANCEL_TRIES = 4
 BODY_S = 5.0
 FULL_RETRY_S = 30.0
@@ -106,7 +106,7 @@
             response = self._route(environ)
         except RefusedError as refused:
             response = refused.response
-        except QuotaExceededError as exceeded:
+        except RateLimitExceededError as exceeded:
             retry_s = max(self._node.policy.retry_after_s, exceeded.retry_s)
             response = self._busy("too many requests for the state service", retry_s)
         except Exception:
@@ -192,7 +192,7 @@
             record = self._new_record(spec, machine_types)
         except RefusedError as refused:
             return self._unless_known(job, refused.response)
-        if self._submits >= SUBMITS_AT_ONCE:
+        if self._submits >= MAX_SUBMISSIONS_IN_FLIGHT:
             return self._busy("too many submissions at once")
         self._submits += 1
         try:
@@ -234,7 +234,7 @@
         writes = [Put(live_key(job), record)]
         until = MonotonicTime(monotonic_now() + 0.6)
         while True:
-            self._node.user_quota.admit(UserRequest.CHANGE)
+            self._node.user_limiter.admit(UserRequest.CHANGE)
             try:
                 result = self._txn(conditions, writes)
                 break
@@ -262,7 +262,7 @@
                 record.spec.image_gb,
                 record.spec.estimated_s,
             )
-            if self._node.finals.get(job) is None:
+            if self._node.final_states.get(job) is None:
                 return Response(201, JobStatus(job, "queued"))
         state = self._read_state(job)
         if state is None:
@@ -280,18 +280,18 @@
 
         A final state may have been told here meanwhile: what comes after it must not be older.
         """
-        final = self._node.finals.get(JobId(state.id))
+        final = self._node.final_states.get(JobId(state.id))
         return Response(200, state if final is None else JobStatus(state.id, final))
 
     def _from_memory(self, job: JobId) -> JobStatus | None:
-        final = self._node.finals.get(job)
+        final = self._node.final_states.get(job)
         if final is not None:
             return JobStatus(job, final)
         return self._node.local_status(job)
 
     def _from_store(self, job: JobId) -> JobStatus | None:
         """Answer a question by the store, if that may be asked now."""
-        self._node.user_quota.admit(UserRequest.QUESTION)
+        self._node.user_limiter.admit(UserRequest.QUESTION)
         return self._read_state(job)
 
     def _read_state(self, job: JobId) -> JobStatus | None:
@@ -309,7 +309,7 @@
         if final is None:
             return None
         status = self._readable(readable(final.data, FinalRecord, final.key)).status
-        self._node.finals.put(job, status)
+        self._node.final_states.put(job, status)
         return JobStatus(job, status)
 
     def _cancelled(self, record: JobRecord) -> JobStatus:
@@ -324,7 +324,7 @@
         job = JobId(record.spec.id)
         if not self._node.announce_cancel(job, _shard_of(record)):
             raise RefusedError(self._busy("the cancel is written but the leader has not heard it"))
-        self._node.finals.put(job, CANCELLED)
+        self._node.final_states.put(job, CANCELLED)
         return JobStatus(job, CANCELLED)
 
     def _remember_shard(self, job: JobId, record: JobRecord) -> None:
@@ -339,25 +339,25 @@
         return record
 
     def _read(self, key: str) -> Entry | None:
-        if self._reads >= STORE_READS_AT_ONCE:
+        if self._reads >= MAX_STORE_READS_IN_FLIGHT:
             raise RefusedError(self._busy("too many requests at once"))
         self._reads += 1
-        self._node.user_quota.charge()
+        self._node.user_limiter.charge()
         try:
             return self._node.store.get(key)
         finally:
             self._reads -= 1
 
     def _txn(self, conditions: dict[str, KeyVersion], writes: list[Put]) -> TxnResult:
-        self._node.user_quota.charge()
+        self._node.user_limiter.charge()
         return self._node.store.txn(conditions, writes)
 
     def _cancel(self, job: JobId) -> Response:
         """Mark the job cancelled, unless it is done; answer once nobody can say otherwise."""
-        if self._node.finals.get(job) is None:
-            self._node.user_quota.admit(UserRequest.CHANGE)
+        if self._node.final_states.get(job) is None:
+            self._node.user_limiter.admit(UserRequest.CHANGE)
         for _ in range(CANCEL_TRIES):
-            final = self._node.finals.get(job)
+            final = self._node.final_states.get(job)
             if final is not None:
                 return Response(200, JobStatus(job, final))
             try:
--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -4,9 +4,9 @@
 
 from typing import Protocol
 
-from ryewing.api.final_states import Finals
+from ryewing.api.final_states import FinalStateCache
 from ryewing.clients.store import Store
-from ryewing.clients.user_request_limiter import UserQuota
+from ryewing.clients.user_request_limiter import UserRequestLimiter
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Team
 from ryewing.units import JobId, ShardName, Zone
@@ -19,8 +19,8 @@
     policy: Policy
     store: Store
     teams: dict[str, Team]
-    finals: Finals
-    user_quota: UserQuota
+    final_states: FinalStateCache
+    user_limiter: UserRequestLimiter
 
     def healthy(self) -> bool:
         """Tell whether requests can be taken."""
--- a/src/ryewing/api/final_states.py
+++ b/src/ryewing/api/final_states.py
@@ -6,13 +6,13 @@
 
 from ryewing.units import JobId
 
-FINALS_KEPT = 20_000
+FINAL_STATES_KEPT = 20_000
 
 
-class Finals:
+class FinalStateCache:
     """Final states that were seen, which never change; bounded."""
 
-    def __init__(self, kept: int = FINALS_KEPT) -> None:
+    def __init__(self, kept: int = FINAL_STATES_KEPT) -> None:
         self._kept = kept
         self._states: OrderedDict[JobId, str] = OrderedDict()
 
--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ryewing.clients.http_client import HttpClient, Reply, UnreachableError, decode_answer
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.config.settings import Address, CloudLimits
 from ryewing.units import MachineId
 from ryewing.wire.messages import (
@@ -40,17 +40,17 @@
     def __init__(self, address: Address, limits: CloudLimits) -> None:
         self._http = HttpClient(address, 2)
         # Only the leader asks, but two leaders can overlap for a moment: leave it some room.
-        self.budget = Budget(0.8 * limits.rps, limits.rps)
+        self.bucket = TokenBucket(0.8 * limits.rps, limits.rps)
 
     def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        if not self.budget.take():
-            raise CloudUnavailableError("own budget is used up")
+        if not self.bucket.take():
+            raise CloudUnavailableError("own token bucket is empty")
         try:
             reply = self._http.request(method, path, body, DEADLINE_S)
         except UnreachableError as error:
             raise CloudUnavailableError(str(error)) from None
         if reply.status == 429:
-            self.budget.drain()
+            self.bucket.drain()
             raise CloudUnavailableError("429")
         if reply.status == 503 and b"no capacity" in reply.body:
             raise NoCapacityError
--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ryewing.clients.cloud import Cloud
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.units import MachineId, MonotonicTime, monotonic_now
 from ryewing.wire.messages import ListedMachine
 
@@ -31,7 +31,7 @@
 
     def __init__(self, cloud: Cloud, cloud_rps: float) -> None:
         self.cloud = cloud
-        self._budget = Budget(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
+        self._bucket = TokenBucket(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
         self._began_at = MonotonicTime(-1e9)
         self._since = ""
         self._names: set[MachineId] = set()
@@ -40,7 +40,7 @@
         """Tell whether a page should be read now; it has to be, if so."""
         if not self._since and now - self._began_at < LIST_EVERY_S:
             return False
-        return self._budget.take()
+        return self._bucket.take()
 
     def read_page(self, now: MonotonicTime) -> ListPage:
         """Read the next page, the first one after the last."""
--- a/src/ryewing/clients/peers.py
+++ b/src/ryewing/clients/peers.py
@@ -25,12 +25,12 @@
 IDLE_S = 60.0
 KEPT_CONNECTIONS = 4
 PEER_DEADLINE_S = 0.6
-REQUESTS_AT_ONCE = 32
+MAX_REQUESTS_IN_FLIGHT = 32
 """Requests to one controller that may wait for their answers: each takes a socket and a greenlet,
 and one that is silent answers none, while users ask many times as often."""
 
 
-class PollJob(msgspec.Struct, tag="poll"):
+class JobStatusQuery(msgspec.Struct, tag="poll"):
     """A follower asks the leader for a job's state."""
 
     job: str
@@ -44,7 +44,7 @@
     """In this and the other messages: the shard whose leader is meant, if the fleet is divided."""
 
 
-class LeaderNotice(msgspec.Struct, tag="leader", omit_defaults=True):
+class LeaderAnnouncement(msgspec.Struct, tag="leader", omit_defaults=True):
     """A new leader makes itself known, so that an older one steps down at once."""
 
     node: str
@@ -58,10 +58,10 @@
     shard: str | None = None
 
 
-class ImageHint(msgspec.Struct, tag="images", omit_defaults=True):
+class ImageLocality(msgspec.Struct, tag="images", omit_defaults=True):
     """The leader tells which machines have which images, so that a successor need not learn it.
 
-    A hint only: nothing rests on it but where tasks start without a fetch.
+    Nothing rests on it but where tasks start without a fetch.
     """
 
     term: int
@@ -82,7 +82,7 @@
     body: bytes | None = None
 
 
-class JobState(msgspec.Struct, tag="state"):
+class JobStatusReply(msgspec.Struct, tag="state"):
     """The answer to a poll; no status: the asker must read the store."""
 
     status: str | None = None
@@ -113,21 +113,23 @@
     body: bytes = b""
 
 
-Request = Union[PollJob, CancelNotice, LeaderNotice, LoadQuery, ImageHint, RelayRequest]
-Response = Union[JobState, Ack, ShardLoadAnswer, RelayResponse]
+Request = Union[
+    JobStatusQuery, CancelNotice, LeaderAnnouncement, LoadQuery, ImageLocality, RelayRequest
+]
+Response = Union[JobStatusReply, Ack, ShardLoadAnswer, RelayResponse]
 Handler = Callable[[Request], Response]
 
 _request_decoder = msgspec.msgpack.Decoder(Request)
 _response_decoder = msgspec.msgpack.Decoder(Response)
 
 
-def requests_at_once(sockets: int, peers: int) -> int:
+def max_requests_in_flight(sockets: int, peers: int) -> int:
     """Bound the requests to one peer by the sockets that there are for all of them.
 
     Found in a trial with 3,600 machines: while a pass held the leader up for a fifth of a second,
     more users asked at another controller than 32, and the rest got 503.
     """
-    return max(REQUESTS_AT_ONCE, sockets // max(1, peers))
+    return max(MAX_REQUESTS_IN_FLIGHT, sockets // max(1, peers))
 
 
 class PeerUnavailableError(Exception):
@@ -157,12 +159,12 @@
     sock.sendall(len(data).to_bytes(4, "big") + data)
 
 
-class Peer:
+class PeerClient:
     """Requests to one other controller, over a few kept connections."""
 
-    def __init__(self, address: Address, at_once: int = REQUESTS_AT_ONCE) -> None:
+    def __init__(self, address: Address, max_in_flight: int = MAX_REQUESTS_IN_FLIGHT) -> None:
         self._address = address
-        self._at_once = at_once
+        self._at_once = max_in_flight
         self._idle: deque[socket.socket] = deque()
         self.in_flight = 0
         """Requests that wait for their answer."""
@@ -208,7 +210,7 @@
 class Peers:
     """All other controllers."""
 
-    def __init__(self, members: dict[str, Peer]) -> None:
+    def __init__(self, members: dict[str, PeerClient]) -> None:
         self.members = members
 
     def request(self, node: str | None, request: Request) -> Response | None:
@@ -228,7 +230,7 @@
             gevent.spawn(self.request, node, request)
 
 
-class MeshServer:
+class PeerServer:
     """Answers the other controllers."""
 
     def __init__(self, address: Address, handler: Handler, connections: int) -> None:
--- a/src/ryewing/clients/token_bucket.py
+++ b/src/ryewing/clients/token_bucket.py
@@ -7,7 +7,7 @@
 from ryewing.units import MonotonicTime, monotonic_now
 
 
-class Budget:
+class TokenBucket:
     """A rate with a burst; asks are answered at once, never queued here."""
 
     def __init__(
--- a/src/ryewing/clients/user_request_limiter.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -11,7 +11,7 @@
 import enum
 from collections.abc import Callable
 
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.units import MonotonicTime, monotonic_now
 
 USER_SHARE = 0.5
@@ -34,7 +34,7 @@
     """A submission or a cancel."""
 
 
-class QuotaExceededError(Exception):
+class RateLimitExceededError(Exception):
     """The request would go beyond the share; `retry_s` is when there may be room."""
 
     def __init__(self, retry_s: float) -> None:
@@ -42,34 +42,34 @@
         self.retry_s = retry_s
 
 
-class UserQuota:
+class UserRequestLimiter:
     """Admits users' requests to the store, and counts what they cost."""
 
     def __init__(
         self, store_rps: float, controllers: int, clock: Callable[[], MonotonicTime] = monotonic_now
     ) -> None:
         self._full_rate = USER_SHARE * store_rps / controllers
-        self._budget = Budget(self._full_rate, self._full_rate, clock)
+        self._bucket = TokenBucket(self._full_rate, self._full_rate, clock)
         self._clock = clock
         self._factor = 1.0
         self._factor_at = clock()
         self._shrunk_at = MonotonicTime(-1e9)
 
     def admit(self, request: UserRequest) -> None:
-        """Let a request go to the store, or raise QuotaExceededError.
+        """Let a request go to the store, or raise RateLimitExceededError.
 
         Only its first access is judged: a request that was begun is worth its end.
         """
         self._recover()
         needed = 1.0
         if request is UserRequest.QUESTION:
-            needed += QUESTION_RESERVE * self._budget.burst
-        if not self._budget.has(needed):
-            raise QuotaExceededError(self._budget.wait_s(needed))
+            needed += QUESTION_RESERVE * self._bucket.burst
+        if not self._bucket.has(needed):
+            raise RateLimitExceededError(self._bucket.wait_s(needed))
 
     def charge(self) -> None:
         """Count one access to the store; it may lead to a debt that is waited off."""
-        self._budget.charge(1.0)
+        self._bucket.charge(1.0)
 
     def shrink(self) -> None:
         """The store has said that it is asked too much: leave it more room."""
@@ -89,4 +89,4 @@
 
     def _set_factor(self, factor: float) -> None:
         self._factor = factor
-        self._budget.set_rate(factor * self._full_rate)
+        self._bucket.set_rate(factor * self._full_rate)
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -14,7 +14,7 @@
 import gevent
 import msgspec
 
-from ryewing.clients.peers import ImageHint
+from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import LeaseLostError, StoreUnavailableError
 from ryewing.leader.autoscaler import Renter
 from ryewing.leader.job_watcher import Intake
@@ -50,9 +50,9 @@
         self,
         ctx: TermContext,
         on_final: Callable[[JobId, str], None],
-        hint: ImageHint | None = None,
+        image_locality: ImageLocality | None = None,
     ) -> None:
-        self._hint = hint
+        self._image_locality = image_locality
         self.ctx = ctx
         self.writer = Writer(self.ctx, on_final, self._on_record)
         self.dispatch = Dispatch(self.ctx, self.writer)
@@ -88,12 +88,12 @@
         """Tell whether more jobs would endanger the memory of this process."""
         return self.intake.full()
 
-    def image_hint(self) -> ImageHint:
+    def image_locality(self) -> ImageLocality:
         """Tell what a successor should know of the machines' images."""
         failing: dict[str, float] = {
             job.id: job.backoff_s for job in self.ctx.job_table if job.backoff_s
         }
-        return ImageHint(int(self.term), *self.ctx.cluster.images(), failing)
+        return ImageLocality(int(self.term), *self.ctx.cluster.images(), failing)
 
     def drained(self) -> bool:
         """Tell whether nothing is under way whose outcome a successor would have to find out.
@@ -208,7 +208,7 @@
             self._spawn(loop)
 
     def _load(self) -> None:
-        Recovery(self.ctx, self.intake, self.writer, self.renter, self._hint).load()
+        Recovery(self.ctx, self.intake, self.writer, self.renter, self._image_locality).load()
 
     def _tend_loop(self) -> None:
         """Leases that end, and stops that must be sent again."""
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from ryewing.clients.peers import ImageHint
+from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import readable
 from ryewing.leader.autoscaler import REQUEST_PREFIX, Renter
 from ryewing.leader.job_watcher import Intake
@@ -45,13 +45,13 @@
         intake: Intake,
         writer: Writer,
         renter: Renter,
-        hint: ImageHint | None,
+        image_locality: ImageLocality | None,
     ) -> None:
         self._ctx = ctx
         self._intake = intake
         self._writer = writer
         self._renter = renter
-        self._hint = hint
+        self._image_locality = image_locality
 
     def load(self) -> None:
         """Read everything; raise StoreUnavailableError to be called again."""
@@ -62,8 +62,8 @@
         self._load_jobs(now)
         self._load_finishes()
         self._load_machines(now)
-        if self._hint is not None:
-            self._apply_hint(self._hint, now)
+        if self._image_locality is not None:
+            self._apply_image_locality(self._image_locality, now)
         self._load_requests()
 
     def _load_jobs(self, now: MonotonicTime) -> None:
@@ -122,10 +122,10 @@
                 machine.may_hold_until = MonotonicTime(now + longest_s)
         self._writer.to_record.update(MachineId(name) for name in twice)
 
-    def _apply_hint(self, hint: ImageHint, now: MonotonicTime) -> None:
-        self._ctx.cluster.restore_images(hint.images, hint.machines)
+    def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
+        self._ctx.cluster.restore_images(image_locality.images, image_locality.machines)
         # Without it each new leader let whole batches of such jobs fail once more.
-        for name, delay_s in hint.failing.items():
+        for name, delay_s in image_locality.failing.items():
             job = self._ctx.job_table.get(JobId(name))
             if job is not None and not job.done_count:
                 job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -22,7 +22,7 @@
     TxnResult,
     readable,
 )
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.leader.term_context import TermContext
 from ryewing.state.jobs import (
     CANCELLED,
@@ -136,11 +136,11 @@
         self._set_aside: dict[str, MonotonicTime] = {}
         """Keys that the store would not take, and until when it isn't asked again."""
         rate = WRITE_SHARE * ctx.scope.share * limits.write_rps
-        self._budget = Budget(rate, rate)
+        self._bucket = TokenBucket(rate, rate)
 
     def may_write(self, changes: int) -> bool:
         """Take room in the term's write rate for another part's changes, if there is some."""
-        return self._budget.take(changes)
+        return self._bucket.take(changes)
 
     def write_loop(self) -> None:
         """Write what is wanted, as fast as the rate permits."""
@@ -269,8 +269,8 @@
             return False
         chosen = self._choose(wanted)
         ops = [op for write in chosen for op in write.ops]
-        if not self._budget.take(len(ops)):
-            gevent.sleep(min(1.0, self._budget.wait_s(len(ops))))
+        if not self._bucket.take(len(ops)):
+            gevent.sleep(min(1.0, self._bucket.wait_s(len(ops))))
             return True
         finals = {JobId(w.key[len(LIVE_PREFIX) :]) for w in chosen if w.key.startswith(LIVE_PREFIX)}
         self.final_pending |= finals
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -12,7 +12,7 @@
 
 from gevent.pool import Group
 
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.clients.workers import Workers, WorkerUnavailableError
 from ryewing.leader.state_writer import Writer
 from ryewing.leader.term_context import TermContext
@@ -34,7 +34,7 @@
 
 ORDERS_MAX = 500
 """Commands in one response: keeps its line within 64 KiB."""
-SENDS_AT_ONCE = 24
+MAX_SENDS_IN_FLIGHT = 24
 SENDS_SHARE = 0.02
 """Direct exchanges under way at once: so many, or this part of the sockets if that is more. A
 silent machine takes one for two seconds, and where a zone is lost there are thousands."""
@@ -54,9 +54,9 @@
 """Heartbeat intervals after which a silent machine is asked directly."""
 
 
-def sends_at_once(sockets: int) -> int:
+def max_sends_in_flight(sockets: int) -> int:
     """Bound the direct exchanges under way by the sockets that there are."""
-    return max(SENDS_AT_ONCE, int(SENDS_SHARE * sockets))
+    return max(MAX_SENDS_IN_FLIGHT, int(SENDS_SHARE * sockets))
 
 
 class Dispatch:
@@ -70,7 +70,7 @@
         # Not a bounded pool: its spawn waits when it is full, and a decision under way must not
         # be interrupted.
         self._senders = Group()
-        self._sends_at_once = sends_at_once(sockets)
+        self._max_sends_in_flight = max_sends_in_flight(sockets)
         self._sending: set[MachineId] = set()
         self._stops_waiting: OrderedDict[MachineId, Machine] = OrderedDict()
         """Machines to be sent something when it is their turn: those with tasks to stop."""
@@ -79,7 +79,7 @@
         """The lines take turns: neither waits for the other's silent machines."""
         core_share = ctx.scope.share * ctx.settings.params.resources.core_share
         rate = EARLY_HEARTBEATS_PER_CORE * core_share
-        self._early_heartbeat_budget = Budget(rate, rate)
+        self._early_heartbeat_bucket = TokenBucket(rate, rate)
 
     def stop(self) -> None:
         """End the exchanges under way."""
@@ -259,7 +259,7 @@
             self._stops_waiting[machine.id] = machine
         elif machine.id not in self._stops_waiting:
             self._others_waiting[machine.id] = machine
-        if len(self._senders) < self._sends_at_once:
+        if len(self._senders) < self._max_sends_in_flight:
             self._senders.spawn(self._send_waiting)
 
     def _send_waiting(self) -> None:
@@ -335,7 +335,7 @@
         clears = bool(machine.ended) and bool(self._clears(machine))
         if not clears and not self._may_bump_token(machine, now):
             return
-        if not self._early_heartbeat_budget.take() and not urgent:
+        if not self._early_heartbeat_bucket.take() and not urgent:
             return
         if not clears:
             machine.token_bumped_at = now
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -16,8 +16,8 @@
 from ryewing.clients.peers import (
     Ack,
     CancelNotice,
-    ImageHint,
-    LeaderNotice,
+    ImageLocality,
+    LeaderAnnouncement,
     LoadQuery,
     Peers,
     Response,
@@ -52,7 +52,7 @@
 log = logging.getLogger("ryewing.process.node")
 WATCH_S = 8.0
 LOAD_EVERY_S = 1.0
-HINT_EVERY_S = 5.0
+IMAGE_LOCALITY_EVERY_S = 5.0
 """How often the leader tells the others which machines have which images."""
 ABSTAIN_S = 15.0
 """How long a node that resigned leaves leadership to the others."""
@@ -98,8 +98,8 @@
         self._abstain_until = MonotonicTime(0.0)
         self._load: ShardLoadAnswer | None = None
         self._load_queried_at = MonotonicTime(-1e9)
-        self._hint: ImageHint | None = None
-        self._hinted_at = MonotonicTime(-1e9)
+        self._image_locality: ImageLocality | None = None
+        self._image_locality_sent_at = MonotonicTime(-1e9)
         self._rng = random.Random()
 
     @property
@@ -128,7 +128,7 @@
                 gevent.sleep(0.2)
                 if self.leader is None:
                     return
-                self._share_images(self.leader)
+                self._share_image_locality(self.leader)
                 continue
             self.note(election)
             wait = self._abstain_until - monotonic_now()
@@ -180,7 +180,7 @@
             process.on_machine_types,
             self.scope,
         )
-        leader = Leader(term, process.on_final, self._hint)
+        leader = Leader(term, process.on_final, self._image_locality)
         log.info(
             "event=leading node=%s term=%d version=%s%s",
             process.name,
@@ -193,7 +193,7 @@
         self._leader_term = leadership.term
         self.on_elected(leader)
         leader.start()
-        process.peers.broadcast(LeaderNotice(process.name, int(leadership.term), self.shard))
+        process.peers.broadcast(LeaderAnnouncement(process.name, int(leadership.term), self.shard))
         return True
 
     def _log_suffix(self) -> str:
@@ -237,13 +237,16 @@
         """Tell whether this node resigned for a fault of its own and leaves the lease to others."""
         return self.leader is None and monotonic_now() < self._abstain_until
 
-    def _share_images(self, leader: Leader) -> None:
+    def _share_image_locality(self, leader: Leader) -> None:
         now = monotonic_now()
-        if now - self._hinted_at < HINT_EVERY_S or not leader.placer.gathered:
+        if (
+            now - self._image_locality_sent_at < IMAGE_LOCALITY_EVERY_S
+            or not leader.placer.gathered
+        ):
             return
-        self._hinted_at = now
-        self._hint = leader.image_hint()
-        self._process.peers.broadcast(self._hint)
+        self._image_locality_sent_at = now
+        self._image_locality = leader.image_locality()
+        self._process.peers.broadcast(self._image_locality)
 
     def foreign_leader(self) -> str | None:
         """Name the leader to whom workers should be sent, if it is another node."""
@@ -294,12 +297,12 @@
 
     # -- what other controllers tell --------------------------------------------------------
 
-    def on_image_hint(self, hint: ImageHint) -> None:
+    def on_image_locality(self, image_locality: ImageLocality) -> None:
         """Keep what the leader tells of images."""
-        if self._hint is None or hint.term >= self._hint.term:
-            self._hint = hint
+        if self._image_locality is None or image_locality.term >= self._image_locality.term:
+            self._image_locality = image_locality
 
-    def on_leader_notice(self, notice: LeaderNotice) -> None:
+    def on_leader_announcement(self, notice: LeaderAnnouncement) -> None:
         """Take note of a new leader, and give way to it."""
         if self.leader is not None and notice.term > self.leader.term:
             self.step_down("notice")
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -11,29 +11,29 @@
 
 from ryewing import __version__
 from ryewing.api.api import Api
-from ryewing.api.final_states import Finals
+from ryewing.api.final_states import FinalStateCache
 from ryewing.api.http_server import HttpServer
 from ryewing.clients.http_client import Reply
 from ryewing.clients.peers import (
     Ack,
     CancelNotice,
-    ImageHint,
-    JobState,
-    LeaderNotice,
+    ImageLocality,
+    JobStatusQuery,
+    JobStatusReply,
+    LeaderAnnouncement,
     LoadQuery,
-    MeshServer,
-    Peer,
+    PeerClient,
     Peers,
-    PollJob,
+    PeerServer,
     RelayRequest,
     RelayResponse,
     Request,
     Response,
-    requests_at_once,
+    max_requests_in_flight,
 )
 from ryewing.clients.store import Store, StoreUnavailableError
-from ryewing.clients.token_bucket import Budget
-from ryewing.clients.user_request_limiter import UserQuota
+from ryewing.clients.token_bucket import TokenBucket
+from ryewing.clients.user_request_limiter import UserRequestLimiter
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings, parse_address
 from ryewing.election.leadership import new_boot_id
@@ -52,7 +52,7 @@
 UNCONFIRMED_CANCELS_MAX = 10_000
 JOB_SHARDS_KEPT = 20_000
 """Jobs of which it is remembered to which shard they belong."""
-API_SHARE, MESH_SHARE = 0.75, 0.05
+API_SHARE, PEER_SHARE = 0.75, 0.05
 """Parts of the sockets for users, workers and health checks, and for other controllers. Every
 worker keeps a connection to the leader; what remains is for the store, the cloud and what is sent
 to workers directly (`workers.KEPT_SHARE`)."""
@@ -73,27 +73,29 @@
         scopes = self.division.scopes()
         self.store = Store(parse_address(settings.endpoints.state), limits, len(scopes))
         self.store.relay = self._relay
-        self.user_quota = UserQuota(limits.rps, len(settings.members) + 1, monotonic_now)
-        self.store.on_throttled = self.user_quota.shrink
+        self.user_limiter = UserRequestLimiter(limits.rps, len(settings.members) + 1, monotonic_now)
+        self.store.on_throttled = self.user_limiter.shrink
         self.teams = {team.name: team for team in settings.params.teams}
-        self.finals = Finals()
+        self.final_states = FinalStateCache()
         self._machine_types: dict[str, MachineType] = {}
         self._machine_types_read_at = MonotonicTime(-1e9)
         self._unconfirmed_cancels: OrderedDict[JobId, MonotonicTime] = OrderedDict()
         """Cancels found in the store that the leader may not know, and since when."""
         self._job_shards: OrderedDict[JobId, ShardName] = OrderedDict()
         sockets = settings.params.resources.fd_limit
-        mesh_sockets = max(8, int(MESH_SHARE * sockets))
-        at_once = requests_at_once(mesh_sockets, len(settings.members))
+        peer_sockets = max(8, int(PEER_SHARE * sockets))
+        max_in_flight = max_requests_in_flight(peer_sockets, len(settings.members))
         self.peers = Peers(
-            {m.node: Peer(parse_address(m.address), at_once) for m in settings.members}
+            {m.node: PeerClient(parse_address(m.address), max_in_flight) for m in settings.members}
         )
-        self._relay_budget = Budget(0.2 * limits.rps, 0.2 * limits.rps)
+        self._relay_bucket = TokenBucket(0.2 * limits.rps, 0.2 * limits.rps)
         self.electors = self._make_electors(self.store)
-        self._api = HttpServer(
+        self._http_server = HttpServer(
             parse_address(settings.api_addr), Api(self), max(16, int(API_SHARE * sockets))
         )
-        self._mesh = MeshServer(parse_address(settings.mesh_addr), self._on_mesh, mesh_sockets)
+        self._peer_server = PeerServer(
+            parse_address(settings.mesh_addr), self.handle_peer_request, peer_sockets
+        )
 
     def _make_electors(self, store: Store) -> dict[ShardName | None, LeaderElector]:
         parts = ProcessParts(
@@ -101,7 +103,7 @@
             self.policy,
             self.boot_id,
             self.peers,
-            self.finals.put,
+            self.final_states.put,
             self._set_machine_types,
         )
         return {
@@ -111,8 +113,8 @@
 
     def serve(self) -> None:
         """Run until the process is killed."""
-        self._api.start()
-        self._mesh.start()
+        self._http_server.start()
+        self._peer_server.start()
         log.info("event=serving node=%s boot=%s version=%s", self.name, self.boot_id, __version__)
         first, *others = self.electors.values()
         for elector in others:
@@ -151,7 +153,7 @@
         now = monotonic_now()
         if not self._machine_types and now - self._machine_types_read_at > 0.5:
             self._machine_types_read_at = now
-            self.user_quota.charge()
+            self.user_limiter.charge()
             try:
                 listed = catalogue.read(self.store)
             except StoreUnavailableError:
@@ -188,13 +190,13 @@
     def query_leader(self, job: JobId) -> JobStatus | None:
         """Ask the leader for a job's state; None if only the store can tell."""
         for name in self._leaders_to_ask(job):
-            answer = self.peers.request(name, PollJob(job))
-            if not isinstance(answer, JobState) or answer.status is None:
+            answer = self.peers.request(name, JobStatusQuery(job))
+            if not isinstance(answer, JobStatusReply) or answer.status is None:
                 continue
             if isinstance(answer.shard, str):
                 self.remember_shard(job, ShardName(answer.shard))
             if answer.status in (DONE, CANCELLED):
-                self.finals.put(job, answer.status)
+                self.final_states.put(job, answer.status)
             return JobStatus(job, answer.status, answer.done, answer.running)
         return None
 
@@ -225,7 +227,7 @@
         seen_at = self._unconfirmed_cancels.setdefault(job, monotonic_now())
         if len(self._unconfirmed_cancels) > UNCONFIRMED_CANCELS_MAX:
             self._unconfirmed_cancels.popitem(last=False)
-        self.user_quota.charge()
+        self.user_limiter.charge()
         # Where the holder is dead, or cut from here: one that can reach the store sees the cancel
         # in its watch; one that can't loses its authority. So once that time is over since the mark
         # was seen here, no request is needed. Counted by our own monotonic clock: by the time at
@@ -247,8 +249,9 @@
                 return Reply(answer.status, answer.body)
         return None
 
-    def _on_mesh(self, request: Request) -> Response:
-        if isinstance(request, PollJob):
+    def handle_peer_request(self, request: Request) -> Response:
+        """Answer another controller."""
+        if isinstance(request, JobStatusQuery):
             return self._on_poll(JobId(request.job))
         if isinstance(request, RelayRequest):
             return self._on_relay(request)
@@ -261,25 +264,25 @@
             return Ack(leader is not None and leader.take_cancel(JobId(request.job)))
         if isinstance(request, LoadQuery):
             return elector.on_load_query()
-        if isinstance(request, ImageHint):
-            elector.on_image_hint(request)
-        elif isinstance(request, LeaderNotice):
-            elector.on_leader_notice(request)
+        if isinstance(request, ImageLocality):
+            elector.on_image_locality(request)
+        elif isinstance(request, LeaderAnnouncement):
+            elector.on_leader_announcement(request)
         return Ack(True)
 
-    def _on_poll(self, job: JobId) -> JobState:
-        final = self.finals.get(job)
+    def _on_poll(self, job: JobId) -> JobStatusReply:
+        final = self.final_states.get(job)
         if final is not None:
-            return JobState(final)
+            return JobStatusReply(final)
         for elector in self.electors.values():
             state = elector.leader.poll(job) if elector.leader is not None else None
             if state is not None:
                 shard = elector.shard if elector.shard is not None else msgspec.UNSET
-                return JobState(state.status, state.done, state.running, shard)
-        return JobState()
+                return JobStatusReply(state.status, state.done, state.running, shard)
+        return JobStatusReply()
 
     def _on_relay(self, request: RelayRequest) -> RelayResponse:
-        if not self._relay_budget.take():
+        if not self._relay_bucket.take():
             return RelayResponse(0)
         try:
             reply = self.store.raw(request.method, request.path, request.body, 0.5)
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -9,15 +9,15 @@
 from gevent import socket
 
 from ryewing.clients.peers import (
-    REQUESTS_AT_ONCE,
+    MAX_REQUESTS_IN_FLIGHT,
     Ack,
-    JobState,
-    MeshServer,
-    Peer,
+    JobStatusQuery,
+    JobStatusReply,
+    PeerClient,
+    PeerServer,
     PeerUnavailableError,
-    PollJob,
     Request,
-    requests_at_once,
+    max_requests_in_flight,
 )
 from ryewing.config.settings import Address
 
@@ -35,33 +35,35 @@
     listener.close()
 
 
-def answering(address: Address = ("127.0.0.1", 0)) -> MeshServer:
+def answering(address: Address = ("127.0.0.1", 0)) -> PeerServer:
     """A controller that answers every poll."""
 
-    def handle(ask: Request) -> JobState | Ack:
-        return JobState("running") if isinstance(ask, PollJob) else Ack(True)
+    def handle(ask: Request) -> JobStatusReply | Ack:
+        return JobStatusReply("running") if isinstance(ask, JobStatusQuery) else Ack(True)
 
-    server = MeshServer(address, handle, 100)
+    server = PeerServer(address, handle, 100)
     server.start()
     return server
 
 
 def test_asks_to_a_silent_peer_are_bounded(silent: Address) -> None:
     """Each takes a socket and a greenlet until its deadline."""
-    peer = Peer(silent)
+    peer = PeerClient(silent)
     outcomes: list[str] = []
 
     def ask() -> None:
         try:
-            peer.request(PollJob("run-1"), PATIENT_S)
+            peer.request(JobStatusQuery("run-1"), PATIENT_S)
         except PeerUnavailableError as error:
             outcomes.append(str(error))
 
-    asks = [gevent.spawn(ask) for _ in range(10 * REQUESTS_AT_ONCE)]
+    asks = [gevent.spawn(ask) for _ in range(10 * MAX_REQUESTS_IN_FLIGHT)]
     for _ in range(5):
         gevent.sleep(0)
-    assert peer.in_flight == REQUESTS_AT_ONCE
-    assert len(outcomes) == 9 * REQUESTS_AT_ONCE  # told at once, so that the store can be read
+    assert peer.in_flight == MAX_REQUESTS_IN_FLIGHT
+    assert (
+        len(outcomes) == 9 * MAX_REQUESTS_IN_FLIGHT
+    )  # told at once, so that the store can be read
     gevent.killall(asks)
     assert peer.in_flight == 0
 
@@ -70,31 +72,31 @@
     """Every kept connection would cost one more deadline."""
     server = answering()
     address: Address = server._server.address
-    peer = Peer(address)
-    together = [gevent.spawn(peer.request, PollJob("run-1"), PATIENT_S) for _ in range(4)]
+    peer = PeerClient(address)
+    together = [gevent.spawn(peer.request, JobStatusQuery("run-1"), PATIENT_S) for _ in range(4)]
     gevent.joinall(together, raise_error=True)
     assert len(peer._idle) == 4
     server.stop()  # as a process that ends
     server = answering(address)
     with pytest.raises(PeerUnavailableError):
-        peer.request(PollJob("run-1"), PATIENT_S)
-    assert peer.request(PollJob("run-1"), PATIENT_S) == JobState("running")
+        peer.request(JobStatusQuery("run-1"), PATIENT_S)
+    assert peer.request(JobStatusQuery("run-1"), PATIENT_S) == JobStatusReply("running")
     server.stop()
 
 
 def test_a_deadline_leaves_nothing_behind(silent: Address) -> None:
-    peer = Peer(silent)
+    peer = PeerClient(silent)
     with pytest.raises(PeerUnavailableError):
-        peer.request(PollJob("run-1"), SHORT_WAIT_S)
+        peer.request(JobStatusQuery("run-1"), SHORT_WAIT_S)
     assert peer.in_flight == 0
     assert not peer._idle
 
 
 @pytest.mark.parametrize(
     ("sockets", "peers", "bound"),
-    [(40, 2, REQUESTS_AT_ONCE), (40, 0, 40), (285, 2, 142), (285, 6, 47)],
+    [(40, 2, MAX_REQUESTS_IN_FLIGHT), (40, 0, 40), (285, 2, 142), (285, 6, 47)],
 )
 def test_requests_to_a_peer_are_bounded_by_the_sockets(
     sockets: int, peers: int, bound: int
 ) -> None:
-    assert requests_at_once(sockets, peers) == bound
+    assert max_requests_in_flight(sockets, peers) == bound
--- a/tests/clients/test_token_bucket.py
+++ b/tests/clients/test_token_bucket.py
@@ -6,7 +6,7 @@
 from support.fakes import job_spec
 from support.placement_world import T0
 
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.config.settings import Team
 from ryewing.scheduling.capacity import Quota
 from ryewing.units import MonotonicTime
@@ -14,12 +14,12 @@
 
 def test_budget_refills_and_tells_the_wait() -> None:
     now = [T0]
-    budget = Budget(10.0, 5.0, lambda: now[0])
-    assert [budget.take() for _ in range(6)] == [True] * 5 + [False]
-    assert budget.wait_s(2.0) == pytest.approx(0.2)
+    bucket = TokenBucket(10.0, 5.0, lambda: now[0])
+    assert [bucket.take() for _ in range(6)] == [True] * 5 + [False]
+    assert bucket.wait_s(2.0) == pytest.approx(0.2)
     now[0] = MonotonicTime(T0 + 0.2)
-    assert budget.take(2.0)
-    assert not budget.take()
+    assert bucket.take(2.0)
+    assert not bucket.take()
 
 
 def test_team_without_limit_has_no_limit() -> None:
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -15,7 +15,7 @@
 
 from ryewing.clients.cloud import Cloud, CloudUnavailableError
 from ryewing.clients.http_client import Reply
-from ryewing.clients.peers import Ack, MeshServer, Peer, PeerUnavailableError, PollJob
+from ryewing.clients.peers import Ack, JobStatusQuery, PeerClient, PeerServer, PeerUnavailableError
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.config.settings import CloudLimits
 from ryewing.process.node import Node
@@ -198,7 +198,7 @@
 def test_a_frame_that_cannot_be_read_closes_the_connection(
     frame: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    server = MeshServer(("127.0.0.1", 0), lambda _request: Ack(True), 10)
+    server = PeerServer(("127.0.0.1", 0), lambda _request: Ack(True), 10)
     server.start()
     address = server._server.address
     with gevent.Timeout(PATIENT_S):
@@ -206,7 +206,7 @@
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
         assert connection.recv(1) == b""
         connection.close()
-        assert Peer(address).request(PollJob("run-1"), PATIENT_S) == Ack(True)
+        assert PeerClient(address).request(JobStatusQuery("run-1"), PATIENT_S) == Ack(True)
     server.stop()
     assert sum("event=unreadable-frame" in r.getMessage() for r in caplog.records) == 1
 
@@ -224,6 +224,6 @@
 
     answering = gevent.spawn(answer)
     with gevent.Timeout(PATIENT_S), pytest.raises(PeerUnavailableError):
-        Peer(listener.getsockname()).request(PollJob("run-1"), PATIENT_S)
+        PeerClient(listener.getsockname()).request(JobStatusQuery("run-1"), PATIENT_S)
     answering.kill()
     listener.close()
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -13,15 +13,15 @@
 from support.timed_workers import NAMES, STEP_S
 
 from ryewing.clients.store import ThrottledError
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.clients.user_request_limiter import (
     LEAST_FACTOR,
     QUESTION_RESERVE,
     RECOVERY_PER_S,
     USER_SHARE,
-    QuotaExceededError,
-    UserQuota,
+    RateLimitExceededError,
     UserRequest,
+    UserRequestLimiter,
 )
 from ryewing.units import MonotonicTime
 
@@ -39,14 +39,14 @@
         self.rps = cluster.settings.params.state.rps
         self.made: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
-        self._budget = Budget(self.rps, self.rps, cluster.clock)
+        self._bucket = TokenBucket(self.rps, self.rps, cluster.clock)
         self._cause = "service"
         check, http = StoreLink._check, Cluster._http
 
         def limited_check(link: StoreLink) -> None:
             check(link)
             self.made[self._cause] += 1
-            if not self._budget.take():
+            if not self._bucket.take():
                 self.refused[self._cause] += 1
                 if link.on_throttled is not None:
                     link.on_throttled()
@@ -116,7 +116,7 @@
 def test_the_share_shrinks_while_the_store_refuses_and_comes_back() -> None:
     """The store may take less than the settings say."""
     now = [T0]
-    quota = UserQuota(120.0, 3, lambda: now[0])
+    quota = UserRequestLimiter(120.0, 3, lambda: now[0])
     full = USER_SHARE * 120.0 / 3
 
     def admitted(seconds: float) -> int:
@@ -126,7 +126,7 @@
             now[0] = MonotonicTime(now[0] + 0.01)
             try:
                 quota.admit(UserRequest.QUESTION)
-            except QuotaExceededError:
+            except RateLimitExceededError:
                 continue
             quota.charge()
             count += 1
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize(("request_kind", "passes"), [("question", False), ("change", True)])
 def test_changes_pass_where_questions_have_used_their_part(request_kind: str, passes: bool) -> None:
-    quota = UserQuota(120.0, 3, lambda: T0)
+    quota = UserRequestLimiter(120.0, 3, lambda: T0)
     used = round((1.0 - QUESTION_RESERVE) * USER_SHARE * 120.0 / 3)
     for _ in range(used):
         quota.admit(UserRequest.QUESTION)
@@ -155,7 +155,7 @@
     if passes:
         quota.admit(UserRequest(request_kind))
     else:
-        with pytest.raises(QuotaExceededError) as refused:
+        with pytest.raises(RateLimitExceededError) as refused:
             quota.admit(UserRequest(request_kind))
         assert refused.value.retry_s > 0
 
@@ -164,7 +164,7 @@
     cluster.run(2.0)
     cluster.frozen.add(NAMES[0])
     cluster.submit(NAMES[1], "run-1")
-    quota = cluster.nodes[NAMES[1]].user_quota
+    quota = cluster.nodes[NAMES[1]].user_limiter
     for _ in range(500):
         quota.charge()  # a debt of half a minute
     headers: list[dict[str, str]] = []
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -12,7 +12,7 @@
 from ryewing.leader.autoscaler import REQUEST_PREFIX
 from ryewing.leader.leader import CUT, CUT_PROBE_S
 from ryewing.leader.state_writer import MACHINE_PREFIX
-from ryewing.leader.worker_commands import PROBE_AFTER, SENDS_AT_ONCE
+from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.state.pending_terminations import StopReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.messages import ListedMachine
@@ -191,7 +191,7 @@
     dispatch.probe(harness.clock())
     dispatch.probe(harness.clock())
     assert not asked  # nothing was done while the machines were gone through
-    assert len(dispatch._senders) == SENDS_AT_ONCE
+    assert len(dispatch._senders) == MAX_SENDS_IN_FLIGHT
     dispatch._senders.join()
     assert sorted(asked) == sorted(harness.leader.ctx.cluster.machines)  # one each, none twice
 
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -12,11 +12,11 @@
 
 from ryewing.clients.cloud import PAGE_MAX, RELEASE_MAX, RENT_MAX
 from ryewing.clients.machine_listing import LIST_SHARE
-from ryewing.clients.peers import FRAME_MAX, ImageHint
+from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.autoscaler import RELEASED_KEPT
 from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
-from ryewing.leader.worker_commands import SENDS_AT_ONCE, sends_at_once
+from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.state.machine import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
 from ryewing.wire.messages import Command, ListedMachine
@@ -235,10 +235,10 @@
     ]
     machines = {f"i-{number:06d}": list(range(number % 1900, number % 1900 + 40))
                 for number in range(fleet)}  # fmt: skip
-    assert len(msgspec.msgpack.encode(ImageHint(1, images, machines))) < FRAME_MAX / 2
+    assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
     assert fleet < RELEASED_KEPT
     assert fleet * 2 * 32 < ATTEMPTS_LEFT  # a task for each half of a processor
-    assert sends_at_once(large_settings().params.resources.fd_limit) > 5 * SENDS_AT_ONCE
+    assert max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * MAX_SENDS_IN_FLIGHT
     names = [f"i-{number:06d}" for number in range(fleet)]
     assert len(name_some(names)) < 12 * NAMES_TOLD
     assert name_some(names[:2]) == "i-000000,i-000001"
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -10,7 +10,7 @@
 from support.fakes import policy, settings
 from support.harness import LeaderHarness, starts, verbs
 
-from ryewing.clients.peers import ImageHint
+from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.election.leadership import campaign, read_election_record
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
@@ -425,10 +425,10 @@
     worker = harness.ready_worker()
     harness.begin(worker, task_count=1, image="img-7", image_gb=2.0)
     harness.exchange(worker)
-    told = harness.leader.image_hint()
+    told = harness.leader.image_locality()
     told.machines["i-000999"] = [0]  # gone meanwhile
     told.machines[worker.name].append(5)  # a place that there is not
-    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageHint)
+    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
     leader = harness.new_leader(6, again)
     assert leader.ctx.cluster.machines[MachineId(worker.name)].warmth("img-7") == WARM
     assert leader.ctx.cluster.machines[MachineId(worker.name)].warmth("img-8") == COLD
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -11,14 +11,14 @@
 from support.harness import LeaderHarness
 
 from ryewing import scheduling as placement
-from ryewing.api.api import STORE_READS_AT_ONCE, SUBMITS_AT_ONCE
+from ryewing.api.api import MAX_STORE_READS_IN_FLIGHT, MAX_SUBMISSIONS_IN_FLIGHT
 from ryewing.clients.cloud import RELEASE_MAX
-from ryewing.clients.peers import ImageHint
+from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
 from ryewing.leader.state_writer import MACHINE_PREFIX
-from ryewing.leader.worker_commands import sends_at_once
-from ryewing.process.node import API_SHARE, MESH_SHARE
+from ryewing.leader.worker_commands import max_sends_in_flight
+from ryewing.process.node import API_SHARE, PEER_SHARE
 from ryewing.scheduling.capacity import MachineCapacity, Quota
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
@@ -179,8 +179,8 @@
     for n, machine in enumerate(fleet.cluster.machines.values()):
         for k in range(8):
             machine.record_image(f"some-longer-image-name-{(n + k) % 40:02d}", 1.0)
-    hint = msgspec.msgpack.encode(ImageHint(1, *fleet.cluster.images()))
-    assert len(hint) <= 2000 + 32 * size  # names once, then a byte for each image of a machine
+    encoded = msgspec.msgpack.encode(ImageLocality(1, *fleet.cluster.images()))
+    assert len(encoded) <= 2000 + 32 * size  # names once, then a byte for each image of a machine
 
 
 def test_sockets_are_shared_out_by_need() -> None:
@@ -190,8 +190,8 @@
     for n in range(sockets):
         workers._client(f"10.0.{n // 250}.{n % 250 + 1}:9000")
     kept = len(workers._clients)
-    store = 6 + 2 + SUBMITS_AT_ONCE + STORE_READS_AT_ONCE
-    others = int(MESH_SHARE * sockets) + kept + sends_at_once(sockets) + store
+    store = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
+    others = int(PEER_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
     assert int(API_SHARE * sockets) >= 1.2 * 1100
     assert int(API_SHARE * sockets) + others <= sockets
 
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -116,11 +116,11 @@
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
     rates = {
-        "writes": (leader.writer._budget.rate, 0.65 * params.state.write_rps),
-        "cloud": (renter.cloud.budget.rate, 0.8 * params.cloud.rps),
-        "list": (leader.renter.listing._budget.rate, LIST_SHARE * params.cloud.rps),
+        "writes": (leader.writer._bucket.rate, 0.65 * params.state.write_rps),
+        "cloud": (renter.cloud.bucket.rate, 0.8 * params.cloud.rps),
+        "list": (leader.renter.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
-            leader.dispatch._early_heartbeat_budget.rate,
+            leader.dispatch._early_heartbeat_bucket.rate,
             60.0 * params.resources.core_share,
         ),
     }
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -9,7 +9,7 @@
 from support.fakes import FakeWorker
 from support.harness import LeaderHarness
 
-from ryewing.clients.peers import ImageHint
+from ryewing.clients.peers import ImageLocality
 from ryewing.state.failure_detector import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.jobs import Job
 from ryewing.state.machine import RAN_WELL_S
@@ -206,11 +206,11 @@
     sound.finish(0)
     harness.leader.ctx.job_table.touch(sound)
     harness.write()
-    told = harness.leader.image_hint()
+    told = harness.leader.image_locality()
     assert told.failing == {job.id: BACKOFF_MIN_S}
     told.failing[sound.id] = 60.0  # it has finished something since
     told.failing["run-999"] = 60.0  # gone meanwhile
-    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageHint)
+    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
     leader = harness.new_leader(6, again)
     assert not leader.ctx.job_table.jobs[sound.id].backoff_s
     harness.ready(*workers)
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from ryewing.api.api import Api
-from ryewing.api.final_states import Finals
+from ryewing.api.final_states import FinalStateCache
 from ryewing.clients.store import Put
-from ryewing.clients.user_request_limiter import UserQuota
+from ryewing.clients.user_request_limiter import UserRequestLimiter
 from ryewing.state.jobs import JobRecord, final_key, live_key
 from ryewing.units import JobId, ShardName, Zone
 from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus
@@ -38,9 +38,9 @@
 
     def __init__(self) -> None:
         self.store = FakeStore()
-        self.user_quota = UserQuota(UNBOUNDED_RPS, 1)
+        self.user_limiter = UserRequestLimiter(UNBOUNDED_RPS, 1)
         self.policy = policy()
-        self.finals = Finals(kept=3)
+        self.final_states = FinalStateCache(kept=3)
         self.leader: FakeLeader | None = None
         self.teams = {team.name: team for team in settings().params.teams}
         self.machine_types = {"c32": CPU, "g4": GPU}
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -19,7 +19,7 @@
 from ryewing.clients.cloud import CloudUnavailableError
 from ryewing.clients.peers import PeerUnavailableError, Request, Response
 from ryewing.clients.store import Put, StoreUnavailableError
-from ryewing.clients.token_bucket import Budget
+from ryewing.clients.token_bucket import TokenBucket
 from ryewing.config.policy import defaults
 from ryewing.config.settings import Settings
 from ryewing.election.leadership import may_campaign, read_election_record
@@ -57,7 +57,7 @@
         if self._there in cluster.frozen or self._here in cluster.frozen:
             raise PeerUnavailableError("deadline")
         sent = msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=Request)
-        answer = cluster.nodes[self._there]._on_mesh(sent)
+        answer = cluster.nodes[self._there].handle_peer_request(sent)
         interrupt = cluster.before_peer_answer.pop(self._there, None)
         if interrupt is not None:
             interrupt()
@@ -216,16 +216,17 @@
         leader = elector.leader
         if leader is not None:
             leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
-            leader.writer._budget = self._budget(leader.writer._budget)
-            early = self._budget(leader.dispatch._early_heartbeat_budget)
-            leader.dispatch._early_heartbeat_budget = early
+            leader.writer._bucket = self._bucket(leader.writer._bucket)
+            early = self._bucket(leader.dispatch._early_heartbeat_bucket)
+            leader.dispatch._early_heartbeat_bucket = early
             leader.placer._rng = random.Random(int(leader.term))
             leader.dispatch.workers = DirectLink(self, node.name)  # type: ignore[assignment]
             leader.dispatch.send_soon = leader.dispatch.send  # type: ignore[method-assign]
 
-    def _budget(self, budget: Budget) -> Budget:
-        """Give a budget that goes by the clock of the test: one verdict whatever the machine."""
-        return Budget(budget.rate, budget.burst, self.clock)
+    def _bucket(self, bucket: TokenBucket) -> TokenBucket:
+        """Give a token bucket that goes by the clock of the test: one verdict whatever the
+        machine."""
+        return TokenBucket(bucket.rate, bucket.burst, self.clock)
 
     def _release(self, machines: list[MachineId]) -> None:
         if self.cloud_down:
@@ -376,8 +377,8 @@
                 if job.shortfall <= 0 or job.backoff_s:
                     continue
                 # A gang waits for all it needs of the limit, an array for one task's part.
-                at_once = job.shortfall if job.gang else 1
-                if limit and used[need.team] + at_once * need.gpus > limit:
+                max_in_flight = job.shortfall if job.gang else 1
+                if limit and used[need.team] + max_in_flight * need.gpus > limit:
                     continue
                 found += [f"{job.id} beside {name}" for name in self._idle_for(leader, need)]
         return found
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ryewing.clients.peers import ImageHint
+from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put
 from ryewing.config.settings import NextLimits
 from ryewing.election.leadership import TERM_KEY, LeaseValidity
@@ -64,7 +64,7 @@
         self.scope = WHOLE_FLEET
         self.leader = self.new_leader(5)
 
-    def new_leader(self, term: int, hint: ImageHint | None = None) -> Leader:
+    def new_leader(self, term: int, image_locality: ImageLocality | None = None) -> Leader:
         lease_validity = LeaseValidity(3.0, policy().hold_s)
         lease_validity.confirm_renewal(self.clock())
         won = leadership(term, lease_validity)
@@ -79,7 +79,7 @@
             lambda _machine_types: None,
             self.scope,
         )
-        leader = Leader(ctx, self.finals.__setitem__, hint)
+        leader = Leader(ctx, self.finals.__setitem__, image_locality)
         leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
         leader.dispatch.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
         leader.ctx.set_machine_types(self.cloud.machine_types())
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -13,7 +13,7 @@
 from support.fakes import CPU, GPU, job_spec
 from support.harness import LeaderHarness
 
-from ryewing.clients import peers as mesh
+from ryewing.clients import peers
 from ryewing.clients.store import Put
 from ryewing.election.leadership import LeaseHolder, TermRecord
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
@@ -97,35 +97,35 @@
 
 
 FRAMES: list[tuple[bytes, Any]] = [
-    (b"\x82\xa4type\xa4poll\xa3job\xa5run-1", mesh.PollJob("run-1")),
-    (b"\x82\xa4type\xa6cancel\xa3job\xa5run-1", mesh.CancelNotice("run-1")),
-    (b"\x83\xa4type\xa6leader\xa4node\xa3n-1\xa4term\x07", mesh.LeaderNotice("n-1", 7)),
-    (b"\x81\xa4type\xa4load", mesh.LoadQuery()),
+    (b"\x82\xa4type\xa4poll\xa3job\xa5run-1", peers.JobStatusQuery("run-1")),
+    (b"\x82\xa4type\xa6cancel\xa3job\xa5run-1", peers.CancelNotice("run-1")),
+    (b"\x83\xa4type\xa6leader\xa4node\xa3n-1\xa4term\x07", peers.LeaderAnnouncement("n-1", 7)),
+    (b"\x81\xa4type\xa4load", peers.LoadQuery()),
     (
         b"\x84\xa4type\xa6images\xa4term\x07\xa6images\x91\x92\xa5img-1\xcb?\xe0\x00\x00\x00\x00"
         b"\x00\x00\xa8machines\x81\xa8i-000001\x91\x00",
-        mesh.ImageHint(7, [("img-1", 0.5)], {"i-000001": [0]}),
+        peers.ImageLocality(7, [("img-1", 0.5)], {"i-000001": [0]}),
     ),
     (
         b"\x84\xa4type\xa5relay\xa6method\xa4POST\xa4path\xa4/txn\xa4body\xc4\x02{}",
-        mesh.RelayRequest("POST", "/txn", b"{}"),
+        peers.RelayRequest("POST", "/txn", b"{}"),
     ),
     (
         b"\x84\xa4type\xa5state\xa6status\xa7running\xa4done\x01\xa7running\x03",
-        mesh.JobState("running", 1, 3),
+        peers.JobStatusReply("running", 1, 3),
     ),
-    (b"\x84\xa4type\xa5state\xa6status\xc0\xa4done\xc0\xa7running\xc0", mesh.JobState()),
-    (b"\x82\xa4type\xa3ack\xa2ok\xc3", mesh.Ack(True)),
+    (b"\x84\xa4type\xa5state\xa6status\xc0\xa4done\xc0\xa7running\xc0", peers.JobStatusReply()),
+    (b"\x82\xa4type\xa3ack\xa2ok\xc3", peers.Ack(True)),
     (
         b"\x83\xa4type\xa7relayed\xa6status\xcc\xc8\xa4body\xc4\x02{}",
-        mesh.RelayResponse(200, b"{}"),
+        peers.RelayResponse(200, b"{}"),
     ),
 ]
 
 
 @pytest.mark.parametrize(("frame", "said"), FRAMES)
 def test_mesh_frames_of_the_earlier_version_are_understood(frame: bytes, said: Any) -> None:
-    kind = Union[mesh.Request, mesh.Response]
+    kind = Union[peers.Request, peers.Response]
     assert msgspec.msgpack.decode(frame, type=kind) == said
 
 
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -131,8 +131,10 @@
             cluster.machines.values(), leader.placer.unplaced, leader.ctx.policy, clock()
         ),
     )
-    sample.time_ms("hint_ms", lambda: msgspec.msgpack.encode(leader.image_hint()))
-    sample.figures["hint_kb"] = round(len(msgspec.msgpack.encode(leader.image_hint())) / 1024, 1)
+    sample.time_ms("image_locality_ms", lambda: msgspec.msgpack.encode(leader.image_locality()))
+    sample.figures["image_locality_kb"] = round(
+        len(msgspec.msgpack.encode(leader.image_locality())) / 1024, 1
+    )
     term = int(leader.term)
     sample.time_ms("take_over_ms", lambda: harness.new_leader(term + 1), 1)
     sample.figures["peak_mb"] = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
