--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -23,9 +23,9 @@
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.config.settings import parse_address
 from ryewing.leader.scheduler import Placer
-from ryewing.leader.state_writer import Writer
+from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import Dispatch
+from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.machine import Machine
 from ryewing.units import MachineId, MonotonicTime, Zone, monotonic_now
@@ -51,15 +51,19 @@
     """Owns the rental requests, and what the cloud was seen not to have."""
 
     def __init__(
-        self, ctx: TermContext, writer: Writer, dispatch: Dispatch, placer: Placer
+        self,
+        term: TermContext,
+        writer: StateWriter,
+        worker_commands: WorkerCommands,
+        placer: Placer,
     ) -> None:
-        self.ctx = ctx
+        self.term = term
         self.writer = writer
-        self.dispatch = dispatch
+        self.worker_commands = worker_commands
         self.placer = placer
-        limits = ctx.settings.params.cloud
-        limits = msgspec.structs.replace(limits, rps=ctx.scope.share * limits.rps)
-        self.cloud = Cloud(parse_address(ctx.settings.endpoints.cloud), limits)
+        limits = term.settings.params.cloud
+        limits = msgspec.structs.replace(limits, rps=term.scope.share * limits.rps)
+        self.cloud = Cloud(parse_address(term.settings.endpoints.cloud), limits)
         self.listing = MachineListing(self.cloud, limits.rps)
         self.capacity_backoff = fleet.CapacityBackoff()
         self.pending_requests: dict[str, RentalRequest] = {}
@@ -72,7 +76,7 @@
 
     def load_types(self) -> list[MachineType]:
         """Read the machine types that an earlier leader left in the store."""
-        machine_types = catalogue.read(self.ctx.store)
+        machine_types = catalogue.read(self.term.store)
         self._types_kept = frozenset(machine_type.name for machine_type in machine_types)
         return machine_types
 
@@ -80,7 +84,7 @@
         """Bring the fleet to what is wanted."""
         while True:
             gevent.sleep(0.5)
-            if not self.ctx.may_begin():
+            if not self.term.may_begin():
                 continue
             try:
                 self._fleet_step()
@@ -101,13 +105,13 @@
             self.read_list()
         for request in list(self.pending_requests.values()):
             self.send_request(request)
-        if not self.placer.gathered or not self.ctx.machine_types:
+        if not self.placer.gathered or not self.term.machine_types:
             return
         self._retire()
         returned = fleet.to_return(
-            self.ctx.cluster.machines.values(),
+            self.term.cluster.machines.values(),
             self.placer.unplaced,
-            self.ctx.policy,
+            self.term.policy,
             monotonic_now(),
         )
         if returned:
@@ -116,15 +120,15 @@
 
     def _retire(self) -> None:
         """Bring the machines that take no more work to what the GPUs wanted ask for."""
-        machines = self.ctx.cluster.machines.values()
+        machines = self.term.cluster.machines.values()
         wanted = fleet.to_retire(
-            machines, self.placer.gpus_wanted, self.placer.drain_s(), self.ctx.policy
+            machines, self.placer.gpus_wanted, self.placer.drain_s(), self.term.policy
         )
         budget = max(1, int(RETIRE_SHARE * len(machines)))
         for machine in machines:
             if machine.retiring and machine.id not in wanted:
                 machine.retiring = False
-                self.ctx.place.set()
+                self.term.scheduling_needed.set()
             elif not machine.retiring and machine.id in wanted and budget > 0:
                 machine.retiring = True
                 machine.retiring_since = monotonic_now()
@@ -136,12 +140,12 @@
         When many fall silent at once the fault may be on our side, and then each is only given
         up once its lease is over and nothing on it can be lost.
         """
-        times = self.ctx.settings.params.workers
+        times = self.term.settings.params.workers
         never_booted: list[Machine] = []
         silent: list[Machine] = []
         unacknowledging: list[Machine] = []
         late = known = 0
-        for machine in self.ctx.cluster.machines.values():
+        for machine in self.term.cluster.machines.values():
             since = self._heard_since(machine)
             if since is None:
                 if now - machine.rented_at > self._boot_patience_s(machine):
@@ -171,10 +175,10 @@
         """Tell when a machine was last heard; None if it may never have booted."""
         if machine.heard_at is not None:
             return machine.heard_at
-        return self.ctx.began if machine.recorded else None  # heard in an earlier term
+        return self.term.began_at if machine.recorded else None  # heard in an earlier term
 
     def _boot_patience_s(self, machine: Machine) -> float:
-        return max(self.ctx.policy.boot_patience * machine.machine_type.boot_s, BOOT_LEAST_S)
+        return max(self.term.policy.boot_patience * machine.machine_type.boot_s, BOOT_LEAST_S)
 
     def _silence_s(self, machine: Machine) -> float:
         """Tell how long a machine is waited for.
@@ -182,9 +186,9 @@
         One that has answered neither the handshake nor reported since the take-over blocks
         whatever it may hold, so it is waited for no longer than the gathering.
         """
-        patience_s = self.ctx.policy.silence_s
+        patience_s = self.term.policy.silence_s
         if machine.heard_at is None:
-            return min(patience_s, self.ctx.policy.gather_s + UNHEARD_EXTRA_S)
+            return min(patience_s, self.term.policy.gather_s + UNHEARD_EXTRA_S)
         return patience_s
 
     def release(self, chosen: list[tuple[Machine, str]]) -> None:
@@ -193,7 +197,7 @@
         As many as one request takes: what was not in it is not gone.
         """
         chosen = chosen[:RELEASE_MAX]
-        if not self.ctx.may_begin():
+        if not self.term.may_begin():
             # Requests were made, or the process stood still, since this was decided: a successor
             # may use these machines by now.
             return
@@ -216,25 +220,27 @@
                 why,
                 len(machine.assignments),
             )
-            self.ctx.cluster.remove(machine, now)
+            self.term.cluster.remove(machine, now)
             if machine.address:
-                self.dispatch.workers.forget(machine.address)
+                self.worker_commands.workers.forget(machine.address)
             self.writer.to_record.discard(machine.id)
-            self.ctx.released[machine.id] = None
-            if len(self.ctx.released) > RELEASED_KEPT:
-                self.ctx.released.popitem(last=False)
+            self.term.released[machine.id] = None
+            if len(self.term.released) > RELEASED_KEPT:
+                self.term.released.popitem(last=False)
             self.writer.machines.drop(machine.id)
-        self.ctx.place.set()
-        self.ctx.write.set()
+        self.term.scheduling_needed.set()
+        self.term.writes_needed.set()
 
     def _read_machine_types(self) -> None:
         machine_types = self.cloud.machine_types()
         self._machine_types_at = monotonic_now()
-        self.ctx.set_machine_types(machine_types)
+        self.term.set_machine_types(machine_types)
         kept = frozenset(machine_type.name for machine_type in machine_types)
         if kept != self._types_kept:
             # Noted only once it is written: other nodes take no job before they know the types.
-            catalogue.write(self.ctx.store, self.ctx.leadership.fencing_conditions(), machine_types)
+            catalogue.write(
+                self.term.store, self.term.leadership.fencing_conditions(), machine_types
+            )
             self._types_kept = kept
 
     def read_list(self) -> None:
@@ -244,13 +250,13 @@
         page = self.listing.read_page(now)
         for listed in page.machines:
             name = MachineId(listed.id)
-            if name in self.ctx.released or not self.ctx.scope.covers(listed.zone):
+            if name in self.term.released or not self.term.scope.covers(listed.zone):
                 continue  # gone, or another shard's, whose leader alone counts and returns it
-            machine = self.ctx.cluster.machines.get(name)
+            machine = self.term.cluster.machines.get(name)
             if machine is None:
-                machine = self.ctx.cluster.add(
+                machine = self.term.cluster.add(
                     name,
-                    self.ctx.machine_type(listed.machine_type),
+                    self.term.machine_type(listed.machine_type),
                     Zone(listed.zone),
                     listed.spot,
                     now,
@@ -261,7 +267,7 @@
             if listed.address and not machine.address:
                 machine.address = listed.address
                 if machine.recorded and not machine.handshaken:
-                    self.dispatch.send_soon(machine)
+                    self.worker_commands.schedule_direct_message(machine)
             if listed.status == "failed":
                 failed.append((machine, "failed"))
         if failed:
@@ -277,7 +283,7 @@
         before it, so two have to agree.
         """
         for name in list(self._only_listed):
-            machine = self.ctx.cluster.machines.get(name)
+            machine = self.term.cluster.machines.get(name)
             if machine is None or machine.heard_at is not None or machine.recorded:
                 del self._only_listed[name]
             elif name in found:
@@ -286,14 +292,14 @@
                 self._only_listed[name] += 1
                 if self._only_listed[name] >= UNLISTED_TWICE:
                     del self._only_listed[name]
-                    self.ctx.cluster.remove(machine, monotonic_now())
+                    self.term.cluster.remove(machine, monotonic_now())
 
     def rent(self) -> None:
         """Ask for what is short, beyond what is booting."""
         now = monotonic_now()
         booting = [
             m
-            for m in self.ctx.cluster.machines.values()
+            for m in self.term.cluster.machines.values()
             if not m.leaving
             and not m.assignments
             and not m.quarantined
@@ -305,15 +311,15 @@
         for plan in fleet.plan_rentals(
             self.placer.unplaced,
             booting,
-            self.ctx.machine_types,
+            self.term.machine_types,
             self.capacity_backoff,
-            self.ctx.policy,
+            self.term.policy,
             now,
         )[:2]:
             sku, zone, spot = plan.options[0]
             self._requests += 1
             request = RentalRequest(
-                self.ctx.scope.request_name(self.ctx.term, self._requests),
+                self.term.scope.request_name(self.term.number, self._requests),
                 sku,
                 zone,
                 spot,
@@ -322,18 +328,18 @@
             # The request is recorded first: a successor repeats it under the same name and learns
             # what was rented, instead of renting again.
             self.pending_requests[request.id] = request
-            result = self.ctx.store.txn(
-                self.ctx.leadership.fencing_conditions(),
+            result = self.term.store.txn(
+                self.term.leadership.fencing_conditions(),
                 [Put(REQUEST_PREFIX + request.id, request)],
             )
             if not result.ok:
-                self.ctx.lose("fenced")
+                self.term.end("fenced")
                 return
             self.send_request(request)
 
     def send_request(self, request: RentalRequest) -> None:
         """Ask the cloud for one recorded request, as often as it takes to get an answer."""
-        if not self.ctx.may_begin():
+        if not self.term.may_begin():
             return
         option = (request.machine_type, request.zone, request.spot)
         try:
@@ -356,9 +362,9 @@
                 request.id,
             )
         for name in names:
-            machine = self.ctx.cluster.add(
+            machine = self.term.cluster.add(
                 name,
-                self.ctx.machine_type(request.machine_type),
+                self.term.machine_type(request.machine_type),
                 Zone(request.zone),
                 request.spot,
                 now,
@@ -369,4 +375,4 @@
         # The records of the machines are wanted before the request is forgotten: writes are made
         # in this order.
         self.writer.to_forget[REQUEST_PREFIX + request.id] = None
-        self.ctx.write.set()
+        self.term.writes_needed.set()
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -17,14 +17,14 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import LeaseLostError, StoreUnavailableError
 from ryewing.leader.autoscaler import Renter
-from ryewing.leader.job_watcher import Intake
+from ryewing.leader.job_watcher import JobWatcher
 from ryewing.leader.recovery import Recovery
 from ryewing.leader.scheduler import Placer
-from ryewing.leader.state_writer import Writer
+from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import PROBE_AFTER, Dispatch
+from ryewing.leader.worker_commands import PROBE_AFTER, WorkerCommands
 from ryewing.state.machine import TaskPhase
-from ryewing.units import JobId, KeyVersion, MonotonicTime, TermNumber, monotonic_now
+from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
 from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobStatus
 
 log = logging.getLogger("ryewing.leader.leader")
@@ -48,70 +48,65 @@
 
     def __init__(
         self,
-        ctx: TermContext,
+        term: TermContext,
         on_final: Callable[[JobId, str], None],
         image_locality: ImageLocality | None = None,
     ) -> None:
         self._image_locality = image_locality
-        self.ctx = ctx
-        self.writer = Writer(self.ctx, on_final, self._on_record)
-        self.dispatch = Dispatch(self.ctx, self.writer)
-        self.intake = Intake(self.ctx, self.writer, self.dispatch)
-        self.placer = Placer(self.ctx, self.dispatch)
-        self.renter = Renter(self.ctx, self.writer, self.dispatch, self.placer)
+        self.term = term
+        self.writer = StateWriter(self.term, on_final, self._on_record)
+        self.worker_commands = WorkerCommands(self.term, self.writer)
+        self.job_watcher = JobWatcher(self.term, self.writer, self.worker_commands)
+        self.placer = Placer(self.term, self.worker_commands)
+        self.renter = Renter(self.term, self.writer, self.worker_commands, self.placer)
         self._greenlets: list[gevent.Greenlet] = []
         self.extra_loops: list[Callable[[], None]] = []
         """Run for as long as the term lasts, besides its own."""
         self._state_logged_at = MonotonicTime(-1e9)
-        self._tended_at = self._running_since = self.ctx.began
-
-    @property
-    def term(self) -> TermNumber:
-        """The term's number."""
-        return self.ctx.term
+        self._maintained_at = self._running_since = self.term.began_at
 
     # -- what other parts of the process ask ------------------------------------------------
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
-        return self.dispatch.on_heartbeat(heartbeat)
+        return self.worker_commands.on_heartbeat(heartbeat)
 
     def poll(self, job_id: JobId) -> JobStatus | None:
         """Tell a job's state, or None if only the store can tell."""
-        return self.intake.poll(job_id)
+        return self.job_watcher.poll(job_id)
 
-    def take_cancel(self, job_id: JobId) -> bool:
+    def apply_cancel(self, job_id: JobId) -> bool:
         """A cancel is in the store; True once no older state can be told from here."""
-        return self.intake.take_cancel(job_id)
+        return self.job_watcher.apply_cancel(job_id)
 
     def full(self) -> bool:
         """Tell whether more jobs would endanger the memory of this process."""
-        return self.intake.full()
+        return self.job_watcher.full()
 
     def image_locality(self) -> ImageLocality:
         """Tell what a successor should know of the machines' images."""
         failing: dict[str, float] = {
-            job.id: job.backoff_s for job in self.ctx.job_table if job.backoff_s
+            job.id: job.backoff_s for job in self.term.job_table if job.backoff_s
         }
-        return ImageLocality(int(self.term), *self.ctx.cluster.images(), failing)
+        return ImageLocality(int(self.term.number), *self.term.cluster.images(), failing)
 
     def drained(self) -> bool:
         """Tell whether nothing is under way whose outcome a successor would have to find out.
 
         What is not written yet does not count: workers keep their finishes until they are.
         """
-        if not self.ctx.loaded.is_set():
+        if not self.term.state_loaded.is_set():
             return True
         return not self.writer.in_flight() and not any(
             machine.leaving
             or any(
                 assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()
             )
-            for machine in self.ctx.cluster.machines.values()
+            for machine in self.term.cluster.machines.values()
         )
 
     def _on_record(self, key: str, data: msgspec.Raw, key_version: KeyVersion) -> None:
-        self.intake.job_set(key, data, key_version)
+        self.job_watcher.apply_record(key, data, key_version)
 
     # -- life -------------------------------------------------------------------------------
 
@@ -122,11 +117,11 @@
 
     def stop(self) -> None:
         """End everything that belongs to the term."""
-        self.ctx.stopped = True
+        self.term.stopped = True
         current = gevent.getcurrent()
         others = [g for g in self._greenlets if g is not current]
         gevent.killall(others, block=False)
-        self.dispatch.stop()
+        self.worker_commands.stop()
 
     def _spawn(self, loop: Callable[[], None]) -> None:
         self._greenlets.append(gevent.spawn(self._guard, loop))
@@ -139,12 +134,12 @@
             pass
         except Exception:
             log.exception("event=loop-failed loop=%s", loop.__name__)
-            self.ctx.lose("fault")
+            self.term.end("fault")
 
     def _renew_loop(self) -> None:
-        lease_s = self.ctx.policy.store_lease_s
+        lease_s = self.term.policy.store_lease_s
         gap = lease_s / 4
-        while not self.ctx.stopped:
+        while not self.term.stopped:
             gevent.sleep(gap)
             gap = lease_s / (4 if self.renew_once() else 8)
 
@@ -152,20 +147,22 @@
         """Ask the store to renew the lease; False if it did not answer."""
         sent_at = monotonic_now()
         try:
-            self.ctx.store.renew(self.ctx.leadership.lease, self.ctx.policy.store_lease_s / 3)
+            self.term.store.renew(self.term.leadership.lease, self.term.policy.store_lease_s / 3)
         except LeaseLostError:
-            self.ctx.lose("lease")
+            self.term.end("lease")
             return True
         except StoreUnavailableError as error:
             log.debug("event=renew-failed error=%s", error)
             return False
-        if self.ctx.lease_validity.lease_expired(sent_at):
-            log.info("event=lease-confirmed-again term=%d", self.ctx.term)
-            self.ctx.place.set()
-            self.ctx.write.set()
-        self.ctx.lease_validity.confirm_renewal(sent_at)
-        since = max(self.ctx.lease_validity.jobs_known_at or self.ctx.began, self.ctx.began)
-        if self.ctx.settings.members and sent_at - since > UNFOLLOWED_S:
+        if self.term.lease_validity.lease_expired(sent_at):
+            log.info("event=lease-confirmed-again term=%d", self.term.number)
+            self.term.scheduling_needed.set()
+            self.term.writes_needed.set()
+        self.term.lease_validity.confirm_renewal(sent_at)
+        since = max(
+            self.term.lease_validity.jobs_known_at or self.term.began_at, self.term.began_at
+        )
+        if self.term.settings.members and sent_at - since > UNFOLLOWED_S:
             # It keeps the lease and may do nothing with it: another node may be able to read.
             self.resign(UNFOLLOWED)
         return True
@@ -173,9 +170,9 @@
     def resign(self, why: str) -> None:
         """Leave leadership to another node. LeaseValidity ends before the lease does: the end of
         that may be made known late."""
-        self.ctx.lose(why)
+        self.term.end(why)
         try:
-            self.ctx.store.resign(self.ctx.leadership.lease)
+            self.term.store.resign(self.term.leadership.lease)
         except StoreUnavailableError as error:
             log.debug("event=resign-failed error=%s", error)
 
@@ -185,57 +182,57 @@
                 self._load()
                 break
             except StoreUnavailableError as error:
-                log.info("event=load-failed term=%d error=%s", self.ctx.term, error)
+                log.info("event=load-failed term=%d error=%s", self.term.number, error)
                 gevent.sleep(0.2)
         log.info(
             "event=loaded term=%d jobs=%d machines=%d hires=%d took_s=%.3f",
-            self.ctx.term,
-            len(self.ctx.job_table.jobs),
-            len(self.ctx.cluster.machines),
+            self.term.number,
+            len(self.term.job_table.jobs),
+            len(self.term.cluster.machines),
             len(self.renter.pending_requests),
-            monotonic_now() - self.ctx.began,
+            monotonic_now() - self.term.began_at,
         )
-        self.ctx.loaded.set()
-        for machine in list(self.ctx.cluster.machines.values()):
+        self.term.state_loaded.set()
+        for machine in list(self.term.cluster.machines.values()):
             if machine.address:
-                self.dispatch.send_soon(machine)
-        self._spawn(self.intake.watch_loop)
+                self.worker_commands.schedule_direct_message(machine)
+        self._spawn(self.job_watcher.watch_loop)
         self._spawn(self.writer.write_loop)
         self._spawn(self.placer.place_loop)
-        self._spawn(self._tend_loop)
+        self._spawn(self._maintenance_loop)
         self._spawn(self.renter.fleet_loop)
         for loop in self.extra_loops:
             self._spawn(loop)
 
     def _load(self) -> None:
-        Recovery(self.ctx, self.intake, self.writer, self.renter, self._image_locality).load()
+        Recovery(self.term, self.job_watcher, self.writer, self.renter, self._image_locality).load()
 
-    def _tend_loop(self) -> None:
+    def _maintenance_loop(self) -> None:
         """Leases that end, and stops that must be sent again."""
-        while not self.ctx.stopped:
+        while not self.term.stopped:
             gevent.sleep(0.25)
-            self.tend_once()
+            self.run_maintenance()
 
-    def tend_once(self) -> None:
+    def run_maintenance(self) -> None:
         """See to leases that have ended, stops that are due, and silent machines."""
         now = monotonic_now()
-        if now - self._tended_at > STALL_S:
+        if now - self._maintained_at > STALL_S:
             self._running_since = now
-        self._tended_at = now
+        self._maintained_at = now
         self._log_state(now)
-        for machine in self.ctx.cluster.expire(now):
+        for machine in self.term.cluster.expire(now):
             log.info("event=lease-over machine=%s", machine.id)
-            self.ctx.place.set()
-        if not self.ctx.lease_validity.may_answer_workers(now):
+            self.term.scheduling_needed.set()
+        if not self.term.lease_validity.may_answer_workers(now):
             return
-        for name in list(self.ctx.stops.due(now)):
-            stopping = self.ctx.cluster.machines.get(name)
+        for name in list(self.term.terminations.due(now)):
+            stopping = self.term.cluster.machines.get(name)
             if stopping is None:
-                self.ctx.stops.machine_gone(name)
+                self.term.terminations.machine_gone(name)
             else:
-                self.dispatch.send_soon(stopping)
-        self.dispatch.probe(now)
-        if self.ctx.settings.members and self.placer.gathered and self.is_cut_from_workers(now):
+                self.worker_commands.schedule_direct_message(stopping)
+        self.worker_commands.probe(now)
+        if self.term.settings.members and self.placer.gathered and self.is_cut_from_workers(now):
             # Another node may reach them; waiting for it costs every machine its tasks.
             self.resign(CUT)
 
@@ -246,10 +243,10 @@
         stood still does not count: found in replays, where a leader that was itself again resigned
         for it, and left leadership alone for a while.
         """
-        report_s = self.ctx.settings.params.workers.report_s
+        report_s = self.term.settings.params.workers.report_s
         longest_s = PROBE_AFTER * report_s + CUT_PROBE_S
         silent = known = 0
-        for machine in self.ctx.cluster.machines.values():
+        for machine in self.term.cluster.machines.values():
             if machine.heard_at is None or machine.may_hold_until is None:
                 continue
             known += 1
@@ -262,7 +259,7 @@
             return
         self._state_logged_at = now
         kinds: dict[str, list[float]] = {}
-        for machine in self.ctx.cluster.machines.values():
+        for machine in self.term.cluster.machines.values():
             kind = machine.machine_type.name + ("/spot" if machine.spot else "")
             row = kinds.setdefault(kind, [0, 0, 0.0, 0.0])
             row[0] += 1
@@ -271,7 +268,7 @@
                 row[2] += machine.cpus
                 row[3] += machine.gpus
         phases: dict[str, float] = {}
-        for machine in self.ctx.cluster.machines.values():
+        for machine in self.term.cluster.machines.values():
             for assignment in machine.assignments.values():
                 if assignment.job is not None and assignment.job.spec.gpus > 0:
                     phases[assignment.phase] = (
@@ -282,10 +279,10 @@
             waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + count
         log.info(
             "event=state jobs=%d passes=%d looked=%d stretch=%.2f cards=%s machines=%s short=%s",
-            len(self.ctx.job_table.jobs),
+            len(self.term.job_table.jobs),
             self.placer.passes,
             self.placer.machines_examined,
-            self.ctx.cluster.fetch_slowdown,
+            self.term.cluster.fetch_slowdown,
             ",".join(f"{phase}:{n:g}" for phase, n in sorted(phases.items())) or "-",
             ",".join(
                 f"{kind}:{int(n)}(up={int(up)};vcpus_free={v:g};cards_free={c:g})"
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -12,8 +12,8 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import readable
 from ryewing.leader.autoscaler import REQUEST_PREFIX, Renter
-from ryewing.leader.job_watcher import Intake
-from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, Writer
+from ryewing.leader.job_watcher import JobWatcher
+from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.jobs import DONE_PREFIX, LIVE_PREFIX, Job, read_record
@@ -41,14 +41,14 @@
 
     def __init__(
         self,
-        ctx: TermContext,
-        intake: Intake,
-        writer: Writer,
+        term: TermContext,
+        job_watcher: JobWatcher,
+        writer: StateWriter,
         renter: Renter,
         image_locality: ImageLocality | None,
     ) -> None:
-        self._ctx = ctx
-        self._intake = intake
+        self._term = term
+        self._intake = job_watcher
         self._writer = writer
         self._renter = renter
         self._image_locality = image_locality
@@ -58,7 +58,7 @@
         now = monotonic_now()
         types = self._renter.load_types()
         if types:
-            self._ctx.set_machine_types(types)
+            self._term.set_machine_types(types)
         self._load_jobs(now)
         self._load_finishes()
         self._load_machines(now)
@@ -67,15 +67,15 @@
         self._load_requests()
 
     def _load_jobs(self, now: MonotonicTime) -> None:
-        entries, self._intake.revision = self._ctx.store.listing(LIVE_PREFIX)
+        entries, self._intake.revision = self._term.store.listing(LIVE_PREFIX)
         for entry in entries:
             record = read_record(entry.data, entry.key)
             if record is not None:
                 self._intake.put(record, KeyVersion(entry.key_version), inherited=True)
-        self._ctx.lease_validity.confirm_jobs(now)
+        self._term.lease_validity.confirm_jobs(now)
 
     def _load_finishes(self) -> None:
-        entries, _ = self._ctx.store.listing(DONE_PREFIX)
+        entries, _ = self._term.store.listing(DONE_PREFIX)
         finishes = self._writer.finishes
         records, twice = finishes.load(entries)
         for name, bits in records:
@@ -86,7 +86,7 @@
                 finishes.drop(name)
             else:
                 job.load_chunk(chunk.number, text)
-                self._ctx.job_table.touch(job)
+                self._term.job_table.touch(job)
         for name in twice:
             chunk = _parse_chunk(name)
             job = self._ending_job(chunk)
@@ -95,23 +95,23 @@
 
     def _ending_job(self, chunk: _Chunk) -> Job | None:
         """Find the job of a record of finishes; replicas never finish."""
-        job = self._ctx.job_table.get(chunk.job)
+        job = self._term.job_table.get(chunk.job)
         return None if job is None or job.endless else job
 
     def _load_machines(self, now: MonotonicTime) -> None:
         # Whoever led before may have answered workers until its hold ended, and the last of
         # these answers is good for one lease.
-        lease_s = self._ctx.settings.params.workers.lease_s
-        longest_s = (self._ctx.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
-        entries, _ = self._ctx.store.listing(MACHINE_PREFIX)
+        lease_s = self._term.settings.params.workers.lease_s
+        longest_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
+        entries, _ = self._term.store.listing(MACHINE_PREFIX)
         records, twice = self._writer.machines.load(entries)
         for name, raw in records:
             record = readable(raw, MachineRecord, MACHINE_PREFIX + name)
             if record is None:
                 continue
-            machine = self._ctx.cluster.add(
+            machine = self._term.cluster.add(
                 MachineId(name),
-                self._ctx.machine_type(record.machine_type),
+                self._term.machine_type(record.machine_type),
                 Zone(record.zone),
                 record.spot,
                 now,
@@ -123,16 +123,16 @@
         self._writer.to_record.update(MachineId(name) for name in twice)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
-        self._ctx.cluster.restore_images(image_locality.images, image_locality.machines)
+        self._term.cluster.restore_images(image_locality.images, image_locality.machines)
         # Without it each new leader let whole batches of such jobs fail once more.
         for name, delay_s in image_locality.failing.items():
-            job = self._ctx.job_table.get(JobId(name))
+            job = self._term.job_table.get(JobId(name))
             if job is not None and not job.done_count:
                 job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
                 job.backoff_until = now
 
     def _load_requests(self) -> None:
-        entries, _ = self._ctx.store.listing(REQUEST_PREFIX)
+        entries, _ = self._term.store.listing(REQUEST_PREFIX)
         for entry in entries:
             request = readable(entry.data, RentalRequest, entry.key)
             if request is not None:
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -15,13 +15,13 @@
 
 from ryewing import scheduling as placement
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import Dispatch
+from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.scheduling import preemption, queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, Quota, allows
 from ryewing.state.failure_detector import AVOID_S
 from ryewing.state.jobs import Job, fits_machine_type
 from ryewing.state.machine import WARM, Assignment, Machine, TaskPhase
-from ryewing.state.pending_terminations import StopReason
+from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import (
     MAX_ATTEMPTS,
     Attempt,
@@ -74,17 +74,17 @@
 class Placer:
     """Owns what passes have found: what is short, what GPUs were wanted."""
 
-    def __init__(self, ctx: TermContext, dispatch: Dispatch) -> None:
-        self.ctx = ctx
-        self.dispatch = dispatch
+    def __init__(self, term: TermContext, worker_commands: WorkerCommands) -> None:
+        self.term = term
+        self.worker_commands = worker_commands
         self.gathered = False
         self.unplaced: list[placement.Unplaced] = []
-        self._guarantees = any(t.cpus or t.gpus for t in ctx.settings.params.teams)
+        self._guarantees = any(t.cpus or t.gpus for t in term.settings.params.teams)
         self._rng = random.Random()
         self._gpu_reserve = NO_RESERVE
         self.gpus_wanted = 0.0
         """The GPUs in use and asked for; the memory of it halves in a minute."""
-        self._gpus_wanted_at = ctx.began
+        self._gpus_wanted_at = term.began_at
         self.passes = self.machines_examined = 0
         """Passes made in this term, and machines that they looked at: their cost."""
         self._attempts = 0
@@ -97,10 +97,10 @@
     def place_loop(self) -> None:
         """Make a pass whenever something has changed, at a bounded share of the time."""
         while True:
-            self.ctx.place.wait(1.0)
-            self.ctx.place.clear()
+            self.term.scheduling_needed.wait(1.0)
+            self.term.scheduling_needed.clear()
             began = time.perf_counter()
-            if self.ctx.may_begin() and self.ready_to_place():
+            if self.term.may_begin() and self.ready_to_place():
                 self.run_pass()
             took = time.perf_counter() - began
             # A pass that takes long is made less often, so that heartbeats are always answered.
@@ -108,22 +108,24 @@
 
     def _rest_s(self, took: float) -> float:
         """Tell how long to rest after a pass: longer where other terms may share the process."""
-        return ((PASS_REST + 1.0) / self.ctx.scope.share - 1.0) * took
+        return ((PASS_REST + 1.0) / self.term.scope.share - 1.0) * took
 
     def ready_to_place(self) -> bool:
         """Tell whether the rebuild is over: every machine heard, or waited for long enough."""
         if self.gathered:
             return True
-        waited = monotonic_now() - self.ctx.began
-        if waited < self.ctx.policy.gather_s and any(True for _ in self.ctx.cluster.unheard()):
+        waited = monotonic_now() - self.term.began_at
+        if waited < self.term.policy.gather_s and any(
+            True for _ in self.term.cluster.unreconciled()
+        ):
             return False
         self.gathered = True
-        unheard = [m.id for m in self.ctx.cluster.unheard()]
+        unreconciled = [m.id for m in self.term.cluster.unreconciled()]
         log.info(
             "event=gathered term=%d waited_s=%.2f unheard=%s",
-            self.ctx.term,
+            self.term.number,
             waited,
-            name_some(unheard) or "-",
+            name_some(unreconciled) or "-",
         )
         return True
 
@@ -131,17 +133,17 @@
         """Turn the jobs' shortfalls into planned tasks and stops, once."""
         if self._attempts > MAX_ATTEMPTS - ATTEMPTS_LEFT:
             # Attempts never repeat, so those of a term are bounded; the next one has new ones.
-            self.ctx.lose("attempts-used-up")
+            self.term.end("attempts-used-up")
             return
         now = monotonic_now()
-        cluster = self.ctx.cluster
-        cluster.drop_stale_plans(now, 2 * self.ctx.settings.params.workers.report_s + 2)
-        unheard = list(cluster.unheard())
+        cluster = self.term.cluster
+        cluster.drop_stale_plans(now, 2 * self.term.settings.params.workers.report_s + 2)
+        unreconciled = list(cluster.unreconciled())
         if self._guarantees:
-            preemption.mark_guarantees(self.ctx.job_table, self.ctx.teams)
-        waiting = (self.ctx.job_table.jobs[job_id] for job_id in self.ctx.job_table.waiting)
-        unheard_kinds = one_of_each_kind(unheard)
-        jobs = [job for job in waiting if self._may_place(job, unheard_kinds, now)]
+            preemption.mark_guarantees(self.term.job_table, self.term.teams)
+        waiting = (self.term.job_table.jobs[job_id] for job_id in self.term.job_table.waiting)
+        unreconciled_kinds = one_of_each_kind(unreconciled)
+        jobs = [job for job in waiting if self._may_place(job, unreconciled_kinds, now)]
         moving = self._replicas_to_move(now)
         # So many free GPUs work without GPUs must leave usable.
         gpus_kept = self._note_gpus_wanted(jobs, now)
@@ -152,7 +154,7 @@
             self._note_spec(job)
         jobs = self._ordered(jobs)
         overdue = queueing.overdue(jobs, wall_now())
-        inputs = self._pass_inputs(unheard, gpus_kept, now)
+        inputs = self._pass_inputs(unreconciled, gpus_kept, now)
         self._carry_out(placement.Pass(inputs).run(jobs, overdue, moving), now)
 
     def _note_spec(self, job: Job) -> None:
@@ -163,34 +165,36 @@
             self._recent_specs[name] = job.spec
 
     def _pass_inputs(
-        self, unheard: Sequence[Machine], gpus_kept: float, now: MonotonicTime
+        self, unreconciled: Sequence[Machine], gpus_kept: float, now: MonotonicTime
     ) -> placement.PassInputs:
-        cluster = self.ctx.cluster
-        fresh = now - FRESH_HEARTBEATS * self.ctx.settings.params.workers.report_s
+        cluster = self.term.cluster
+        fresh = now - FRESH_HEARTBEATS * self.term.settings.params.workers.report_s
         capacities = [
             MachineCapacity(machine, self._being_stopped(machine))
             for machine in cluster.machines.values()
             if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh
         ]
         quota = Quota(
-            self.ctx.team_limits.teams(),
+            self.term.team_limits.teams(),
             cluster.team_cpus,
             cluster.team_gpus,
-            sum(machine.machine_type.cpus for machine in unheard),
-            sum(machine.machine_type.gpus for machine in unheard),
+            sum(machine.machine_type.cpus for machine in unreconciled),
+            sum(machine.machine_type.gpus for machine in unreconciled),
         )
         return placement.PassInputs(
             capacities=capacities,
             quota=quota,
             now=now,
             rng=self._rng,
-            sample=self.ctx.policy.sample,
+            sample=self.term.policy.sample,
             gpu_reserve=self._gpu_reserve,
             gpus_kept=gpus_kept,
             avoid=self._avoid,
             fetches_share=cluster.fetches_share(),
             recent_specs=tuple(self._recent_specs.values()),
-            next_heartbeat_in_s=lambda machine: self.dispatch.next_heartbeat_in_s(machine, now),
+            next_heartbeat_in_s=lambda machine: self.worker_commands.next_heartbeat_in_s(
+                machine, now
+            ),
         )
 
     def _carry_out(self, plan: placement.Plan, now: MonotonicTime) -> None:
@@ -210,26 +214,26 @@
             if batch.job.endless:
                 serving |= names
         for name in sorted(planned, key=lambda name: name not in serving):
-            machine = self.ctx.cluster.machines[name]
-            self.dispatch.request_early_heartbeat(machine, now, name in serving)
+            machine = self.term.cluster.machines[name]
+            self.worker_commands.request_early_heartbeat(machine, now, name in serving)
         for assignment in plan.stops:
-            self._stop(assignment, StopReason.PREEMPTED, now)
+            self._stop(assignment, TerminationReason.PREEMPTED, now)
         for assignment in plan.moves:
-            self._stop(assignment, StopReason.MOVED, now)
+            self._stop(assignment, TerminationReason.MOVED, now)
             if assignment.job is not None:
                 self._moved_at[assignment.job.spec.job_class] = now
         self.unplaced = plan.unplaced
 
-    def _stop(self, assignment: Assignment, why: StopReason, now: MonotonicTime) -> None:
+    def _stop(self, assignment: Assignment, why: TerminationReason, now: MonotonicTime) -> None:
         grace_s = assignment.job.grace_s if assignment.job is not None else 0.0
-        self.dispatch.stop_assignment(assignment, grace_s, why, now)
+        self.worker_commands.terminate(assignment, grace_s, why, now)
 
     def _replicas_to_move(self, now: MonotonicTime) -> list[Assignment]:
         """List the replicas that should run elsewhere: their machine is about to go, or is faulty,
         or is kept for nothing else."""
         found: list[Assignment] = []
         unwanted: list[Assignment] = []
-        for machine in self.ctx.cluster.machines.values():
+        for machine in self.term.cluster.machines.values():
             if machine.leaving or not machine.assignments or not machine.acknowledges:
                 continue
             must = machine.notice_s is not None or machine.quarantined
@@ -250,7 +254,7 @@
                 and assignment.job.endless
                 and not assignment.job.cancelled
                 and assignment.phase in (TaskPhase.FETCHING, TaskPhase.RUNNING)
-                and not self.ctx.stops.has(machine.id, assignment.task, assignment.attempt)
+                and not self.term.terminations.has(machine.id, assignment.task, assignment.attempt)
             )
         # Of those that may as well stay only as many as their class hardly misses.
         by_class = {
@@ -266,37 +270,37 @@
     def _may_miss(self, jobclass: str, now: MonotonicTime) -> bool:
         serving = sum(
             job.running
-            for job in self.ctx.job_table
+            for job in self.term.job_table
             if job.endless and job.spec.job_class == jobclass
         )
         gap = MOVE_GAP_S / (MOVE_SHARE * max(1, serving))
-        return now - self._moved_at.get(jobclass, self.ctx.began) >= gap
+        return now - self._moved_at.get(jobclass, self.term.began_at) >= gap
 
     def _being_stopped(self, machine: Machine) -> frozenset[Assignment]:
-        stops = self.ctx.stops
-        if not stops.any_on(machine.id):
+        terminations = self.term.terminations
+        if not terminations.any_on(machine.id):
             return frozenset()
         return frozenset(
             assignment
             for assignment in machine.assignments.values()
-            if stops.has(machine.id, assignment.task, assignment.attempt)
+            if terminations.has(machine.id, assignment.task, assignment.attempt)
         )
 
     def _ordered(self, jobs: list[Job]) -> list[Job]:
         gpus, cpus = queueing.Supply(), queueing.Supply()
         beside = max(self._gpu_reserve.cpus, 1e-3)
-        for machine in self.ctx.cluster.machines.values():
+        for machine in self.term.cluster.machines.values():
             if machine.usable():
                 free = min(machine.gpus, max(0.0, machine.cpus) // beside)
                 gpus.total += machine.machine_type.gpus - machine.gpus + free
                 gpus.free += free
                 cpus.total += machine.machine_type.cpus
                 cpus.free += machine.cpus
-        return queueing.order(jobs, self.ctx.settings.params.objectives, gpus, cpus, wall_now())
+        return queueing.order(jobs, self.term.settings.params.objectives, gpus, cpus, wall_now())
 
     def _note_gpus_wanted(self, jobs: list[Job], now: MonotonicTime) -> float:
         """Take note of the GPUs wanted; tell how many are beyond those in use."""
-        used = sum(self.ctx.cluster.team_gpus.values())
+        used = sum(self.term.cluster.team_gpus.values())
         wanted = used + sum(job.shortfall * job.spec.gpus for job in jobs)
         elapsed = now - self._gpus_wanted_at
         self._gpus_wanted_at = now
@@ -306,7 +310,7 @@
 
     def drain_s(self) -> float:
         """Estimate how long the waiting work without GPUs would keep all machines busy."""
-        cpus = sum(m.machine_type.cpus for m in self.ctx.cluster.machines.values() if m.usable())
+        cpus = sum(m.machine_type.cpus for m in self.term.cluster.machines.values() if m.usable())
         work = sum(
             count * job.spec.cpus * job.estimate_s()
             for job, count in self.unplaced
@@ -316,7 +320,7 @@
 
     def backlog(self) -> float:
         """Tell what waits for room, as a part of the room of all machines."""
-        machines = [m for m in self.ctx.cluster.machines.values() if m.usable()]
+        machines = [m for m in self.term.cluster.machines.values() if m.usable()]
         cpus = sum(count * job.spec.cpus for job, count in self.unplaced)
         gpus = sum(count * job.spec.gpus for job, count in self.unplaced)
         return max(
@@ -324,7 +328,9 @@
             gpus / max(1.0, sum(machine.machine_type.gpus for machine in machines)),
         )
 
-    def _may_place(self, job: Job, unheard_kinds: Sequence[Machine], now: MonotonicTime) -> bool:
+    def _may_place(
+        self, job: Job, unreconciled_kinds: Sequence[Machine], now: MonotonicTime
+    ) -> bool:
         if job.cancelled or job.unwritten or now < job.backoff_until:
             # A job's finished batch is written before the job is refilled.
             return False
@@ -332,7 +338,7 @@
             return False
         if job.inherited and any(
             allows(job.spec, m) and fits_machine_type(job.spec, m.machine_type)
-            for m in unheard_kinds
+            for m in unreconciled_kinds
         ):
             # Which of its tasks an unheard machine holds can't be known.
             return False
@@ -345,11 +351,11 @@
 
         Found in a replay: a task was placed in each pass until the first of them had failed.
         """
-        if self.ctx.cluster.failures.recovered(job, now):
+        if self.term.cluster.failures.recovered(job, now):
             return True
         if job.endless:
             return not job.live
-        return job.gang or not self.ctx.cluster.failures.probing(job)
+        return job.gang or not self.term.cluster.failures.probing(job)
 
     def _complete_gang(self, job: Job, now: MonotonicTime) -> bool:
         """See to a gang with some tasks missing; True if they may be replaced.
@@ -357,11 +363,13 @@
         Before the gang has started, a replacement with the same attempt completes it. Once it
         ran, the attempt is lost: what is left must be gone before the next attempt.
         """
-        assignments = self.ctx.cluster.assignments_of(job)
+        assignments = self.term.cluster.assignments_of(job)
         attempts = {assignment.attempt for assignment in assignments}
         waiting = all(
             assignment.phase not in (TaskPhase.RUNNING, TaskPhase.SAVING)
-            and not self.ctx.stops.has(assignment.machine.id, assignment.task, assignment.attempt)
+            and not self.term.terminations.has(
+                assignment.machine.id, assignment.task, assignment.attempt
+            )
             for assignment in assignments
         )
         if waiting and len(attempts) == 1 and job.done_count == 0:
@@ -369,7 +377,7 @@
             return True
         if job.done_count == 0:
             for assignment in assignments:
-                self.dispatch.stop_assignment(assignment, 0.0, StopReason.GANG_BROKEN, now)
+                self.worker_commands.terminate(assignment, 0.0, TerminationReason.GANG_BROKEN, now)
         return False
 
     def _avoid(self, job: Job, machine: Machine) -> bool:
@@ -386,7 +394,7 @@
 
     def _next_attempt(self) -> Attempt:
         self._attempts += 1
-        return attempt_of(self.ctx.term, self._attempts)
+        return attempt_of(self.term.number, self._attempts)
 
     def _apply(self, batch: placement.Batch, now: MonotonicTime) -> None:
         job = batch.job
@@ -403,12 +411,12 @@
         for machine, n in batch.parts:
             for index in indices[at : at + n]:
                 attempt = gang_attempt or self._next_attempt()
-                self.ctx.cluster.assign(
+                self.term.cluster.assign(
                     machine, TaskId(job.id, index), attempt, TaskPhase.PLANNED, now
                 )
             at += n
         job.waiting_since = None
-        self.ctx.job_table.touch(job)
+        self.term.job_table.touch(job)
         log.info(
             "event=placed job=%s tasks=%d machines=%s cold=%d short=%d guaranteed=%s age_s=%.1f",
             job.id,
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -107,18 +107,18 @@
     indices: set[int]
 
 
-class Writer:
+class StateWriter:
     """Owns what is to be written, and which final states are under way."""
 
     def __init__(
         self,
-        ctx: TermContext,
+        term: TermContext,
         on_final: Callable[[JobId, str], None],
         on_record: Callable[[str, msgspec.Raw, KeyVersion], None],
     ) -> None:
-        self.ctx = ctx
+        self.term = term
         # No notice comes of limits that fall: what is written keeps to the stricter ones.
-        limits = ctx.settings.params.state.strictest()
+        limits = term.settings.params.state.strictest()
         value_kb = limits.value_kb
         self.machines = PagedRecords(MACHINE_PREFIX, value_kb)
         self.finishes = PagedRecords(DONE_PREFIX, value_kb)
@@ -135,7 +135,7 @@
         """How many changes a transaction may hold, and how many are known to be too many."""
         self._set_aside: dict[str, MonotonicTime] = {}
         """Keys that the store would not take, and until when it isn't asked again."""
-        rate = WRITE_SHARE * ctx.scope.share * limits.write_rps
+        rate = WRITE_SHARE * term.scope.share * limits.write_rps
         self._bucket = TokenBucket(rate, rate)
 
     def may_write(self, changes: int) -> bool:
@@ -145,9 +145,9 @@
     def write_loop(self) -> None:
         """Write what is wanted, as fast as the rate permits."""
         while True:
-            self.ctx.write.wait(1.0)
-            self.ctx.write.clear()
-            if not self.ctx.may_start():
+            self.term.writes_needed.wait(1.0)
+            self.term.writes_needed.clear()
+            if not self.term.may_start():
                 gevent.sleep(0.1)
                 continue
             try:
@@ -157,7 +157,7 @@
                 gevent.sleep(0.2)
                 more = True
             if more:
-                self.ctx.write.set()
+                self.term.writes_needed.set()
             gevent.sleep(0.08)  # lets finishes gather, so that one write carries many
 
     def in_flight(self) -> bool:
@@ -169,8 +169,8 @@
         recorded = self._put_machines()
         writes = self._page_writes(self.machines, recorded, self._recorded)
         finished: dict[int, list[_Finished]] = {}
-        for job_id in list(self.ctx.job_table.dirty):
-            job = self.ctx.job_table.jobs[job_id]
+        for job_id in list(self.term.job_table.dirty):
+            job = self.term.job_table.jobs[job_id]
             status = self._final_status(job)
             if status is not None:
                 writes.append(self._final(job, status))
@@ -189,7 +189,7 @@
         """Bring the pages of machines up to date; name which machines each page is to hold."""
         recorded: dict[int, list[_Recorded]] = {}
         for name in list(self.to_record):
-            machine = self.ctx.cluster.machines.get(name)
+            machine = self.term.cluster.machines.get(name)
             if machine is None:
                 self.to_record.discard(name)
                 continue
@@ -207,7 +207,7 @@
         """Tell how a job has ended; None while it has not, or may still have tasks somewhere."""
         if not job.cancelled:
             return DONE if job.complete else None
-        if job.live or any(True for _ in self.ctx.cluster.unheard()):
+        if job.live or any(True for _ in self.term.cluster.unreconciled()):
             return None
         return CANCELLED
 
@@ -240,7 +240,7 @@
                 done()
 
         def conflict(key: str) -> None:
-            pages.found(key, self.ctx.store.get(key))
+            pages.found(key, self.term.store.get(key))
 
         return _Write(
             change.ops,
@@ -283,8 +283,8 @@
         except StoreUnavailableError:
             self._unanswered |= finals
             raise
-        if not result.ok and self.ctx.leadership.is_superseded(result):
-            self.ctx.lose("fenced")
+        if not result.ok and self.term.leadership.is_superseded(result):
+            self.term.end("fenced")
             return False
         self._take_result(chosen, result)
         # Found where the next try failed for another key: the first one, still on its way, was
@@ -314,7 +314,7 @@
             conditions.update(write.conditions)
         self._sending = True
         try:
-            return self.ctx.store.txn(self.ctx.leadership.fencing_conditions(conditions), ops)
+            return self.term.store.txn(self.term.leadership.fencing_conditions(conditions), ops)
         finally:
             self._sending = False
 
@@ -353,11 +353,11 @@
 
     def _reconcile(self, job: Job) -> None:
         """A final write met another version: a cancel won, or an earlier try was applied."""
-        entry = self.ctx.store.get(live_key(job.id))
+        entry = self.term.store.get(live_key(job.id))
         if entry is not None:
             self._on_record(entry.key, entry.data, KeyVersion(entry.key_version))
             return
-        final = self.ctx.store.get(final_key(job.id))
+        final = self.term.store.get(final_key(job.id))
         if final is not None:
             record = readable(final.data, FinalRecord, final.key)
             if record is not None:
@@ -367,20 +367,20 @@
         """The store has no live record of the job any more."""
         self._unanswered.discard(job.id)
         self.final_pending.discard(job.id)
-        self.ctx.job_table.drop(job)
+        self.term.job_table.drop(job)
 
     def _recorded(self, machines: list[_Recorded]) -> None:
         for machine, heard in machines:
             if heard or machine.heard_at is None:
                 self.to_record.discard(machine.id)
             machine.recorded = machine.recorded or heard
-        self.ctx.place.set()
+        self.term.scheduling_needed.set()
 
     def _finishes_written(self, jobs: list[_Finished]) -> None:
         for job, indices in jobs:
             job.unwritten -= indices
-            self.ctx.job_table.touch(job)
-        self.ctx.place.set()
+            self.term.job_table.touch(job)
+        self.term.scheduling_needed.set()
 
     def _finalised(self, job: Job, status: str) -> None:
         job.unwritten.clear()
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -19,7 +19,7 @@
 from ryewing.leader.scope import WHOLE_FLEET, TermScope
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import JobTable
-from ryewing.state.pending_terminations import Stops
+from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import MachineId, monotonic_now
 from ryewing.wire.messages import MachineType
 
@@ -60,22 +60,22 @@
         self.policy = policy
         self.store = store
         self.leadership = leadership
-        self.term = leadership.term
+        self.number = leadership.term
         self.lease_validity = leadership.lease_validity
         self.job_table = JobTable()
-        self.stops = Stops()
+        self.terminations = PendingTerminations()
         self.cluster = ClusterState(
-            self.term, settings.params.workers.lease_s, self.job_table, self.stops
+            self.number, settings.params.workers.lease_s, self.job_table, self.terminations
         )
         self.machine_types: dict[str, MachineType] = {}
         self.teams = {team.name: team for team in settings.params.teams}
         self.released: OrderedDict[MachineId, None] = OrderedDict()
         """Machines that are certainly gone: nothing that comes in their name counts."""
-        self.began = monotonic_now()
-        self.loaded = Event()
-        self.place = Event()
+        self.began_at = monotonic_now()
+        self.state_loaded = Event()
+        self.scheduling_needed = Event()
         """Something has changed that placing may act on."""
-        self.write = Event()
+        self.writes_needed = Event()
         """The store lacks something."""
         self.stopped = False
         self.sealed = False
@@ -84,7 +84,7 @@
         self._on_lost = on_lost
         self._on_machine_types = on_machine_types
 
-    def lose(self, why: str) -> None:
+    def end(self, why: str) -> None:
         """End the term."""
         if not self.stopped:
             self._on_lost(why)
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -14,10 +14,10 @@
 
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.clients.workers import Workers, WorkerUnavailableError
-from ryewing.leader.state_writer import Writer
+from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.state.machine import Assignment, Machine, TaskPhase
-from ryewing.state.pending_terminations import StopReason
+from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
     HeartbeatVersion,
@@ -32,7 +32,7 @@
 
 log = logging.getLogger("ryewing.leader.worker_commands")
 
-ORDERS_MAX = 500
+MAX_COMMANDS = 500
 """Commands in one response: keeps its line within 64 KiB."""
 MAX_SENDS_IN_FLIGHT = 24
 SENDS_SHARE = 0.02
@@ -59,13 +59,13 @@
     return max(MAX_SENDS_IN_FLIGHT, int(SENDS_SHARE * sockets))
 
 
-class Dispatch:
+class WorkerCommands:
     """Owns the exchanges with workers that are under way."""
 
-    def __init__(self, ctx: TermContext, writer: Writer) -> None:
-        self.ctx = ctx
+    def __init__(self, term: TermContext, writer: StateWriter) -> None:
+        self.term = term
         self.writer = writer
-        sockets = int(ctx.scope.share * ctx.settings.params.resources.fd_limit)
+        sockets = int(term.scope.share * term.settings.params.resources.fd_limit)
         self.workers = Workers(sockets)
         # Not a bounded pool: its spawn waits when it is full, and a decision under way must not
         # be interrupted.
@@ -77,7 +77,7 @@
         self._others_waiting: OrderedDict[MachineId, Machine] = OrderedDict()
         self._others_turn = False
         """The lines take turns: neither waits for the other's silent machines."""
-        core_share = ctx.scope.share * ctx.settings.params.resources.core_share
+        core_share = term.scope.share * term.settings.params.resources.core_share
         rate = EARLY_HEARTBEATS_PER_CORE * core_share
         self._early_heartbeat_bucket = TokenBucket(rate, rate)
 
@@ -88,67 +88,67 @@
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
         now = monotonic_now()
-        if term_of_token(heartbeat.token) > self.ctx.term:
+        if term_of_token(heartbeat.token) > self.term.number:
             # A worker has seen a later leader: a 200 from here would be dropped, and would
             # keep the worker here while its lease expires.
-            self.ctx.lose("overruled")
+            self.term.end("overruled")
             return None
         if (
-            self.ctx.stopped
-            or not self.ctx.loaded.is_set()
-            or not self.ctx.lease_validity.may_answer_workers(now)
+            self.term.stopped
+            or not self.term.state_loaded.is_set()
+            or not self.term.lease_validity.may_answer_workers(now)
         ):
             return None
-        if not self.ctx.scope.covers(heartbeat.zone):
+        if not self.term.scope.covers(heartbeat.zone):
             # A shard's machines are counted and commanded by its own leader alone: two leaders
             # that took one up would both place tasks on it.
             return None
         name = MachineId(heartbeat.machine)
-        if name in self.ctx.released:
+        if name in self.term.released:
             return None
-        machine = self.ctx.cluster.machines.get(name)
+        machine = self.term.cluster.machines.get(name)
         if machine is None:
-            if term_of_token(heartbeat.token) != self.ctx.term:
+            if term_of_token(heartbeat.token) != self.term.number:
                 # Nobody knows it, so it holds nothing (it is recorded before its first start): it
                 # is new, or what comes in its name is old. Only the worker itself can show our
                 # token, which comes with this answer. Found with copies of heartbeats that reached
                 # a new leader: machines long gone were recorded, and kept jobs waiting for a lease.
-                return HeartbeatResponse(int(fencing_token(self.ctx.term)), [])
-            machine = self.ctx.cluster.add(
+                return HeartbeatResponse(int(fencing_token(self.term.number)), [])
+            machine = self.term.cluster.add(
                 name,
-                self.ctx.machine_type(heartbeat.machine_type),
+                self.term.machine_type(heartbeat.machine_type),
                 Zone(heartbeat.zone),
                 heartbeat.spot,
                 now,
             )
             log.info("event=unexpected-machine machine=%s flavour=%s", name, heartbeat.machine_type)
         new_address = bool(heartbeat.address) and machine.address != heartbeat.address
-        fresh = self.ctx.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=True)
+        fresh = self.term.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=True)
         if not fresh and machine.heard_at is not None and now - machine.heard_at > UNWAITED_S:
             # A copy of something old: nobody waits for the answer, and no lease is renewed by it.
             return None
         if not machine.recorded or new_address:
             self.writer.to_record.add(name)
-            self.ctx.write.set()
+            self.term.writes_needed.set()
         if fresh:
-            self._inspect(machine, now)
-        self.ctx.cluster.answered(machine, now)
+            self._handle_news(machine, now)
+        self.term.cluster.answered(machine, now)
         commands = self._compose(machine, heartbeat, fresh, now)
-        return HeartbeatResponse(int(self.ctx.cluster.token(machine)), commands)
+        return HeartbeatResponse(int(self.term.cluster.token(machine)), commands)
 
-    def _inspect(self, machine: Machine, now: MonotonicTime) -> None:
+    def _handle_news(self, machine: Machine, now: MonotonicTime) -> None:
         """See to what a machine's news bring: tasks that must go, room, finishes to write."""
-        self.ctx.place.set()
-        if self.ctx.job_table.dirty:
-            self.ctx.write.set()
+        self.term.scheduling_needed.set()
+        if self.term.job_table.dirty:
+            self.term.writes_needed.set()
         for assignment in list(machine.assignments.values()):
             if assignment.phase == TaskPhase.PLANNED:
                 if machine.notice_s is not None:
-                    self.ctx.cluster.drop(assignment, now)
+                    self.term.cluster.drop(assignment, now)
                 continue
             job = assignment.job
             if job is None or job.cancelled:
-                self.stop_assignment(assignment, 0.0, StopReason.UNWANTED, now)
+                self.terminate(assignment, 0.0, TerminationReason.UNWANTED, now)
             elif machine.notice_s is not None:
                 self._drain(assignment, machine, now)
         if len(machine.faults) >= FAULTS_MAX and not machine.quarantined:
@@ -160,10 +160,13 @@
         Found in a replay: a new leader did not know yet which jobs fail everywhere, and set sound
         machines aside on which two of them had failed.
         """
-        if sum(self.ctx.cluster.failures.is_sound(job, now) for job in machine.faults) < FAULTS_MAX:
+        if (
+            sum(self.term.cluster.failures.is_sound(job, now) for job in machine.faults)
+            < FAULTS_MAX
+        ):
             return
-        aside = sum(m.quarantined for m in self.ctx.cluster.machines.values())
-        if aside >= max(1, len(self.ctx.cluster.machines) // 8):
+        aside = sum(m.quarantined for m in self.term.cluster.machines.values())
+        if aside >= max(1, len(self.term.cluster.machines) // 8):
             return
         machine.quarantined = True
         log.info("event=quarantined machine=%s jobs=%s", machine.id, ",".join(machine.faults))
@@ -178,28 +181,30 @@
             remaining = job.estimate_s() - (now - assignment.running_since)
             if remaining < 0.7 * left:
                 return
-        self._stop_whole(assignment, job.grace_s, StopReason.DRAIN, now)
+        self._terminate_whole(assignment, job.grace_s, TerminationReason.DRAIN, now)
 
-    def _stop_whole(
-        self, assignment: Assignment, grace_s: float, why: StopReason, now: MonotonicTime
+    def _terminate_whole(
+        self, assignment: Assignment, grace_s: float, why: TerminationReason, now: MonotonicTime
     ) -> None:
         """Stop a task; of a gang all of them, since an orderly stop needs every one told."""
         job = assignment.job
         if job is None or not job.gang or job.spec.task_count == 1:
-            self.stop_assignment(assignment, grace_s, why, now)
+            self.terminate(assignment, grace_s, why, now)
             return
-        for mate in self.ctx.cluster.assignments_of(job):
-            self.stop_assignment(mate, grace_s, why, now)
+        for mate in self.term.cluster.assignments_of(job):
+            self.terminate(mate, grace_s, why, now)
 
-    def stop_assignment(
-        self, assignment: Assignment, grace_s: float, why: StopReason, now: MonotonicTime
+    def terminate(
+        self, assignment: Assignment, grace_s: float, why: TerminationReason, now: MonotonicTime
     ) -> None:
-        """Stop one task attempt: forget it if nothing was sent, else by a tombstone."""
+        """Stop one task attempt: forget it if nothing was sent, else by a pending termination."""
         machine = assignment.machine
         if assignment.phase == TaskPhase.PLANNED:
-            self.ctx.cluster.drop(assignment, now)
+            self.term.cluster.drop(assignment, now)
             return
-        if self.ctx.stops.add(machine.id, assignment.task, assignment.attempt, grace_s, why, now):
+        if self.term.terminations.add(
+            machine.id, assignment.task, assignment.attempt, grace_s, why, now
+        ):
             log.info(
                 "event=stop task=%s machine=%s mercy_s=%g why=%s",
                 assignment.task,
@@ -207,19 +212,19 @@
                 grace_s,
                 why,
             )
-            self.send_soon(machine)
+            self.schedule_direct_message(machine)
 
     def _compose(
         self, machine: Machine, heartbeat: Heartbeat, fresh: bool, now: MonotonicTime
     ) -> list[Command]:
-        commands = self._standing_orders(machine, now)
+        commands = self._repeatable_commands(machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
-        if machine.notice_s is not None or machine.leaving or not self.ctx.may_begin():
+        if machine.notice_s is not None or machine.leaving or not self.term.may_begin():
             return commands
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         for assignment in machine.assignments.values():
-            if assignment.phase != TaskPhase.PLANNED or len(commands) >= ORDERS_MAX:
+            if assignment.phase != TaskPhase.PLANNED or len(commands) >= MAX_COMMANDS:
                 continue
             if assignment.job is None or assignment.job.cancelled:
                 continue
@@ -228,33 +233,35 @@
             commands.append(Command("start", str(assignment.task), int(assignment.attempt)))
         return commands
 
-    def _standing_orders(self, machine: Machine, now: MonotonicTime) -> list[Command]:
+    def _repeatable_commands(self, machine: Machine, now: MonotonicTime) -> list[Command]:
         """Give the commands that may be repeated and may come late: halts and clears.
 
         Halts first: what has ended can wait, a cancelled task can't.
         """
-        return [*self.ctx.stops.commands(machine.id, now), *self._clears(machine)][:ORDERS_MAX]
+        return [*self.term.terminations.commands(machine.id, now), *self._clears(machine)][
+            :MAX_COMMANDS
+        ]
 
     def _clears(self, machine: Machine) -> list[Command]:
         """Clear what has ended; a finish only after it is written."""
         commands = []
         for ended in machine.ended.values():
             if ended.done:
-                job = self.ctx.job_table.get(ended.task.job)
+                job = self.term.job_table.get(ended.task.job)
                 if job is not None and ended.task.number in job.unwritten:
                     continue
             commands.append(Command("clear", str(ended.task), int(ended.attempt)))
         return commands
 
-    def send_soon(self, machine: Machine) -> None:
+    def schedule_direct_message(self, machine: Machine) -> None:
         """Send halts and clears directly; with nothing to send it is a handshake.
 
         Never waits: what is too much at once waits in line, and not behind machines that are only
         asked how they are.
         """
-        if not machine.address or machine.id in self._sending or self.ctx.stopped:
+        if not machine.address or machine.id in self._sending or self.term.stopped:
             return
-        if self.ctx.stops.any_on(machine.id):
+        if self.term.terminations.any_on(machine.id):
             self._others_waiting.pop(machine.id, None)
             self._stops_waiting[machine.id] = machine
         elif machine.id not in self._stops_waiting:
@@ -276,24 +283,24 @@
         self._sending.add(machine.id)
         try:
             now = monotonic_now()
-            if not self.ctx.lease_validity.may_answer_workers(now):
+            if not self.term.lease_validity.may_answer_workers(now):
                 return
-            commands = self._standing_orders(machine, now)
+            commands = self._repeatable_commands(machine, now)
             incarnation = max(1, machine.version.incarnation)
             for _ in range(2):
-                token = self.ctx.cluster.token(machine)
+                token = self.term.cluster.token(machine)
                 known = machine.version
                 heartbeat = self.workers.send(machine.address, token, incarnation, commands)
                 if heartbeat.machine != machine.id:
                     return
-                if term_of_token(heartbeat.token) > self.ctx.term:
-                    self.ctx.lose("overruled")
+                if term_of_token(heartbeat.token) > self.term.number:
+                    self.term.end("overruled")
                     return
                 now = monotonic_now()
                 if HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence) < known:
-                    self.ctx.cluster.restarted(machine, now)
-                if self.ctx.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=False):
-                    self._inspect(machine, now)
+                    self.term.cluster.restarted(machine, now)
+                if self.term.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=False):
+                    self._handle_news(machine, now)
                 if heartbeat.incarnation == incarnation:
                     return
                 incarnation = (
@@ -307,7 +314,7 @@
     def next_heartbeat_in_s(self, machine: Machine, now: MonotonicTime) -> float:
         """Estimate how soon a worker reports next, so that a start can ride in the answer."""
         since = now - machine.heard_at if machine.heard_at is not None else math.inf
-        due = max(0.0, self.ctx.settings.params.workers.report_s - since)
+        due = max(0.0, self.term.settings.params.workers.report_s - since)
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
             return due
         if self._may_bump_token(machine, now) or (machine.ended and self._clears(machine)):
@@ -324,7 +331,7 @@
         a message to every machine after each write took most of a leader's processor time where
         there were hundreds of them. What else there is to say rides in the answers.
         """
-        times = self.ctx.settings.params.workers
+        times = self.term.settings.params.workers
         if machine.heard_at is None:
             return
         if not urgent and now - machine.heard_at > EARLY_HEARTBEAT_WITHIN * times.report_s:
@@ -340,20 +347,20 @@
         if not clears:
             machine.token_bumped_at = now
             machine.token_bumps += 1
-        self.send_soon(machine)
+        self.schedule_direct_message(machine)
 
     def _may_bump_token(self, machine: Machine, now: MonotonicTime) -> bool:
         if machine.token_bumps >= MAX_TOKEN_BUMPS:
             return False
-        gap = TOKEN_BUMP_EVERY * self.ctx.settings.params.workers.lease_s
+        gap = TOKEN_BUMP_EVERY * self.term.settings.params.workers.lease_s
         return machine.token_bumped_at is None or now - machine.token_bumped_at >= gap
 
     def probe(self, now: MonotonicTime) -> None:
         """Ask machines directly whose heartbeat is late, and those not heard in this term."""
-        late = PROBE_AFTER * self.ctx.settings.params.workers.report_s
-        for machine in list(self.ctx.cluster.machines.values()):
+        late = PROBE_AFTER * self.term.settings.params.workers.report_s
+        for machine in list(self.term.cluster.machines.values()):
             if machine.may_hold_until is None:
                 continue
-            since = machine.heard_at if machine.heard_at is not None else self.ctx.began
+            since = machine.heard_at if machine.heard_at is not None else self.term.began_at
             if not machine.handshaken or now - since > late:
-                self.send_soon(machine)
+                self.schedule_direct_message(machine)
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -223,7 +223,7 @@
         log.info(
             "event=stepped-down node=%s term=%d why=%s%s",
             self._process.name,
-            leader.term,
+            leader.term.number,
             why,
             self._log_suffix(),
         )
@@ -304,7 +304,7 @@
 
     def on_leader_announcement(self, notice: LeaderAnnouncement) -> None:
         """Take note of a new leader, and give way to it."""
-        if self.leader is not None and notice.term > self.leader.term:
+        if self.leader is not None and notice.term > self.leader.term.number:
             self.step_down("notice")
         if notice.term >= self._leader_term and self.leader is None:
             self.leader_name = notice.node
@@ -319,6 +319,6 @@
         if holder is None:
             return False
         if holder.node == self._process.name:
-            return self.leader is None or self.leader.take_cancel(job)
+            return self.leader is None or self.leader.apply_cancel(job)
         answer = self._process.peers.request(holder.node, CancelNotice(job, self.shard))
         return isinstance(answer, Ack) and answer.ok
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -261,7 +261,7 @@
             return Ack(False)  # from a controller that divides the fleet in another way
         if isinstance(request, CancelNotice):
             leader = elector.leader
-            return Ack(leader is not None and leader.take_cancel(JobId(request.job)))
+            return Ack(leader is not None and leader.apply_cancel(JobId(request.job)))
         if isinstance(request, LoadQuery):
             return elector.on_load_query()
         if isinstance(request, ImageLocality):
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -156,9 +156,9 @@
         return record is not None and record.may_campaign(self._node)
 
     def _on_elected(self, name: ShardName, leader: Leader) -> None:
-        leader.ctx.sealed = not self._may_begin(name)
+        leader.term.sealed = not self._may_begin(name)
         limits = ShardTeamLimits(leader, name, list(self._candidacies))
-        leader.ctx.team_limits = limits
+        leader.term.team_limits = limits
         leader.extra_loops.append(limits.run)
 
     def _may_begin(self, name: ShardName) -> bool:
@@ -187,11 +187,16 @@
         """Let a leader here begin what it may by the shard's record, and nothing more."""
         leader = self._candidacies[name].leader
         sealed = not self._may_begin(name)
-        if leader is None or leader.ctx.sealed == sealed:
+        if leader is None or leader.term.sealed == sealed:
             return
-        leader.ctx.sealed = sealed
-        log.info("event=%s shard=%s term=%d", "sealed" if sealed else "unsealed", name, leader.term)
-        leader.ctx.place.set()
+        leader.term.sealed = sealed
+        log.info(
+            "event=%s shard=%s term=%d",
+            "sealed" if sealed else "unsealed",
+            name,
+            leader.term.number,
+        )
+        leader.term.scheduling_needed.set()
 
     def _busy(self) -> bool:
         """Tell whether a step may be due without any change in the store."""
@@ -216,7 +221,7 @@
             self._hand_off_if_unfit(name, seen, found)
         elif record.phase is Phase.SEALED and record.owner == self._node:
             self._settle(name, seen, leader)
-        elif leader is not None and leader.ctx.loaded.is_set():
+        elif leader is not None and leader.term.state_loaded.is_set():
             self._take(name, seen, lambda old: finish(old, self._node) if old else None)
 
     def _give_way(self, name: ShardName, seen: StoredOwnership) -> None:
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -22,8 +22,8 @@
     for ever.
     """
 
-    def __init__(self, ctx: TermContext, team: Team) -> None:
-        self._ctx = ctx
+    def __init__(self, term: TermContext, team: Team) -> None:
+        self._term = term
         self._team = team
         self._ran = NOTHING
         self._progress_at = monotonic_now()
@@ -44,17 +44,17 @@
 
     def running(self) -> Amount:
         """Tell what the team's tasks use."""
-        cluster, name = self._ctx.cluster, TeamName(self._team.name)
+        cluster, name = self._term.cluster, TeamName(self._team.name)
         return self._limited_only(
             max(0.0, cluster.team_cpus.get(name, 0.0)), max(0.0, cluster.team_gpus.get(name, 0.0))
         )
 
     def in_use(self) -> Amount:
         """Tell what the team may be using: machines that were not heard may hold anything."""
-        unheard = [machine.machine_type for machine in self._ctx.cluster.unheard()]
+        unreconciled = [machine.machine_type for machine in self._term.cluster.unreconciled()]
         return self.running() + self._limited_only(
-            sum(machine_type.cpus for machine_type in unheard),
-            sum(machine_type.gpus for machine_type in unheard),
+            sum(machine_type.cpus for machine_type in unreconciled),
+            sum(machine_type.gpus for machine_type in unreconciled),
         )
 
     def wanted(self) -> Amount:
@@ -97,7 +97,7 @@
         return [min(small, key=_size)] if small else []
 
     def _waiting(self) -> list[Job]:
-        table = self._ctx.job_table
+        table = self._term.job_table
         jobs = (table.jobs[job_id] for job_id in table.waiting)
         return [job for job in jobs if job.spec.team == self._team.name and job.shortfall > 0]
 
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -60,12 +60,12 @@
 
     def __init__(self, leader: Leader, shard: ShardName, shards: Sequence[ShardName]) -> None:
         self._leader = leader
-        self._ctx = leader.ctx
+        self._term = leader.term
         self._shard = shard
         self._shards = shards
         self._demands = {
-            team.name: TeamDemand(self._ctx, team)
-            for team in self._ctx.teams.values()
+            team.name: TeamDemand(self._term, team)
+            for team in self._term.teams.values()
             if team.cpus_max or team.gpus_max
         }
         self._records: dict[str, _TeamRecord] = {}
@@ -75,7 +75,7 @@
         """Give the teams with what this shard may use as their limits."""
         return {
             name: self._with_part(team) if name in self._demands else team
-            for name, team in self._ctx.teams.items()
+            for name, team in self._term.teams.items()
         }
 
     def _with_part(self, team: Team) -> Team:
@@ -98,7 +98,7 @@
 
     def step(self) -> None:
         """Read the records if they may have changed, and write what has to change."""
-        if not self._demands or not self._ctx.may_begin() or not self._leader.placer.gathered:
+        if not self._demands or not self._term.may_begin() or not self._leader.placer.gathered:
             return
         now = monotonic_now()
         for demand in self._demands.values():
@@ -108,7 +108,7 @@
             self._read_at = now
         changes = {name: wanted for name in self._demands if (wanted := self._change(name))}
         if changes and self._leader.writer.may_write(len(changes)):
-            self._write(dict(list(changes.items())[: self._ctx.store.limits.txn_ops]))
+            self._write(dict(list(changes.items())[: self._term.store.limits.txn_ops]))
 
     def _wants_more(self) -> bool:
         """Tell whether a team's demand is above its part, or a record is in doubt."""
@@ -121,7 +121,7 @@
         return False
 
     def _read(self) -> None:
-        entries = {entry.key: entry for entry in self._ctx.store.listing(ALLOWANCE_PREFIX)[0]}
+        entries = {entry.key: entry for entry in self._term.store.listing(ALLOWANCE_PREFIX)[0]}
         for name in self._demands:
             self._take_in(name, entries.get(_key(name)))
 
@@ -192,19 +192,19 @@
         for name, wanted in changes.items():
             known = self._records[name]
             known.ceiling = known.usable(self._shard).at_most(wanted.of(self._shard))
-        result = self._ctx.store.txn(
-            self._ctx.leadership.fencing_conditions(conditions),
+        result = self._term.store.txn(
+            self._term.leadership.fencing_conditions(conditions),
             [Put(_key(name), wanted) for name, wanted in changes.items()],
         )
-        if self._ctx.leadership.is_superseded(result):
-            self._ctx.lose("fenced")
+        if self._term.leadership.is_superseded(result):
+            self._term.end("fenced")
             return
         self._read_at = MonotonicTime(-1e9)
         if not result.ok:
             return  # another shard changed one of them: all are read again
         for name, wanted in changes.items():
             self._records[name] = _TeamRecord(wanted, KeyVersion(result.revision), None)
-        self._ctx.place.set()
+        self._term.scheduling_needed.set()
 
 
 def _similar(one: Amount, other: Amount, limit: Amount) -> bool:
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -20,7 +20,7 @@
     TaskPhase,
     ran_well,
 )
-from ryewing.state.pending_terminations import Stops
+from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
     DRIFT,
     MAX_TOKEN_BUMPS,
@@ -54,10 +54,16 @@
 class ClusterState:
     """All machines, with what their tasks take of teams' limits."""
 
-    def __init__(self, term: TermNumber, lease_s: float, job_table: JobTable, stops: Stops) -> None:
+    def __init__(
+        self,
+        term: TermNumber,
+        lease_s: float,
+        job_table: JobTable,
+        terminations: PendingTerminations,
+    ) -> None:
         self.term = term
         self.job_table = job_table
-        self.stops = stops
+        self.terminations = terminations
         self.failures = FailureJudge(self)
         self.machines: dict[MachineId, Machine] = {}
         self.fetch_slowdown = 1.0
@@ -120,7 +126,7 @@
         self._planned.discard(assignment)
         if not machine.assignments:
             machine.idle_since = now
-        self.stops.gone(machine.id, assignment.task, assignment.attempt)
+        self.terminations.gone(machine.id, assignment.task, assignment.attempt)
         job = assignment.job
         if job is None:
             return
@@ -218,7 +224,7 @@
     def remove(self, machine: Machine, now: MonotonicTime) -> None:
         """The machine is certainly gone, and everything on it."""
         self.drop_all(machine, now)
-        self.stops.machine_gone(machine.id)
+        self.terminations.machine_gone(machine.id)
         self.machines.pop(machine.id, None)
 
     def drop_all(self, machine: Machine, now: MonotonicTime) -> None:
@@ -234,7 +240,7 @@
         if machine.may_hold_until is None or until > machine.may_hold_until:
             machine.may_hold_until = until
 
-    def unheard(self) -> Iterator[Machine]:
+    def unreconciled(self) -> Iterator[Machine]:
         """Machines that may hold tasks of which this leader can't know."""
         for machine in self.machines.values():
             if machine.recorded and not machine.handshaken and machine.may_hold_until is not None:
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -1,7 +1,7 @@
-"""Stops as tombstones: kept and resent until the worker reports the task gone.
+"""Stops as pending terminations: kept and resent until the worker reports the task gone.
 
-Pure: the clock is passed in. A tombstone names one attempt on one machine, so that however late
-a copy of it arrives, it can't hit a later start of the same task.
+Pure: the clock is passed in. A pending termination names one attempt on one machine, so that
+however late a copy of it arrives, it can't hit a later start of the same task.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 RESEND_S = 1.0
 
 
-class StopReason(enum.StrEnum):
+class TerminationReason(enum.StrEnum):
     """Why a task is stopped."""
 
     CANCELLED = "cancelled"
@@ -28,7 +28,7 @@
     """A replica that is to run elsewhere."""
 
 
-class Tombstone:
+class PendingTermination:
     """One stop that is under way."""
 
     __slots__ = ("attempt", "created_at", "grace_s", "machine", "sent_at", "task", "why")
@@ -39,7 +39,7 @@
         task: TaskId,
         attempt: Attempt,
         grace_s: float,
-        why: StopReason,
+        why: TerminationReason,
         now: MonotonicTime,
     ) -> None:
         self.machine = machine
@@ -55,11 +55,11 @@
         return Command("halt", str(self.task), int(self.attempt), self.grace_s)
 
 
-class Stops:
-    """All tombstones, by machine."""
+class PendingTerminations:
+    """All pending terminations, by machine."""
 
     def __init__(self) -> None:
-        self._by_machine: dict[MachineId, dict[tuple[TaskId, Attempt], Tombstone]] = {}
+        self._by_machine: dict[MachineId, dict[tuple[TaskId, Attempt], PendingTermination]] = {}
 
     def add(
         self,
@@ -67,14 +67,16 @@
         task: TaskId,
         attempt: Attempt,
         grace_s: float,
-        why: StopReason,
+        why: TerminationReason,
         now: MonotonicTime,
     ) -> bool:
         """Ask for a stop; a later ask can only shorten the grace period. True if it is news."""
-        stones = self._by_machine.setdefault(machine, {})
-        old = stones.get((task, attempt))
+        terminations = self._by_machine.setdefault(machine, {})
+        old = terminations.get((task, attempt))
         if old is None:
-            stones[task, attempt] = Tombstone(machine, task, attempt, grace_s, why, now)
+            terminations[task, attempt] = PendingTermination(
+                machine, task, attempt, grace_s, why, now
+            )
             return True
         if grace_s < old.grace_s:
             old.grace_s = grace_s
@@ -91,11 +93,11 @@
         return machine in self._by_machine
 
     def gone(self, machine: MachineId, task: TaskId, attempt: Attempt) -> None:
-        """The worker no longer has the attempt: the tombstone has done its work."""
-        stones = self._by_machine.get(machine)
-        if stones is not None:
-            stones.pop((task, attempt), None)
-            if not stones:
+        """The worker no longer has the attempt: the pending termination has done its work."""
+        terminations = self._by_machine.get(machine)
+        if terminations is not None:
+            terminations.pop((task, attempt), None)
+            if not terminations:
                 del self._by_machine[machine]
 
     def machine_gone(self, machine: MachineId) -> None:
@@ -104,15 +106,15 @@
 
     def commands(self, machine: MachineId, now: MonotonicTime) -> list[Command]:
         """Give every stop of a machine, for a heartbeat response."""
-        stones = self._by_machine.get(machine)
-        if not stones:
+        terminations = self._by_machine.get(machine)
+        if not terminations:
             return []
-        for stone in stones.values():
-            stone.sent_at = now
-        return [stone.command() for stone in stones.values()]
+        for termination in terminations.values():
+            termination.sent_at = now
+        return [termination.command() for termination in terminations.values()]
 
     def due(self, now: MonotonicTime) -> Iterator[MachineId]:
         """Name the machines to which stops have to be (re)sent directly."""
-        for machine, stones in self._by_machine.items():
-            if any(s.sent_at is None or now - s.sent_at >= RESEND_S for s in stones.values()):
+        for machine, terminations in self._by_machine.items():
+            if any(s.sent_at is None or now - s.sent_at >= RESEND_S for s in terminations.values()):
                 yield machine
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -13,7 +13,7 @@
 from ryewing.leader.leader import CUT, CUT_PROBE_S
 from ryewing.leader.state_writer import MACHINE_PREFIX
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
-from ryewing.state.pending_terminations import StopReason
+from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.messages import ListedMachine
 
@@ -80,14 +80,14 @@
     rent(harness)
     harness.write()
     harness.new_leader(6)
-    assert len(harness.leader.ctx.cluster.machines) == 1
+    assert len(harness.leader.term.cluster.machines) == 1
     assert harness.leader.placer.ready_to_place()
 
 
 def test_a_failed_release_leaves_the_machine_in_use(harness: LeaderHarness) -> None:
     """Found on a quiet day: refused for the cloud's rate, machines were left out for good."""
     worker = harness.ready_worker()
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
     def refused(_machines: Any) -> None:
         raise CloudUnavailableError("429")
@@ -120,7 +120,7 @@
         harness.leader.renter.read_list()
         if heard:
             harness.exchange(worker)
-    assert (MachineId(worker.name) in harness.leader.ctx.cluster.machines) is known
+    assert (MachineId(worker.name) in harness.leader.term.cluster.machines) is known
     harness.accept(task_count=8)
     harness.place()
     harness.leader.renter.rent()
@@ -140,7 +140,7 @@
     harness.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    harness.leader.ctx.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire(harness.clock())
     assert len(harness.leader.renter.to_give_up(harness.clock())) == silent
 
 
@@ -157,7 +157,7 @@
         harness.later(2.0)
         for worker in workers[4:]:
             harness.exchange(worker)
-    harness.leader.ctx.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire(harness.clock())
     chosen = harness.leader.renter.to_give_up(harness.clock())
     assert sorted((machine.id, why) for machine, why in chosen) == [
         (worker.name, "silent") for worker in workers[:4]
@@ -176,24 +176,24 @@
 
 def noted_messages(harness: LeaderHarness) -> list[MachineId]:
     """Let direct messages wait in line as they do, and note to which machines they go."""
-    del harness.leader.dispatch.send_soon
+    del harness.leader.worker_commands.schedule_direct_message
     asked: list[MachineId] = []
-    harness.leader.dispatch.send = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
+    harness.leader.worker_commands.send = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
     return asked
 
 
 def test_asking_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
     """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
     harness.ready_workers(100)
-    dispatch = harness.leader.dispatch
+    worker_commands = harness.leader.worker_commands
     asked = noted_messages(harness)
     harness.later(policy().silence_s)
-    dispatch.probe(harness.clock())
-    dispatch.probe(harness.clock())
+    worker_commands.probe(harness.clock())
+    worker_commands.probe(harness.clock())
     assert not asked  # nothing was done while the machines were gone through
-    assert len(dispatch._senders) == MAX_SENDS_IN_FLIGHT
-    dispatch._senders.join()
-    assert sorted(asked) == sorted(harness.leader.ctx.cluster.machines)  # one each, none twice
+    assert len(worker_commands._senders) == MAX_SENDS_IN_FLIGHT
+    worker_commands._senders.join()
+    assert sorted(asked) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
 
 
 def test_tasks_to_stop_do_not_wait_behind_silent_machines(harness: LeaderHarness) -> None:
@@ -203,14 +203,14 @@
     harness.place()
     for worker in workers:
         harness.exchange(worker)
-    dispatch = harness.leader.dispatch
+    worker_commands = harness.leader.worker_commands
     asked = noted_messages(harness)
     harness.later(policy().silence_s)
-    dispatch.probe(harness.clock())
-    [machine] = [m for m in harness.leader.ctx.cluster.machines.values() if m.assignments]
-    harness.leader.take_cancel(JobId("run-1"))
-    assert machine.id not in dispatch._others_waiting
-    dispatch._senders.join()
+    worker_commands.probe(harness.clock())
+    [machine] = [m for m in harness.leader.term.cluster.machines.values() if m.assignments]
+    harness.leader.apply_cancel(JobId("run-1"))
+    assert machine.id not in worker_commands._others_waiting
+    worker_commands._senders.join()
     assert asked[0] == machine.id
     assert len(asked) == 100
 
@@ -218,18 +218,18 @@
 def test_neither_line_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
     """Stops are sent again each second: to silent machines they would have kept all senders."""
     harness.ready_workers(100)
-    dispatch = harness.leader.dispatch
+    worker_commands = harness.leader.worker_commands
     asked = noted_messages(harness)
-    machines = list(harness.leader.ctx.cluster.machines.values())
+    machines = list(harness.leader.term.cluster.machines.values())
     stopping = {machine.id for machine in machines[:60]}
     for name in sorted(stopping):
         task = TaskId(JobId("run-1"), 0)
-        harness.leader.ctx.stops.add(
-            name, task, Attempt(1), 0.0, StopReason.CANCELLED, harness.clock()
+        harness.leader.term.terminations.add(
+            name, task, Attempt(1), 0.0, TerminationReason.CANCELLED, harness.clock()
         )
     for machine in machines:
-        dispatch.send_soon(machine)
-    dispatch._senders.join()
+        worker_commands.schedule_direct_message(machine)
+    worker_commands._senders.join()
     assert len(asked) == len(set(asked)) == 100
     assert [name in stopping for name in asked[:80]] == [True, False] * 40
 
@@ -249,14 +249,14 @@
     """Let time pass in which no worker is heard, and the leader look after things."""
     for _ in range(round(seconds / step_s)):
         harness.later(step_s)
-        harness.leader.tend_once()
+        harness.leader.run_maintenance()
 
 
 def silent_fleet(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """Nine machines that were heard, and a leader that watches over them."""
     monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
     harness.ready_workers(9)
-    harness.leader.tend_once()
+    harness.leader.run_maintenance()
 
 
 def test_a_cut_leader_resigns_once_a_report_and_a_direct_question_were_missed(
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -45,7 +45,7 @@
         """Rent what is wanted, and let it boot; count the requests, and writes once it is up."""
         harness, renter = self.harness, self.harness.leader.renter
         requests = len(harness.cloud.requests)
-        while len(harness.leader.ctx.cluster.machines) < MACHINES:
+        while len(harness.leader.term.cluster.machines) < MACHINES:
             harness.place()
             renter.rent()
         harness.write()
@@ -59,7 +59,7 @@
         return len(harness.cloud.requests) - requests, writes
 
     def _boot(self) -> None:
-        for name, machine in self.harness.leader.ctx.cluster.machines.items():
+        for name, machine in self.harness.leader.term.cluster.machines.items():
             if name not in self.workers:
                 self.workers[name] = FakeWorker(
                     name, machine.machine_type.name, machine.zone, machine.spot
@@ -71,7 +71,7 @@
 
     def planned_send_heartbeats(self) -> None:
         """Let those report for which starts are planned."""
-        machines = self.harness.leader.ctx.cluster.machines
+        machines = self.harness.leader.term.cluster.machines
         phases = {
             name: {assignment.phase for assignment in machine.assignments.values()}
             for name, machine in machines.items()
@@ -124,7 +124,7 @@
     assert requests <= MACHINES // RENT_MAX + 2
     # A value holds some fifty machines; one write each would take minutes of the write rate.
     assert writes <= MACHINES // 40
-    assert all(m.usable() for m in harness.leader.ctx.cluster.machines.values())
+    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
     return found
 
 
@@ -148,9 +148,9 @@
     # A take-over: every machine is heard by its heartbeats, nothing is started again.
     asked: Counter[MachineId] = Counter()
     leader = harness.new_leader(7)
-    leader.dispatch.send_soon = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
-    job = leader.ctx.job_table.jobs[JobId("run-1")]
-    assert len(leader.ctx.cluster.machines) == MACHINES
+    leader.worker_commands.schedule_direct_message = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
+    job = leader.term.job_table.jobs[JobId("run-1")]
+    assert len(leader.term.cluster.machines) == MACHINES
     assert not leader.placer.ready_to_place()
     for _ in range(2):
         fleet.all_send_heartbeats()
@@ -158,7 +158,7 @@
     fleet.all_send_heartbeats()
     assert (job.running, job.shortfall) == (TASKS, 0)
     assert set(fleet.started.values()) == {1}
-    leader.dispatch.probe(harness.clock())
+    leader.worker_commands.probe(harness.clock())
     assert not asked
 
     # A zone falls silent: too many at once to be released, so each is kept for as long as the
@@ -170,7 +170,7 @@
     for look in range(LOOKS):
         harness.later(3.0)
         fleet.all_send_heartbeats()
-        leader.tend_once()
+        leader.run_maintenance()
         harness.place()
         given_up = leader.renter.to_give_up(harness.clock())
         assert not any(machine.may_hold_until for machine, _why in given_up)
@@ -208,7 +208,7 @@
         if renter.listing.due(harness.clock()):
             renter.read_list()
             pages += 1
-    assert len(harness.leader.ctx.cluster.machines) == machines
+    assert len(harness.leader.term.cluster.machines) == machines
     assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
     assert pages >= -(-machines // PAGE_MAX)
 
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -45,7 +45,7 @@
     harness.accept()
     harness.ready(worker)
     harness.place()
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     guards: list[tuple[Callable[[], None], Callable[[], None]]] = [
         (
             lambda: setattr(machine, "acknowledged", -1),
@@ -92,8 +92,8 @@
     answer = harness.leader.on_heartbeat(worker.heartbeat())  # this answer is lost on its way
     assert answer is not None
     assert len(starts(answer.commands)) == 1
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    harness.leader.dispatch.send(machine)  # the body of /orders does not show the task
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
+    harness.leader.worker_commands.send(machine)  # the body of /orders does not show the task
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
     harness.leader.placer.run_pass()
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
@@ -104,12 +104,13 @@
 def test_a_nudge_raises_the_token_and_every_later_answer_carries_it(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     asked: list[str] = []
-    harness.leader.dispatch.send_soon = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
+    commands = harness.leader.worker_commands
+    commands.schedule_direct_message = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
     harness.accept(task_count=2)
     harness.place()
     assert asked == [worker.name]
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    harness.leader.dispatch.send(machine)
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
+    harness.leader.worker_commands.send(machine)
     assert worker.token == fencing_token(TermNumber(5), 1)
     assert len(starts(harness.exchange(worker))) == 2  # a lower token would be dropped
     harness.accept("run-2", task_count=1)
@@ -130,7 +131,9 @@
     harness.place()
     assert harness.leader.on_heartbeat(worker.heartbeat()) is not None  # lost on its way
     worker.incarnation += 1
-    harness.leader.dispatch.send(harness.leader.ctx.cluster.machines[MachineId(worker.name)])
+    harness.leader.worker_commands.send(
+        harness.leader.term.cluster.machines[MachineId(worker.name)]
+    )
     assert harness.assignments() == {}
 
 
@@ -177,13 +180,13 @@
     harness.exchange(worker)
     harness.new_leader(6)
     assert not harness.leader.placer.ready_to_place()  # a recorded machine has not been heard
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    harness.leader.dispatch.send(machine)  # the handshake
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
+    harness.leader.worker_commands.send(machine)  # the handshake
     assert machine.handshaken
     assert worker.token == fencing_token(TermNumber(6))
     assert harness.leader.placer.ready_to_place()
     harness.leader.placer.run_pass()
-    found = harness.leader.ctx.job_table.get(job)
+    found = harness.leader.term.job_table.get(job)
     assert found is not None
     assert found.shortfall == 0
     assert len(harness.assignments()) == 3
@@ -212,12 +215,12 @@
     bound = policy().hold_s + settings().params.workers.lease_s
     harness.later(bound - policy().gather_s - 0.5)
     harness.exchange(heard)
-    harness.leader.ctx.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire(harness.clock())
     harness.leader.placer.run_pass()
     assert ("run-1/0" in harness.assignments("i-000002")) is (free_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
-    harness.leader.ctx.cluster.expire(harness.clock())  # old hold and one lease are over
+    harness.leader.term.cluster.expire(harness.clock())  # old hold and one lease are over
     harness.leader.placer.run_pass()
     assert "run-1/0" in harness.assignments("i-000002")
 
@@ -298,7 +301,7 @@
 def test_a_cancel_halts_and_never_starts_again(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=12)
-    assert harness.leader.take_cancel(job)
+    assert harness.leader.apply_cancel(job)
     entry = harness.store.get(live_key(job))
     assert entry is not None
     record = msgspec.json.decode(entry.data, type=JobRecord)
@@ -306,7 +309,7 @@
     harness.store.txn({}, [Put(live_key(job), record)])
     entry = harness.store.get(live_key(job))
     assert entry is not None
-    harness.leader.intake.job_set(entry.key, entry.data, KeyVersion(entry.key_version))
+    harness.leader.job_watcher.apply_record(entry.key, entry.data, KeyVersion(entry.key_version))
     assert verbs(harness.exchange(worker)) == ["halt"] * 8
     harness.exchange(worker)
     harness.place()
@@ -347,7 +350,7 @@
     assignment = {attempt for worker in workers for _, attempt in worker.tasks}
     assert assignment == attempts
     assert sum(len(worker.tasks) for worker in workers) == 2
-    found = harness.leader.ctx.job_table.get(job)
+    found = harness.leader.term.job_table.get(job)
     assert found is not None
     assert found.shortfall == 0
 
@@ -415,7 +418,7 @@
     harness.end(worker)
     harness.write()
     harness.new_leader(6)
-    found = harness.leader.ctx.job_table.get(job)
+    found = harness.leader.term.job_table.get(job)
     assert found is not None
     assert (found.done_count, found.shortfall) == (8, 4)
 
@@ -430,9 +433,9 @@
     told.machines[worker.name].append(5)  # a place that there is not
     again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
     leader = harness.new_leader(6, again)
-    assert leader.ctx.cluster.machines[MachineId(worker.name)].warmth("img-7") == WARM
-    assert leader.ctx.cluster.machines[MachineId(worker.name)].warmth("img-8") == COLD
-    assert MachineId("i-000999") not in leader.ctx.cluster.machines
+    assert leader.term.cluster.machines[MachineId(worker.name)].warmth("img-7") == WARM
+    assert leader.term.cluster.machines[MachineId(worker.name)].warmth("img-8") == COLD
+    assert MachineId("i-000999") not in leader.term.cluster.machines
 
 
 def test_one_of_two_candidates_wins(harness: LeaderHarness) -> None:
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -158,8 +158,8 @@
     )
     harness.store.txn({}, [Put("m/10", {"i-000001": MachineRecord("c32", "a")})])
     leader = harness.new_leader(6)
-    assert leader.ctx.job_table.jobs[job].done_count == 2
-    machine = leader.ctx.cluster.machines[MachineId("i-000001")]
+    assert leader.term.job_table.jobs[job].done_count == 2
+    machine = leader.term.cluster.machines[MachineId("i-000001")]
     assert machine.recorded
     assert machine.may_hold_until is not None
     harness.write()
@@ -276,12 +276,12 @@
         large, small = small, large
     harness.narrow(value_kb=1.0)
     for name in (large, small):
-        harness.leader.ctx.job_table.jobs[name].finish(1)
-        harness.leader.ctx.job_table.touch(harness.leader.ctx.job_table.jobs[name])
+        harness.leader.term.job_table.jobs[name].finish(1)
+        harness.leader.term.job_table.touch(harness.leader.term.job_table.jobs[name])
     for _ in range(12):
         harness.leader.writer.write_once()
-    assert not harness.leader.ctx.job_table.jobs[small].unwritten
-    assert harness.leader.ctx.job_table.jobs[large].unwritten
+    assert not harness.leader.term.job_table.jobs[small].unwritten
+    assert harness.leader.term.job_table.jobs[large].unwritten
     refused = len(harness.store.rejected)
     for _ in range(5):
         harness.leader.writer.write_once()
@@ -289,7 +289,7 @@
     harness.later(ASIDE_S + 1)
     harness.narrow(value_kb=8.0)
     harness.write()
-    assert not harness.leader.ctx.job_table.jobs[large].unwritten
+    assert not harness.leader.term.job_table.jobs[large].unwritten
 
 
 @pytest.mark.parametrize("limits", [{"txn_ops": 3}, {"value_kb": 1.0}, {"txn_ops": 2}])
@@ -303,7 +303,7 @@
         harness.exchange(worker)
     for n, worker in enumerate(workers):
         worker.machine_type = worker.machine_type
-        harness.leader.ctx.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
+        harness.leader.term.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
         harness.leader.writer.to_record.add(MachineId(worker.name))
         harness.end(worker)
     harness.write()
@@ -489,4 +489,4 @@
     before = harness.store.writes
     harness.ready(*workers)
     assert harness.store.writes - before <= machines / 10 + 2
-    assert all(machine.recorded for machine in harness.leader.ctx.cluster.machines.values())
+    assert all(machine.recorded for machine in harness.leader.term.cluster.machines.values())
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -52,7 +52,7 @@
     harness.ready(one, other)
     name = serve(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
-    assert harness.leader.poll(name) == harness.leader.ctx.job_table.jobs[name].status()
+    assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(RAN_WELL_S + 1)
     for worker in (one, other):
         if worker.tasks:
@@ -93,7 +93,7 @@
     name = harness.accept(**SERVICE, task_count=2)
     harness.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
     leader = harness.new_leader(6)
-    assert leader.ctx.job_table.jobs[name].shortfall == 2
+    assert leader.term.job_table.jobs[name].shortfall == 2
     harness.write()
     assert harness.store.get(final_key(name)) is None
     assert not harness.finals
@@ -113,7 +113,7 @@
 ) -> None:
     workers = harness.ready_workers(8)
     name = harness.accept(**SERVICE, task_count=6)
-    service = harness.leader.ctx.job_table.jobs[name]
+    service = harness.leader.term.job_table.jobs[name]
     begun = 0
     for _ in range(200):
         harness.place()
@@ -124,7 +124,7 @@
         harness.later(1.0)
     assert service.backoff_s == 60.0
     assert begun < 60
-    assert not any(m.faults or m.quarantined for m in harness.leader.ctx.cluster.machines.values())
+    assert not any(m.faults or m.quarantined for m in harness.leader.term.cluster.machines.values())
     harness.later(61.0)
     for worker in workers * 2:
         harness.exchange(worker)
@@ -147,7 +147,7 @@
     """It has finished nothing, ever: judged by that, three bad machines backed it off."""
     workers = harness.ready_workers(6)
     name = serve(harness, *workers, task_count=32, cpus=8.0)
-    service = harness.leader.ctx.job_table.jobs[name]
+    service = harness.leader.term.job_table.jobs[name]
     assert len(set(service.live.values())) == 6
     harness.later(RAN_WELL_S + 1)
     for worker in workers:
@@ -160,7 +160,7 @@
             harness.exchange(bad)
             harness.exchange(bad)
     assert not service.backoff_s
-    cluster = harness.leader.ctx.cluster
+    cluster = harness.leader.term.cluster
     assert cluster.machines[MachineId(workers[0].name)].faults
 
 
@@ -330,7 +330,7 @@
 def test_a_cancelled_service_ends_everywhere(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
     name = serve(harness, *workers, task_count=3)
-    assert harness.leader.take_cancel(name)
+    assert harness.leader.apply_cancel(name)
     for worker in workers * 2:
         harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
@@ -346,8 +346,8 @@
 ) -> None:
     worker = harness.ready_worker()
     sent: list[MachineId] = []
-    harness.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    harness.leader.worker_commands.schedule_direct_message = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.later(2.4)
     harness.accept("run-8")
     harness.place()
@@ -360,15 +360,15 @@
 def test_how_soon_a_worker_reports(harness: LeaderHarness) -> None:
     """A nudge brings a heartbeat in half a second; not while a response is under way, nor twice."""
     worker = harness.ready_worker()
-    dispatch = harness.leader.dispatch
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    assert dispatch.next_heartbeat_in_s(machine, harness.clock()) == 0.5
+    worker_commands = harness.leader.worker_commands
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
+    assert worker_commands.next_heartbeat_in_s(machine, harness.clock()) == 0.5
     harness.begin(worker, task_count=1)
     machine.token_bumped_at = None
-    assert dispatch.next_heartbeat_in_s(machine, harness.clock()) == 3.0
+    assert worker_commands.next_heartbeat_in_s(machine, harness.clock()) == 3.0
     harness.exchange(worker)
     machine.token_bumped_at = harness.clock()
-    assert dispatch.next_heartbeat_in_s(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
+    assert worker_commands.next_heartbeat_in_s(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
 
 
 def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
@@ -377,7 +377,7 @@
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
-    service = harness.leader.ctx.job_table.jobs[name]
+    service = harness.leader.term.job_table.jobs[name]
     assert not service.backoff_s
     assert not service.failed_on
     harness.later(1.5)
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -24,7 +24,7 @@
 from ryewing.state.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
 from ryewing.state.machine import TaskPhase
 from ryewing.state.paged_records import PagedRecords
-from ryewing.state.pending_terminations import Stops
+from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
     Attempt,
     JobId,
@@ -49,7 +49,7 @@
 
     def __init__(self, size: int) -> None:
         self.job_table = JobTable()
-        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, Stops())
+        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, PendingTerminations())
         for n in range(size):
             machine_type = GPU if n % 4 == 0 else CPU
             machine = self.cluster.add(
@@ -203,10 +203,10 @@
     before = harness.store.writes
     harness.ready(*workers)
     assert harness.store.writes - before <= size // 20 + 1
-    assert all(m.usable() for m in harness.leader.ctx.cluster.machines.values())
+    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
     harness.new_leader(6)
-    assert len(harness.leader.ctx.cluster.machines) == size
-    assert all(m.recorded for m in harness.leader.ctx.cluster.machines.values())
+    assert len(harness.leader.term.cluster.machines) == size
+    assert all(m.recorded for m in harness.leader.term.cluster.machines.values())
 
 
 @pytest.mark.parametrize("jobs", [8, 64, 256])
@@ -216,27 +216,27 @@
         name = JobId(f"run-{n}")
         record = JobRecord(job_spec(str(name), task_count=800), 0.0)
         result = harness.store.txn({}, [Put(live_key(name), record)])
-        found = harness.leader.ctx.job_table.put(record, KeyVersion(result.revision))
+        found = harness.leader.term.job_table.put(record, KeyVersion(result.revision))
         found.finish(n)
-        harness.leader.ctx.job_table.touch(found)
+        harness.leader.term.job_table.touch(found)
     before = harness.store.writes
     harness.write()
     assert harness.store.writes - before <= jobs // 16 + 1
-    assert not any(one.unwritten for one in harness.leader.ctx.job_table)
+    assert not any(one.unwritten for one in harness.leader.term.job_table)
     harness.new_leader(6)
-    assert all(one.done_count == 1 for one in harness.leader.ctx.job_table)
+    assert all(one.done_count == 1 for one in harness.leader.term.job_table)
 
 
 def test_finishes_of_jobs_that_are_gone_do_not_stop_a_take_over(harness: LeaderHarness) -> None:
     """Found on a rough day: dropping them while reading ended every term at its beginning."""
     for n in range(3):
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
-        found = harness.leader.ctx.job_table.put(record, KeyVersion(1))
+        found = harness.leader.term.job_table.put(record, KeyVersion(1))
         found.finish(0)
-        harness.leader.ctx.job_table.touch(found)
+        harness.leader.term.job_table.touch(found)
     harness.write()
     harness.new_leader(6)  # none of the jobs is in the store
-    assert not harness.leader.ctx.job_table.jobs
+    assert not harness.leader.term.job_table.jobs
     harness.write()
     assert all(bytes(entry.data) == b"{}" for entry in harness.store.listing(DONE_PREFIX)[0])
 
@@ -279,7 +279,7 @@
     for worker in workers * 2:
         harness.exchange(worker)
     sent: list[MachineId] = []
-    harness.leader.dispatch.send_soon = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
+    harness.leader.worker_commands.schedule_direct_message = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
     for worker in workers:
         harness.end(worker)
     harness.write()
@@ -291,11 +291,11 @@
 def test_no_more_machines_count_as_gone_than_one_request_releases(harness: LeaderHarness) -> None:
     """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
     harness.ready_workers(250)
-    machines = list(harness.leader.ctx.cluster.machines.values())
+    machines = list(harness.leader.term.cluster.machines.values())
     harness.leader.renter.release([(machine, "silent") for machine in machines])
     assert len(harness.cloud.released) == RELEASE_MAX
-    assert len(harness.leader.ctx.cluster.machines) == 250 - RELEASE_MAX
-    assert not any(m.leaving for m in harness.leader.ctx.cluster.machines.values())
+    assert len(harness.leader.term.cluster.machines) == 250 - RELEASE_MAX
+    assert not any(m.leaving for m in harness.leader.term.cluster.machines.values())
 
 
 # -- records that share a value -----------------------------------------------------------------
@@ -379,7 +379,7 @@
     [(conditions, writes)] = held_back
     assert not real(conditions, writes).ok  # type: ignore[arg-type]
     harness.new_leader(6)
-    assert set(harness.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
+    assert set(harness.leader.term.cluster.machines) == {"i-000001", "i-000002"}
 
 
 def test_a_write_that_was_applied_unseen_is_found_out(harness: LeaderHarness) -> None:
@@ -391,6 +391,6 @@
     harness.store.lose_answers = False
     hear(harness, second)
     harness.write()
-    assert all(m.recorded for m in harness.leader.ctx.cluster.machines.values())
+    assert all(m.recorded for m in harness.leader.term.cluster.machines.values())
     harness.new_leader(6)
-    assert set(harness.leader.ctx.cluster.machines) == {"i-000001", "i-000002"}
+    assert set(harness.leader.term.cluster.machines) == {"i-000001", "i-000002"}
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -47,7 +47,7 @@
         ListedMachine("i-000004", "c32", "b", "failed"),
     ]
     east.leader.renter.read_list()
-    assert sorted(east.leader.ctx.cluster.machines) == ["i-000001", "i-000003"]
+    assert sorted(east.leader.term.cluster.machines) == ["i-000001", "i-000003"]
     assert not east.cloud.released
 
 
@@ -67,24 +67,24 @@
     record = JobRecord(job_spec("run-7"), 0.0, shard=shard)
     result = east.store.txn({}, [Put(live_key(JobId("run-7")), record)])
     raw = msgspec.Raw(msgspec.json.encode(record))
-    east.leader.intake.job_set("j/run-7", raw, KeyVersion(result.revision))
-    assert not east.leader.ctx.job_table.jobs
-    assert not east.new_leader(6).ctx.job_table.jobs
+    east.leader.job_watcher.apply_record("j/run-7", raw, KeyVersion(result.revision))
+    assert not east.leader.term.job_table.jobs
+    assert not east.new_leader(6).term.job_table.jobs
 
 
 def test_a_sealed_term_begins_nothing_and_goes_on_answering(east: LeaderHarness) -> None:
     worker = east.ready_worker()
     east.accept(task_count=2)
     east.place()
-    east.leader.ctx.sealed = True
+    east.leader.term.sealed = True
     assert starts(east.exchange(worker)) == []
     assert east.leader.on_heartbeat(worker.heartbeat()) is not None
-    machine = east.leader.ctx.cluster.machines[next(iter(east.leader.ctx.cluster.machines))]
+    machine = east.leader.term.cluster.machines[next(iter(east.leader.term.cluster.machines))]
     east.leader.renter.release([(machine, "idle")])
     east.leader.renter.pending_requests.clear()
     assert not east.cloud.released
-    assert not east.leader.ctx.may_begin()
-    east.leader.ctx.sealed = False
+    assert not east.leader.term.may_begin()
+    east.leader.term.sealed = False
     assert len(starts(east.exchange(worker))) == 2
 
 
@@ -112,7 +112,7 @@
 
 def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
     leader, params = east.leader, east.settings.params
-    renter = Renter(leader.ctx, leader.writer, leader.dispatch, leader.placer)
+    renter = Renter(leader.term, leader.writer, leader.worker_commands, leader.placer)
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
     rates = {
@@ -120,7 +120,7 @@
         "cloud": (renter.cloud.bucket.rate, 0.8 * params.cloud.rps),
         "list": (leader.renter.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
-            leader.dispatch._early_heartbeat_bucket.rate,
+            leader.worker_commands._early_heartbeat_bucket.rate,
             60.0 * params.resources.core_share,
         ),
     }
@@ -134,7 +134,7 @@
     limit = 0.25 * 0.5 * east.settings.params.resources.mem_mb * 1e6 / 4096
     for number in range(round(limit) + 1):
         record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
-        east.leader.ctx.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
+        east.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
     assert east.leader.full()
 
 
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -16,7 +16,7 @@
 from ryewing.clients.http_client import Reply
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.election.leadership import campaign, may_campaign, read_election_record
-from ryewing.leader.worker_commands import ORDERS_MAX
+from ryewing.leader.worker_commands import MAX_COMMANDS
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, TermNumber, fencing_token
 from ryewing.wire.messages import Heartbeat, RentalRequest, ReportedTask
@@ -47,7 +47,7 @@
     harness.accept(task_count=4)
     assert placed_in_rounds(harness, deaf, 12) == 1
     assert harness.assignments() == {}
-    machine = harness.leader.ctx.cluster.machines[MachineId(deaf.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(deaf.name)]
     assert not machine.usable()
     assert machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
@@ -118,7 +118,7 @@
     harness.begin(worker, task_count=2)
     newest = worker.heartbeat()
     harness.leader.on_heartbeat(newest)
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     heard_at, until = machine.heard_at, machine.may_hold_until
     assert heard_at is not None
     assert until is not None
@@ -126,7 +126,7 @@
     if alive:
         harness.exchange(worker)
         heard_at, until = machine.heard_at, machine.may_hold_until
-    harness.leader.ctx.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire(harness.clock())
     gone = not alive and age_s > LEASE_S
     copy_of = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
@@ -151,11 +151,11 @@
     harness.exchange(worker)
     held_back = worker.heartbeat()
     harness.later(LEASE_S + 1.0)
-    harness.leader.ctx.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire(harness.clock())
     assert harness.assignments() == {}
     assert harness.leader.on_heartbeat(held_back) is None
     assert harness.assignments() == {}
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     assert machine.may_hold_until is None
     worker.incarnation += 1  # whereas the worker itself would come in a new incarnation
     worker.tasks.clear()
@@ -184,10 +184,10 @@
     late = worker.heartbeat()
     harness.new_leader(6)
     assert harness.leader.on_heartbeat(late) is not None  # it might be the worker itself
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     assert not machine.handshaken
     assert not machine.usable()
-    found = harness.leader.ctx.job_table.get(job)
+    found = harness.leader.term.job_table.get(job)
     assert found is not None
     assert found.shortfall == 0
     for _ in range(4):
@@ -195,7 +195,7 @@
         assert harness.leader.on_heartbeat(copy.deepcopy(late)) is None
     bound = policy().hold_s + LEASE_S
     harness.later(bound)
-    harness.leader.ctx.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire(harness.clock())
     assert found.shortfall == 1  # and no longer than it may
     assert harness.leader.on_heartbeat(copy.deepcopy(late)) is None
     assert found.shortfall == 1
@@ -215,8 +215,8 @@
     for _ in range(4):
         answer = harness.leader.on_heartbeat(copy.deepcopy(late))
         assert answer is None or not answer.commands
-        assert not harness.leader.ctx.cluster.machines
-        found = harness.leader.ctx.job_table.get(job)
+        assert not harness.leader.term.cluster.machines
+        found = harness.leader.term.job_table.get(job)
         assert found is not None
         assert found.shortfall == 1
         harness.write()
@@ -226,7 +226,7 @@
     harness.exchange(worker)
     assert found is not None
     assert found.shortfall == 0
-    assert MachineId(worker.name) in harness.leader.ctx.cluster.machines
+    assert MachineId(worker.name) in harness.leader.term.cluster.machines
 
 
 def test_a_restarted_worker_is_told_by_its_direct_answer(harness: LeaderHarness) -> None:
@@ -242,12 +242,12 @@
     harness.later(0.3)
     harness.leader.on_heartbeat(worker.heartbeat())
     assert len(harness.assignments()) == 2  # not believed yet
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
-    harness.leader.dispatch.send(machine)
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
+    harness.leader.worker_commands.send(machine)
     assert harness.assignments() == {}
     assert machine.handshaken
     harness.leader.on_heartbeat(copy.deepcopy(old))  # a late copy from before
-    harness.leader.dispatch.send(machine)
+    harness.leader.worker_commands.send(machine)
     assert harness.assignments() == {}
     harness.place()
     assert list(harness.assignments().values()) == [TaskPhase.PLANNED, TaskPhase.PLANNED]
@@ -257,7 +257,7 @@
     worker = harness.ready_worker()
     harness.begin(worker, task_count=2)
     harness.exchange(worker)
-    machine = harness.leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
     class Overtaken:
         """The heartbeat that follows the answer arrives before it."""
@@ -267,8 +267,8 @@
             harness.exchange(worker)
             return answer
 
-    harness.leader.dispatch.workers = Overtaken()  # type: ignore[assignment]
-    harness.leader.dispatch.send(machine)
+    harness.leader.worker_commands.workers = Overtaken()  # type: ignore[assignment]
+    harness.leader.worker_commands.send(machine)
     assert list(harness.assignments().values()) == [TaskPhase.RUNNING, TaskPhase.RUNNING]
 
 
@@ -346,10 +346,10 @@
     job = harness.accept(task_count=4)
     harness.place()
     leader = harness.leader
-    machine = leader.ctx.cluster.machines[MachineId(worker.name)]
+    machine = leader.term.cluster.machines[MachineId(worker.name)]
     if act == "halt":
         harness.exchange(worker)
-        leader.intake.take_cancel(job)  # a stop for each task, to be sent directly
+        leader.job_watcher.apply_cancel(job)  # a stop for each task, to be sent directly
     harness.later(policy().hold_s + 1.0 if act == "halt" else 5.0, renewed=False)
     if act == "start":
         answer = leader.on_heartbeat(worker.heartbeat())
@@ -370,11 +370,11 @@
     elif act == "tell":
         assert leader.poll(job) is None
     else:
-        leader.dispatch.send(machine)
-        assert not leader.dispatch.workers.sent  # type: ignore[attr-defined]
+        leader.worker_commands.send(machine)
+        assert not leader.worker_commands.workers.sent  # type: ignore[attr-defined]
         harness.later(0.0)
-        leader.dispatch.send(machine)  # as it would have been sent in time
-        assert len(leader.dispatch.workers.sent) == 4  # type: ignore[attr-defined]
+        leader.worker_commands.send(machine)  # as it would have been sent in time
+        assert len(leader.worker_commands.workers.sent) == 4  # type: ignore[attr-defined]
 
 
 def test_a_worker_that_has_moved_over_ends_the_old_term(harness: LeaderHarness) -> None:
@@ -433,12 +433,14 @@
     heartbeats = [held_back, runs.heartbeat()]
     for heartbeat in heartbeats if old_first else reversed(heartbeats):
         assert harness.leader.on_heartbeat(heartbeat) is not None
-    found = harness.leader.ctx.job_table.get(name)
+    found = harness.leader.term.job_table.get(name)
     assert found is not None
     assert found.shortfall == 0
     if cancelled:
-        harness.leader.take_cancel(name)
-        harness.leader.dispatch.send(harness.leader.ctx.cluster.machines[MachineId(runs.name)])
+        harness.leader.apply_cancel(name)
+        harness.leader.worker_commands.send(
+            harness.leader.term.cluster.machines[MachineId(runs.name)]
+        )
         assert [reported.status for reported in runs.tasks.values()] == [
             "ended"
         ]  # by a direct halt
@@ -471,7 +473,7 @@
     was.tasks.clear()
     harness.exchange(was)
     harness.write()
-    assert not harness.leader.ctx.job_table.dirty
+    assert not harness.leader.term.job_table.dirty
     assert not harness.lost
 
 
@@ -479,12 +481,12 @@
     """One answer holds so many commands; a cancelled task goes first."""
     worker = harness.ready_worker()
     harness.begin(worker, "run-1", task_count=1)
-    for number in range(ORDERS_MAX + 50):
+    for number in range(MAX_COMMANDS + 50):
         key = f"run-9/{number}"
         worker.tasks[key, 1] = ReportedTask(key, 1, "ended", "stopped")
     harness.exchange(worker)
-    for number in range(ORDERS_MAX + 50):
+    for number in range(MAX_COMMANDS + 50):
         key = f"run-9/{number}"
         worker.tasks[key, 2] = ReportedTask(key, 2, "ended", "stopped")
-    harness.leader.take_cancel(JobId("run-1"))
+    harness.leader.apply_cancel(JobId("run-1"))
     assert "halt" in verbs(harness.exchange(worker))
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -19,7 +19,7 @@
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import Job, JobRecord, JobTable
 from ryewing.state.machine import Assignment, TaskPhase
-from ryewing.state.pending_terminations import Stops
+from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
     Attempt,
     KeyVersion,
@@ -40,7 +40,7 @@
 
     def __init__(self, machines: int, small: dict[str, Any], waiting: int) -> None:
         self.job_table = JobTable()
-        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, Stops())
+        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, PendingTerminations())
         self.now = 0.0
         self.small = small
         self.waiting = waiting
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -275,10 +275,10 @@
     dear = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
     harness.ready(*dear)
     serve(harness, *dear, task_count=8)
-    harness.leader.ctx.began = MonotonicTime(harness.clock() - 10_000.0)
+    harness.leader.term.began_at = MonotonicTime(harness.clock() - 10_000.0)
     plain = harness.worker("i-000009")
     harness.ready(plain)
-    cluster = harness.leader.ctx.cluster
+    cluster = harness.leader.term.cluster
     cluster.machines[MachineId(plain.name)].record_image("img-s", 2.0)
     for worker in dear:
         machine = cluster.machines[MachineId(worker.name)]
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -174,7 +174,7 @@
     cluster = limited
     leader = cluster.leader("n-0", EAST)
     assert leader is not None
-    limits = leader.ctx.team_limits
+    limits = leader.term.team_limits
     assert isinstance(limits, ShardTeamLimits)
 
     def part() -> float:
@@ -246,7 +246,7 @@
     worker = harness.worker("i-000001", machine_type="g4", zone="a")
     harness.ready(worker)
     successor = harness.new_leader(6)
-    demand = TeamDemand(successor.ctx, Team("red", gpus_max=LIMIT))
+    demand = TeamDemand(successor.term, Team("red", gpus_max=LIMIT))
     assert demand.in_use() == Amount(gpus=GPU.gpus)
     harness.ready(worker)
     assert demand.in_use() == Amount()
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -54,10 +54,10 @@
     harness.store = shard(whole, "west")  # type: ignore[assignment]
     harness.scope = TermScope(ShardName("west"), frozenset({Zone("b")}))
     west = harness.new_leader(other_term)
-    assert not west.ctx.cluster.machines
-    assert not west.ctx.job_table.jobs
-    assert read_election_record(west.ctx.store).term == other_term
-    assert west.ctx.store.get(HOLDER_KEY) is None
+    assert not west.term.cluster.machines
+    assert not west.term.job_table.jobs
+    assert read_election_record(west.term.store).term == other_term
+    assert west.term.store.get(HOLDER_KEY) is None
 
     harness.leader, harness.store = east, shard(whole, "east")  # type: ignore[assignment]
     harness.place()
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -212,7 +212,7 @@
     cluster.run(8.0)
     leader = cluster.leader("n-2", EAST)
     assert leader is not None
-    assert leader.term == 2
+    assert leader.term.number == 2
 
 
 def a_health_key_is_lost(cluster: Cluster) -> None:
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -18,7 +18,7 @@
 
 def live_job(harness: LeaderHarness, ref: str, **changes: object) -> Job:
     """A job that was accepted."""
-    found = harness.leader.ctx.job_table.get(harness.accept(ref, **changes))
+    found = harness.leader.term.job_table.get(harness.accept(ref, **changes))
     assert found is not None
     return found
 
@@ -43,7 +43,7 @@
 
 def set_aside(harness: LeaderHarness) -> list[str]:
     """Name the machines that are thought to be faulty."""
-    return [m.id for m in harness.leader.ctx.cluster.machines.values() if m.quarantined]
+    return [m.id for m in harness.leader.term.cluster.machines.values() if m.quarantined]
 
 
 def test_a_whole_batch_that_fails_is_one_step(
@@ -57,7 +57,7 @@
     lines = [record.getMessage() for record in caplog.records]
     assert sum("event=backed-off" in line for line in lines) == 1
     assert sum("event=task-failed" in line for line in lines) <= len(workers)
-    assert not any(m.faults for m in harness.leader.ctx.cluster.machines.values())
+    assert not any(m.faults for m in harness.leader.term.cluster.machines.values())
 
 
 def test_what_was_not_sent_yet_need_not_fail_as_well(harness: LeaderHarness) -> None:
@@ -119,7 +119,7 @@
     workers = harness.ready_workers(2)
     job = live_job(harness, "run-1", task_count=60)
     job.finish(59)
-    harness.leader.ctx.job_table.touch(job)
+    harness.leader.term.job_table.touch(job)
     harness.write()
     harness.place()
     assert len(set(job.live.values())) == 2
@@ -192,9 +192,9 @@
     job = live_job(harness, "run-1", task_count=8)
     harness.place()
     fail_all(harness, workers[:1])
-    machine = harness.leader.ctx.cluster.machines[MachineId(workers[0].name)]
+    machine = harness.leader.term.cluster.machines[MachineId(workers[0].name)]
     assert machine.faults == {job.id}
-    harness.leader.take_cancel(job.id)
+    harness.leader.apply_cancel(job.id)
     assert not machine.faults
 
 
@@ -204,7 +204,7 @@
     job = failed_job(harness, workers)
     sound = live_job(harness, "run-2", task_count=2)
     sound.finish(0)
-    harness.leader.ctx.job_table.touch(sound)
+    harness.leader.term.job_table.touch(sound)
     harness.write()
     told = harness.leader.image_locality()
     assert told.failing == {job.id: BACKOFF_MIN_S}
@@ -212,10 +212,10 @@
     told.failing["run-999"] = 60.0  # gone meanwhile
     again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
     leader = harness.new_leader(6, again)
-    assert not leader.ctx.job_table.jobs[sound.id].backoff_s
+    assert not leader.term.job_table.jobs[sound.id].backoff_s
     harness.ready(*workers)
     harness.place()
-    inherited = leader.ctx.job_table.jobs[JobId("run-1")]
+    inherited = leader.term.job_table.jobs[JobId("run-1")]
     assert len(inherited.live) == 1
     fail_all(harness, workers)
     assert inherited.backoff_s == 2 * BACKOFF_MIN_S
@@ -228,7 +228,7 @@
     harness.exchange(worker)
     worker.finish("error")
     harness.exchange(worker)
-    assert harness.leader.ctx.cluster.machines[MachineId(worker.name)].quarantined
+    assert harness.leader.term.cluster.machines[MachineId(worker.name)].quarantined
 
 
 def test_a_job_that_fails_everywhere_backs_off(harness: LeaderHarness) -> None:
@@ -240,7 +240,7 @@
     for worker in workers:
         worker.finish("error")
         harness.exchange(worker)
-    found = harness.leader.ctx.job_table.get(job)
+    found = harness.leader.term.job_table.get(job)
     assert found is not None
     first = found.backoff_s
     assert found.backoff_until > harness.clock()
@@ -255,7 +255,7 @@
     assert sum(len(harness.assignments(worker.name)) for worker in workers) == 1  # one tells
     harness.leader.renter.rent()
     assert not harness.cloud.requests
-    assert not any(m.quarantined for m in harness.leader.ctx.cluster.machines.values())
+    assert not any(m.quarantined for m in harness.leader.term.cluster.machines.values())
 
 
 @pytest.mark.parametrize(("faulty", "others", "at_fault"), [(3, 0, True), (3, 5, False)])
@@ -264,7 +264,7 @@
 ) -> None:
     """Among hundreds of machines it met three at once, and cleared each of its fault."""
     workers = harness.ready_workers(faulty + others)
-    found = harness.leader.ctx.job_table.get(harness.accept(task_count=8 * len(workers)))
+    found = harness.leader.term.job_table.get(harness.accept(task_count=8 * len(workers)))
     harness.place()
     for worker in workers * 2:
         harness.exchange(worker)
@@ -273,5 +273,5 @@
         harness.exchange(worker)
     assert found is not None
     assert bool(found.backoff_s) is at_fault
-    suspects = [m for m in harness.leader.ctx.cluster.machines.values() if m.faults]
+    suspects = [m for m in harness.leader.term.cluster.machines.values() if m.faults]
     assert len(suspects) == (0 if at_fault else faulty)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -154,14 +154,14 @@
         leader = elector.leader
         if leader is None:
             return
-        if not leader.ctx.loaded.is_set() and not self.load(leader):
+        if not leader.term.state_loaded.is_set() and not self.load(leader):
             leader.renew_once()
             return
         for act in (
             leader.renew_once,
-            leader.intake.watch_once,
+            leader.job_watcher.watch_once,
             self._writing(leader),
-            leader.tend_once,
+            leader.run_maintenance,
             self._dividing_limits(leader),
             self._placing(leader),
             self._giving_up(leader),
@@ -178,31 +178,31 @@
             leader._load()
         except StoreUnavailableError:
             return False
-        leader.ctx.loaded.set()
+        leader.term.state_loaded.set()
         if self.after_load is not None:
             self.after_load()
-        for machine in leader.ctx.cluster.machines.values():
+        for machine in leader.term.cluster.machines.values():
             if machine.address:
-                leader.dispatch.send_soon(machine)
+                leader.worker_commands.schedule_direct_message(machine)
         return True
 
     def _writing(self, leader: Leader) -> Callable[[], None]:
         def write() -> None:
             for _ in range(8):
-                if not leader.ctx.may_start() or not leader.writer.write_once():
+                if not leader.term.may_start() or not leader.writer.write_once():
                     return
 
         return write
 
     def _placing(self, leader: Leader) -> Callable[[], None]:
         def place() -> None:
-            if leader.ctx.may_begin() and leader.placer.ready_to_place():
+            if leader.term.may_begin() and leader.placer.ready_to_place():
                 leader.placer.run_pass()
 
         return place
 
     def _dividing_limits(self, leader: Leader) -> Callable[[], None]:
-        limits = leader.ctx.team_limits
+        limits = leader.term.team_limits
         return limits.step if isinstance(limits, ShardTeamLimits) else lambda: None
 
     def _follow(self, node: Node, elector: LeaderElector) -> None:
@@ -217,11 +217,11 @@
         if leader is not None:
             leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
             leader.writer._bucket = self._bucket(leader.writer._bucket)
-            early = self._bucket(leader.dispatch._early_heartbeat_bucket)
-            leader.dispatch._early_heartbeat_bucket = early
-            leader.placer._rng = random.Random(int(leader.term))
-            leader.dispatch.workers = DirectLink(self, node.name)  # type: ignore[assignment]
-            leader.dispatch.send_soon = leader.dispatch.send  # type: ignore[method-assign]
+            early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
+            leader.worker_commands._early_heartbeat_bucket = early
+            leader.placer._rng = random.Random(int(leader.term.number))
+            leader.worker_commands.workers = DirectLink(self, node.name)  # type: ignore[assignment]
+            leader.worker_commands.schedule_direct_message = leader.worker_commands.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
         """Give a token bucket that goes by the clock of the test: one verdict whatever the
@@ -237,7 +237,7 @@
     def _giving_up(self, leader: Leader) -> Callable[[], None]:
         def give_up() -> None:
             gone = leader.renter.to_give_up(self.clock())
-            if gone and leader.ctx.may_begin():
+            if gone and leader.term.may_begin():
                 leader.renter.release(gone)
 
         return give_up
@@ -252,7 +252,7 @@
     def leader_of(self, shard: str | None) -> str:
         """The controller that holds the latest term of a shard."""
         found = [(self.leader(name, shard), name) for name in NAMES]
-        leading = [(leader.term, name) for leader, name in found if leader is not None]
+        leading = [(leader.term.number, name) for leader, name in found if leader is not None]
         return max(leading, default=(0, NAMES[0]))[1]
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
@@ -363,7 +363,7 @@
         """Name the jobs that wait although a machine that fits has room."""
         leaders = self.latest_leaders()
         assert len(leaders) == len(self.nodes[NAMES[0]].electors)
-        jobs = {job.id: job for leader in leaders for job in leader.ctx.job_table}
+        jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
         used: dict[str, float] = defaultdict(float)
         for worker in self.workers.values():
             for task in (parse_task(reported) for reported, _ in worker.tasks):
@@ -371,9 +371,9 @@
                     used[jobs[task.job].spec.team] += jobs[task.job].spec.gpus
         found = []
         for leader in leaders:
-            for job in leader.ctx.job_table:
+            for job in leader.term.job_table:
                 need = job.spec
-                limit = leader.ctx.teams[need.team].gpus_max
+                limit = leader.term.teams[need.team].gpus_max
                 if job.shortfall <= 0 or job.backoff_s:
                     continue
                 # A gang waits for all it needs of the limit, an array for one task's part.
@@ -396,7 +396,7 @@
     def _idle_for(self, leader: Leader, need: JobSpec) -> list[str]:
         return [
             machine.id
-            for machine in leader.ctx.cluster.machines.values()
+            for machine in leader.term.cluster.machines.values()
             if machine.id in self.workers
             and self.workers[machine.id].tasks == {}
             and need.cpus <= machine.machine_type.cpus
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -70,7 +70,7 @@
         won = leadership(term, lease_validity)
         result = self.store.txn({}, [Put(TERM_KEY, {"term": term})])
         won.term_key_version = KeyVersion(result.revision)
-        ctx = TermContext(
+        term_context = TermContext(
             self.settings,
             policy(),
             self.store,  # type: ignore[arg-type]
@@ -79,13 +79,13 @@
             lambda _machine_types: None,
             self.scope,
         )
-        leader = Leader(ctx, self.finals.__setitem__, image_locality)
+        leader = Leader(term_context, self.finals.__setitem__, image_locality)
         leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
-        leader.dispatch.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
-        leader.ctx.set_machine_types(self.cloud.machine_types())
-        leader.dispatch.send_soon = lambda machine: None  # type: ignore[method-assign]
+        leader.worker_commands.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
+        leader.term.set_machine_types(self.cloud.machine_types())
+        leader.worker_commands.schedule_direct_message = lambda machine: None  # type: ignore[method-assign]
         leader._load()
-        leader.ctx.loaded.set()
+        leader.term.state_loaded.set()
         self.leader = leader
         return leader
 
@@ -104,15 +104,15 @@
     def later(self, seconds: float, renewed: bool = True) -> None:
         self.clock.now += seconds
         if renewed:
-            self.leader.ctx.lease_validity.confirm_renewal(self.clock())
-            self.leader.ctx.lease_validity.confirm_jobs(self.clock())
+            self.leader.term.lease_validity.confirm_renewal(self.clock())
+            self.leader.term.lease_validity.confirm_jobs(self.clock())
 
     def accept(self, ref: str = "run-1", **changes: Any) -> JobId:
         record = JobRecord(job_spec(ref, **changes), 0.0, shard=self.scope.shard)
         result = self.store.txn({}, [Put(live_key(JobId(ref)), record)])
         entry = self.store.get(live_key(JobId(ref)))
         assert entry is not None
-        self.leader.intake.job_set(entry.key, entry.data, KeyVersion(result.revision))
+        self.leader.job_watcher.apply_record(entry.key, entry.data, KeyVersion(result.revision))
         return JobId(ref)
 
     def worker(self, name: str = "i-000001", **kind: Any) -> FakeWorker:
@@ -169,7 +169,7 @@
         self.leader.placer.run_pass()
 
     def assignments(self, name: str = "i-000001") -> dict[str, str]:
-        machine = self.leader.ctx.cluster.machines[MachineId(name)]
+        machine = self.leader.term.cluster.machines[MachineId(name)]
         return {str(task): assignment.phase for task, assignment in machine.assignments.items()}
 
 
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -13,7 +13,7 @@
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import Job, JobRecord, JobTable
 from ryewing.state.machine import Assignment, Machine, TaskPhase
-from ryewing.state.pending_terminations import Stops
+from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
     Attempt,
     KeyVersion,
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.job_table = JobTable()
-        self.stops = Stops()
+        self.stops = PendingTerminations()
         self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, self.stops)
 
     def machine(
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -80,9 +80,9 @@
                 continue
             for elector in node.electors.values():
                 leader = elector.leader
-                if leader is None or not leader.ctx.may_start():
+                if leader is None or not leader.term.may_start():
                     continue
-                for machine in leader.ctx.cluster.machines:
+                for machine in leader.term.cluster.machines:
                     owners.setdefault(machine, []).append(f"{name}/{elector.shard}")
         for machine_id, names in owners.items():
             if len(names) > 1:
--- a/tests/support/services.py
+++ b/tests/support/services.py
@@ -28,4 +28,4 @@
 
 
 def replicas(harness: LeaderHarness, name: JobId) -> dict[int, str]:
-    return dict(harness.leader.ctx.job_table.jobs[name].live)
+    return dict(harness.leader.term.job_table.jobs[name].live)
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -69,7 +69,7 @@
     cluster.links["n-0"].during_watch = cancelled
     leader = cluster.leader("n-0")
     assert leader is not None
-    leader.intake.watch_once()
+    leader.job_watcher.watch_once()
     cluster.ask_all()
 
 
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -158,7 +158,7 @@
     assert second.tasks, "the job waits for a machine that is gone"
     leader = cluster.leader(cluster.leader_name)
     assert leader is not None
-    assert first.name not in leader.ctx.cluster.machines
+    assert first.name not in leader.term.cluster.machines
     assert not any(
         first.name.encode() in value
         for key, (value, _, _) in cluster.store.data.items()
@@ -398,7 +398,7 @@
     cluster.run(2.0)
     leader = cluster.leader("n-0")
     assert leader is not None
-    assert not leader.ctx.job_table.jobs
+    assert not leader.term.job_table.jobs
     assert cluster.submit("n-1", "run-5") == 201
 
 
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -157,7 +157,7 @@
         """Let everything finish that is left."""
         for _ in range(DRAIN_ROUNDS):
             leader = self.cluster.leader(self.cluster.leader_name)
-            if leader is not None and not leader.ctx.job_table.jobs:
+            if leader is not None and not leader.term.job_table.jobs:
                 return
             self.go_on(10.0, submit=False)
         raise AssertionError("work is left")
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -70,17 +70,17 @@
     harness.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
     leader = harness.new_leader(6)
     assert leader.renter.load_types() == [CPU, GPU]
-    gang = leader.ctx.job_table.jobs[JobId("run-000412")]
+    gang = leader.term.job_table.jobs[JobId("run-000412")]
     assert gang.gang
     assert gang.spec.same_zone
     assert gang.spec.deadline_s == 90.0
     assert gang.accepted_at == 1000.5
     assert gang.spec.machine_types == ["c32"]
     assert gang.inherited
-    assert leader.ctx.job_table.jobs[JobId("run-000413")].cancelled
-    counted = leader.ctx.job_table.jobs[JobId("run-000414")]
+    assert leader.term.job_table.jobs[JobId("run-000413")].cancelled
+    counted = leader.term.job_table.jobs[JobId("run-000414")]
     assert [n for n in range(20) if counted.is_done(n)] == [0, 1, 9, 19]
-    one, other = (leader.ctx.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
+    one, other = (leader.term.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
     assert one.recorded
     assert one.may_hold_until is not None
     assert one.address == "10.1.0.2:9000"
@@ -299,7 +299,7 @@
             change = wide.change(number, 8, 65536)
             assert harness.store.txn(change.conditions, list(change.ops)).ok
         leader = harness.new_leader(term)
-        assert len(leader.ctx.cluster.machines) == 30 * (term - 5)
+        assert len(leader.term.cluster.machines) == 30 * (term - 5)
         harness.write()
         assert all(
             len(bytes(entry.data)) <= 1024 for entry in harness.store.listing(MACHINE_PREFIX)[0]
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -110,7 +110,7 @@
     sample.figures["record_writes"] = harness.store.writes - writes
     fill(harness, workers)
     leader = harness.leader
-    cluster = leader.ctx.cluster
+    cluster = leader.term.cluster
     gc.collect()
 
     def heartbeats() -> None:
@@ -122,20 +122,20 @@
     sample.figures["short_jobs"] = len(leader.placer.unplaced)
     sample.time_ms("heartbeats_ms", heartbeats)
     sample.figures["heartbeat_us"] = round(1000 * sample.figures.pop("heartbeats_ms") / count, 1)
-    sample.time_ms("tend_ms", leader.tend_once)
+    sample.time_ms("maintenance_ms", leader.run_maintenance)
     sample.time_ms("give_up_ms", lambda: leader.renter.to_give_up(clock()))
     sample.time_ms("retire_ms", leader.renter._retire)
     sample.time_ms(
         "return_ms",
         lambda: fleet.to_return(
-            cluster.machines.values(), leader.placer.unplaced, leader.ctx.policy, clock()
+            cluster.machines.values(), leader.placer.unplaced, leader.term.policy, clock()
         ),
     )
     sample.time_ms("image_locality_ms", lambda: msgspec.msgpack.encode(leader.image_locality()))
     sample.figures["image_locality_kb"] = round(
         len(msgspec.msgpack.encode(leader.image_locality())) / 1024, 1
     )
-    term = int(leader.term)
+    term = int(leader.term.number)
     sample.time_ms("take_over_ms", lambda: harness.new_leader(term + 1), 1)
     sample.figures["peak_mb"] = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
     return sample
