--- a/src/ryewing/clients/peers.py
+++ b/src/ryewing/clients/peers.py
@@ -126,7 +126,7 @@
 def max_requests_in_flight(sockets: int, peers: int) -> int:
     """Bound the requests to one peer by the sockets that there are for all of them.
 
-    Found in a trial with 3,600 machines: while a pass held the leader up for a fifth of a second,
+    Found in a trial with 3,600 machines: while a cycle held the leader up for a fifth of a second,
     more users asked at another controller than 32, and the rest got 503.
     """
     return max(MAX_REQUESTS_IN_FLIGHT, sockets // max(1, peers))
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -22,7 +22,7 @@
 from ryewing.clients.machine_listing import MachineListing
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.config.settings import parse_address
-from ryewing.leader.scheduler import Placer
+from ryewing.leader.scheduler import Scheduler
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import WorkerCommands
@@ -55,12 +55,12 @@
         term: TermContext,
         writer: StateWriter,
         worker_commands: WorkerCommands,
-        placer: Placer,
+        scheduler: Scheduler,
     ) -> None:
         self.term = term
         self.writer = writer
         self.worker_commands = worker_commands
-        self.placer = placer
+        self.scheduler = scheduler
         limits = term.settings.params.cloud
         limits = msgspec.structs.replace(limits, rps=term.scope.share * limits.rps)
         self.cloud = Cloud(parse_address(term.settings.endpoints.cloud), limits)
@@ -105,12 +105,12 @@
             self.read_list()
         for request in list(self.pending_requests.values()):
             self.send_request(request)
-        if not self.placer.gathered or not self.term.machine_types:
+        if not self.scheduler.reconciled or not self.term.machine_types:
             return
         self._retire()
         returned = fleet.to_return(
             self.term.cluster.machines.values(),
-            self.placer.unplaced,
+            self.scheduler.unplaced,
             self.term.policy,
             monotonic_now(),
         )
@@ -122,7 +122,7 @@
         """Bring the machines that take no more work to what the GPUs wanted ask for."""
         machines = self.term.cluster.machines.values()
         wanted = fleet.to_retire(
-            machines, self.placer.gpus_wanted, self.placer.drain_s(), self.term.policy
+            machines, self.scheduler.gpus_wanted, self.scheduler.drain_s(), self.term.policy
         )
         budget = max(1, int(RETIRE_SHARE * len(machines)))
         for machine in machines:
@@ -309,7 +309,7 @@
             and m.notice_s is None
         ]
         for plan in fleet.plan_rentals(
-            self.placer.unplaced,
+            self.scheduler.unplaced,
             booting,
             self.term.machine_types,
             self.capacity_backoff,
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -1,9 +1,9 @@
 """The leader's term: rebuild, then loops that bring what is to what is wanted.
 
-Everything here ends with the term. The loops share one state in one thread; gevent switches
-only where a request is under way, so what is decided between two requests is consistent. What the
-loops do stands in the parts: `intake` the jobs, `writer` the store, `dispatch` the workers,
-`placer` the passes, `renter` the fleet. Here stand the lease, the rebuild and what is tended.
+Everything here ends with the term. The loops share one state in one thread; gevent switches only
+where a request is under way, so what is decided between two requests is consistent. What the loops
+do stands in the parts: `intake` the jobs, `writer` the store, `dispatch` the workers, `scheduler`
+the scheduling cycles, `renter` the fleet. Here stand the lease, the rebuild and what is tended.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ryewing.leader.autoscaler import Renter
 from ryewing.leader.job_watcher import JobWatcher
 from ryewing.leader.recovery import Recovery
-from ryewing.leader.scheduler import Placer
+from ryewing.leader.scheduler import Scheduler
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import PROBE_AFTER, WorkerCommands
@@ -57,8 +57,8 @@
         self.writer = StateWriter(self.term, on_final, self._on_record)
         self.worker_commands = WorkerCommands(self.term, self.writer)
         self.job_watcher = JobWatcher(self.term, self.writer, self.worker_commands)
-        self.placer = Placer(self.term, self.worker_commands)
-        self.renter = Renter(self.term, self.writer, self.worker_commands, self.placer)
+        self.scheduler = Scheduler(self.term, self.worker_commands)
+        self.renter = Renter(self.term, self.writer, self.worker_commands, self.scheduler)
         self._greenlets: list[gevent.Greenlet] = []
         self.extra_loops: list[Callable[[], None]] = []
         """Run for as long as the term lasts, besides its own."""
@@ -198,7 +198,7 @@
                 self.worker_commands.schedule_direct_message(machine)
         self._spawn(self.job_watcher.watch_loop)
         self._spawn(self.writer.write_loop)
-        self._spawn(self.placer.place_loop)
+        self._spawn(self.scheduler.scheduling_loop)
         self._spawn(self._maintenance_loop)
         self._spawn(self.renter.fleet_loop)
         for loop in self.extra_loops:
@@ -232,7 +232,11 @@
             else:
                 self.worker_commands.schedule_direct_message(stopping)
         self.worker_commands.probe(now)
-        if self.term.settings.members and self.placer.gathered and self.is_cut_from_workers(now):
+        if (
+            self.term.settings.members
+            and self.scheduler.reconciled
+            and self.is_cut_from_workers(now)
+        ):
             # Another node may reach them; waiting for it costs every machine its tasks.
             self.resign(CUT)
 
@@ -275,13 +279,13 @@
                         phases.get(assignment.phase, 0.0) + assignment.job.spec.gpus
                     )
         waiting: dict[str, int] = {}
-        for job, count in self.placer.unplaced:
+        for job, count in self.scheduler.unplaced:
             waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + count
         log.info(
             "event=state jobs=%d passes=%d looked=%d stretch=%.2f cards=%s machines=%s short=%s",
             len(self.term.job_table.jobs),
-            self.placer.passes,
-            self.placer.machines_examined,
+            self.scheduler.cycles,
+            self.scheduler.machines_examined,
             self.term.cluster.fetch_slowdown,
             ",".join(f"{phase}:{n:g}" for phase, n in sorted(phases.items())) or "-",
             ",".join(
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -1,6 +1,6 @@
-"""When and what to place: from the jobs' shortfalls to planned tasks, in passes.
+"""When and what to place: from the jobs' shortfalls to planned tasks, in cycles.
 
-The decisions themselves are `placement`'s and `queueing`'s; here stands what a pass has to know
+The decisions themselves are those of `ryewing.scheduling`; here stands what a cycle has to know
 before it may decide, and what its decisions change.
 """
 
@@ -13,11 +13,11 @@
 
 import gevent
 
-from ryewing import scheduling as placement
+from ryewing import scheduling
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.scheduling import preemption, queueing
-from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, Quota, allows
+from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota, allows
 from ryewing.state.failure_detector import AVOID_S
 from ryewing.state.jobs import Job, fits_machine_type
 from ryewing.state.machine import WARM, Assignment, Machine, TaskPhase
@@ -37,11 +37,11 @@
 
 log = logging.getLogger("ryewing.leader.scheduler")
 
-PASS_GAP_S = 0.2
-"""The least pause between passes: a start waits for a heartbeat anyway, which takes half a
+MIN_CYCLE_GAP_S = 0.2
+"""The least pause between cycles: a start waits for a heartbeat anyway, which takes half a
 second."""
-PASS_REST = 9.0
-"""Times its own length that a pass is rested from: passes take a tenth of the time at the most, so
+CYCLE_REST_FACTOR = 9.0
+"""Times its own length that a cycle is rested from: cycles take a tenth of the time at the most, so
 that a leader that never comes to rest still answers workers, users and health checks first."""
 GPUS_WANTED_HALF_LIFE_S = 60.0
 FRESH_HEARTBEATS = 2.5
@@ -49,7 +49,7 @@
 KINDS_MAX = 32
 """Classes of which it is remembered what a task takes."""
 ATTEMPTS_LEFT = 1 << 20
-"""A term ends when it has no more attempts than this to give out: far more than a pass plans."""
+"""A term ends when it has no more attempts than this to give out: far more than a cycle plans."""
 NAMES_TOLD = 20
 """Machines named in one line of the log."""
 MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE = 30.0, 1.5, 0.0005
@@ -71,21 +71,21 @@
     return f"{told},and-{more}-more" if more > 0 else told
 
 
-class Placer:
-    """Owns what passes have found: what is short, what GPUs were wanted."""
+class Scheduler:
+    """Owns what cycles have found: what is short, what GPUs were wanted."""
 
     def __init__(self, term: TermContext, worker_commands: WorkerCommands) -> None:
         self.term = term
         self.worker_commands = worker_commands
-        self.gathered = False
-        self.unplaced: list[placement.Unplaced] = []
+        self.reconciled = False
+        self.unplaced: list[scheduling.Unplaced] = []
         self._guarantees = any(t.cpus or t.gpus for t in term.settings.params.teams)
         self._rng = random.Random()
         self._gpu_reserve = NO_RESERVE
         self.gpus_wanted = 0.0
         """The GPUs in use and asked for; the memory of it halves in a minute."""
         self._gpus_wanted_at = term.began_at
-        self.passes = self.machines_examined = 0
+        self.cycles = self.machines_examined = 0
         """Passes made in this term, and machines that they looked at: their cost."""
         self._attempts = 0
         self._reserved_for: JobId | None = None
@@ -94,32 +94,32 @@
         self._recent_specs: dict[str, JobSpec] = {}
         """By class, what a task takes that was asked for lately."""
 
-    def place_loop(self) -> None:
-        """Make a pass whenever something has changed, at a bounded share of the time."""
+    def scheduling_loop(self) -> None:
+        """Make a cycle whenever something has changed, at a bounded share of the time."""
         while True:
             self.term.scheduling_needed.wait(1.0)
             self.term.scheduling_needed.clear()
             began = time.perf_counter()
-            if self.term.may_begin() and self.ready_to_place():
-                self.run_pass()
+            if self.term.may_begin() and self.check_reconciled():
+                self.run_cycle()
             took = time.perf_counter() - began
-            # A pass that takes long is made less often, so that heartbeats are always answered.
-            gevent.sleep(max(PASS_GAP_S, self._rest_s(took)))
+            # A cycle that takes long is made less often, so that heartbeats are always answered.
+            gevent.sleep(max(MIN_CYCLE_GAP_S, self._rest_s(took)))
 
     def _rest_s(self, took: float) -> float:
-        """Tell how long to rest after a pass: longer where other terms may share the process."""
-        return ((PASS_REST + 1.0) / self.term.scope.share - 1.0) * took
+        """Tell how long to rest after a cycle: longer where other terms may share the process."""
+        return ((CYCLE_REST_FACTOR + 1.0) / self.term.scope.share - 1.0) * took
 
-    def ready_to_place(self) -> bool:
+    def check_reconciled(self) -> bool:
         """Tell whether the rebuild is over: every machine heard, or waited for long enough."""
-        if self.gathered:
+        if self.reconciled:
             return True
         waited = monotonic_now() - self.term.began_at
         if waited < self.term.policy.gather_s and any(
             True for _ in self.term.cluster.unreconciled()
         ):
             return False
-        self.gathered = True
+        self.reconciled = True
         unreconciled = [m.id for m in self.term.cluster.unreconciled()]
         log.info(
             "event=gathered term=%d waited_s=%.2f unheard=%s",
@@ -129,7 +129,7 @@
         )
         return True
 
-    def run_pass(self) -> None:
+    def run_cycle(self) -> None:
         """Turn the jobs' shortfalls into planned tasks and stops, once."""
         if self._attempts > MAX_ATTEMPTS - ATTEMPTS_LEFT:
             # Attempts never repeat, so those of a term are bounded; the next one has new ones.
@@ -154,8 +154,8 @@
             self._note_spec(job)
         jobs = self._ordered(jobs)
         overdue = queueing.overdue(jobs, wall_now())
-        inputs = self._pass_inputs(unreconciled, gpus_kept, now)
-        self._carry_out(placement.Pass(inputs).run(jobs, overdue, moving), now)
+        snapshot = self._take_snapshot(unreconciled, gpus_kept, now)
+        self._carry_out(scheduling.SchedulingCycle(snapshot).run(jobs, overdue, moving), now)
 
     def _note_spec(self, job: Job) -> None:
         """Remember what a task of this class takes, for what others should leave free."""
@@ -164,9 +164,9 @@
         if not job.endless and (name in self._recent_specs or len(self._recent_specs) < KINDS_MAX):
             self._recent_specs[name] = job.spec
 
-    def _pass_inputs(
+    def _take_snapshot(
         self, unreconciled: Sequence[Machine], gpus_kept: float, now: MonotonicTime
-    ) -> placement.PassInputs:
+    ) -> scheduling.SchedulingSnapshot:
         cluster = self.term.cluster
         fresh = now - FRESH_HEARTBEATS * self.term.settings.params.workers.report_s
         capacities = [
@@ -174,14 +174,14 @@
             for machine in cluster.machines.values()
             if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh
         ]
-        quota = Quota(
+        quota = TeamQuota(
             self.term.team_limits.teams(),
             cluster.team_cpus,
             cluster.team_gpus,
             sum(machine.machine_type.cpus for machine in unreconciled),
             sum(machine.machine_type.gpus for machine in unreconciled),
         )
-        return placement.PassInputs(
+        return scheduling.SchedulingSnapshot(
             capacities=capacities,
             quota=quota,
             now=now,
@@ -197,13 +197,13 @@
             ),
         )
 
-    def _carry_out(self, plan: placement.Plan, now: MonotonicTime) -> None:
-        """Plan the tasks that a pass has placed, and stop what it has to stop."""
+    def _carry_out(self, plan: scheduling.Plan, now: MonotonicTime) -> None:
+        """Plan the tasks that a cycle has placed, and stop what it has to stop."""
         if plan.reserved is not None and plan.reserved.job.id != self._reserved_for:
             kept = plan.reserved
             log.info("event=reserved job=%s machines=%d", kept.job.id, len(kept.machines))
         self._reserved_for = plan.reserved.job.id if plan.reserved is not None else None
-        self.passes += 1
+        self.cycles += 1
         self.machines_examined += plan.machines_examined
         planned: set[MachineId] = set()
         serving: set[MachineId] = set()
@@ -349,7 +349,7 @@
     def _may_probe(self, job: Job, now: MonotonicTime) -> bool:
         """Tell whether a job that backs off may be placed: one task shows whether it still fails.
 
-        Found in a replay: a task was placed in each pass until the first of them had failed.
+        Found in a replay: a task was placed in each cycle until the first of them had failed.
         """
         if self.term.cluster.failures.recovered(job, now):
             return True
@@ -396,7 +396,7 @@
         self._attempts += 1
         return attempt_of(self.term.number, self._attempts)
 
-    def _apply(self, batch: placement.Batch, now: MonotonicTime) -> None:
+    def _apply(self, batch: scheduling.Batch, now: MonotonicTime) -> None:
         job = batch.job
         count = sum(n for _machine, n in batch.parts)
         indices = job.take(count)
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -175,7 +175,7 @@
         """Save in time before the cloud takes the machine, or let short tasks finish."""
         job = assignment.job
         if job is None or assignment.phase == TaskPhase.SAVING or job.endless:
-            return  # a replica serves on until the placer has room for it elsewhere
+            return  # a replica serves on until the scheduler has room for it elsewhere
         left = (machine.notice_s or 0.0) - (now - machine.noticed_at)
         if assignment.phase == TaskPhase.RUNNING and assignment.running_since is not None:
             remaining = job.estimate_s() - (now - assignment.running_since)
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -241,7 +241,7 @@
         now = monotonic_now()
         if (
             now - self._image_locality_sent_at < IMAGE_LOCALITY_EVERY_S
-            or not leader.placer.gathered
+            or not leader.scheduler.reconciled
         ):
             return
         self._image_locality_sent_at = now
@@ -292,7 +292,7 @@
         return load if load is not None else Ack(leader is None or not leader.full())
 
     def _own_load(self, leader: Leader) -> ShardLoadAnswer:
-        backlog = leader.placer.backlog() if self.shard is not None else 0.0
+        backlog = leader.scheduler.backlog() if self.shard is not None else 0.0
         return ShardLoadAnswer(leader.full(), backlog)
 
     # -- what other controllers tell --------------------------------------------------------
--- a/src/ryewing/scheduling/capacity.py
+++ b/src/ryewing/scheduling/capacity.py
@@ -1,6 +1,6 @@
-"""What there is room for during one pass of placement: machines, teams' limits, who may use what.
+"""What there is room for during one scheduling cycle: machines, teams' limits, who may use what.
 
-Pure: snapshots that a pass claims from; nothing here decides where a task goes.
+Pure: snapshots that a cycle claims from; nothing here decides where a task goes.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 class MachineCapacity:
-    """A machine's room during one pass."""
+    """A machine's room during one cycle."""
 
     __slots__ = (
         "_beside_replicas",
@@ -85,19 +85,19 @@
     def __init__(self, machine: Machine, stopping: frozenset[Assignment] = frozenset()) -> None:
         self.machine = machine
         self.number = 0
-        """Its place in the order of the pass."""
+        """Its place in the order of the cycle."""
         self.cpus = machine.cpus
         self.gpus = machine.gpus
         self.memory_gb = machine.memory_gb
         self.reserved_s: float | None = None
         """A gang waits for this machine, and for so long at the least."""
         self.next_heartbeat_in_s: float | None = None
-        """How soon its worker is thought to heartbeat, found once a pass."""
+        """How soon its worker is thought to heartbeat, found once a cycle."""
         self.stopping: set[Assignment] = set(stopping)
         self.victims: dict[VictimKey, list[Assignment]] = {}
-        """Whom a job of some rank (or a team's guarantee) may stop here, found once a pass."""
+        """Whom a job of some rank (or a team's guarantee) may stop here, found once a cycle."""
         self.fetching_here: set[str] = set()
-        """Images for which this pass has placed a task here."""
+        """Images for which this cycle has placed a task here."""
         self.wanted = {False: 0, True: 0}
         """How many images that waiting arrays want are here, without and with GPUs."""
         self._beside_replicas: tuple[float, float, float] | None = None
@@ -184,7 +184,7 @@
         return self._preemptible_cpus
 
     def replicas(self) -> int:
-        """Count the replicas here, with those placed in this pass."""
+        """Count the replicas here, with those placed in this cycle."""
         if self._replicas is None:
             assignments = self.machine.assignments.values()
             self._replicas = sum(
@@ -302,8 +302,8 @@
     return machine_type.price / machine_type.gpus
 
 
-class Quota:
-    """Teams' limits during one pass.
+class TeamQuota:
+    """Teams' limits during one cycle.
 
     `unseen` is the room of machines of which it isn't known what they hold: any team might use
     all of it, so it counts against each.
@@ -344,11 +344,11 @@
 
 
 class Candidates:
-    """The machines that jobs of one kind may use, and what this pass found out about them.
+    """The machines that jobs of one kind may use, and what this cycle found out about them.
 
-    All lists are in the order of the pass (`MachineCapacity.number`). What a pass asks for again
+    All lists are in the order of the cycle (`MachineCapacity.number`). What a cycle asks for again
     and again is kept in indexes, which the few machines touched since bring up to date: asked
-    machine by machine for each job, a pass at 4,000 machines and 190 waiting jobs took 20 times
+    machine by machine for each job, a cycle at 4,000 machines and 190 waiting jobs took 20 times
     what it took at 600 machines and 28 jobs.
     """
 
@@ -370,7 +370,7 @@
         self._with_few_gpus: dict[float, Candidates] = {}
         self._unreserved: Candidates | None = None
         self.full: dict[tuple[int, bool, str | None], list[tuple[float, float, float]]] = {}
-        """What, by what a job may stop for it, found not even room to be freed. A pass only takes
+        """What, by what a job may stop for it, found not even room to be freed. A cycle only takes
         room, so whatever needs as much need not look."""
 
     # -- parts of them ----------------------------------------------------------------------
@@ -390,7 +390,7 @@
         return found
 
     def unreserved(self) -> Candidates:
-        """Narrow down to the machines that are kept for nobody; they are reserved once a pass."""
+        """Narrow down to the machines that are kept for nobody; they are reserved once a cycle."""
         if self._unreserved is None:
             free = [c for c in self.capacities if c.reserved_s is None]
             self._unreserved = Candidates(free) if len(free) < len(self.capacities) else self
@@ -412,7 +412,7 @@
         return fetch_s(spec, self._quickest)
 
     def with_image(self, image: str) -> list[MachineCapacity]:
-        """List the machines that have an image or are fetching it; a pass does not change that."""
+        """List the machines that have an image or are fetching it; a cycle does not change that."""
         if self._with_image is None:
             self._with_image = {}
             for capacity in self.capacities:
@@ -429,7 +429,7 @@
     def fitting(self, spec: JobSpec) -> list[MachineCapacity]:
         """List the machines where a task might fit once what is being stopped is gone.
 
-        Looked for among those that fitted a smaller task before: a pass only takes room, but for
+        Looked for among those that fitted a smaller task before: a cycle only takes room, but for
         what it stops (`note_stopping`).
         """
         among = self._narrowest(spec)
@@ -516,7 +516,7 @@
 
 
 def _position(capacities: list[MachineCapacity], capacity: MachineCapacity) -> int | None:
-    """Find a machine in a list that is in the order of the pass."""
+    """Find a machine in a list that is in the order of the cycle."""
     at = bisect_left(capacities, capacity.number, key=_number)
     return at if at < len(capacities) and capacities[at] is capacity else None
 
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -1,11 +1,11 @@
-"""One placement pass: the order in which jobs get their turn."""
+"""One scheduling cycle: the order in which jobs get their turn."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from ryewing.scheduling.capacity import Candidates
-from ryewing.scheduling.cycle_state import PassInputs, PassState, delays
+from ryewing.scheduling.cycle_state import CycleState, SchedulingSnapshot, delays
 from ryewing.scheduling.image_survey import LONG_FETCH_S
 from ryewing.scheduling.plan import Plan, Unplaced
 from ryewing.scheduling.replicas import ReplicaPlacer
@@ -18,14 +18,14 @@
 """The part of an overdue array that goes before everything."""
 
 
-class Pass:
+class SchedulingCycle:
     """Places the jobs with a shortfall, once."""
 
-    def __init__(self, inputs: PassInputs) -> None:
-        self._inputs = inputs
+    def __init__(self, snapshot: SchedulingSnapshot) -> None:
+        self._snapshot = snapshot
         self._waiting: list[Job] = []
         """Jobs that were kept waiting for warm machines."""
-        self._state: PassState
+        self._state: CycleState
         self._tasks: TaskPlacer
         self._replicas: ReplicaPlacer
 
@@ -36,7 +36,7 @@
 
         `moving`: replicas that should run elsewhere.
         """
-        self._state = PassState(self._inputs, jobs)
+        self._state = CycleState(self._snapshot, jobs)
         self._tasks = TaskPlacer(self._state)
         self._replicas = ReplicaPlacer(self._state, self._tasks)
         self._place_overdue(overdue)
@@ -102,7 +102,7 @@
             wanted = min(wanted, 1)  # it failed everywhere: one task tells whether it still does
         if wanted <= 0:
             return 0
-        allowed = self._inputs.quota.headroom(job.spec, wanted)
+        allowed = self._snapshot.quota.headroom(job.spec, wanted)
         return 0 if job.gang and allowed < wanted else allowed
 
     def _usable(self, job: Job, candidates: Candidates) -> Candidates:
@@ -111,7 +111,7 @@
         if reserved is not None and delays(job, reserved.wait_s):
             candidates = candidates.unreserved()
         if job.failed_on:
-            avoid = self._inputs.avoid
+            avoid = self._snapshot.avoid
             sound = [c for c in candidates.capacities if not avoid(job, c.machine)]
             candidates = self._state.narrowed(candidates, sound)
         return candidates
@@ -131,7 +131,7 @@
 
     def _place_tasks(self, job: Job, wanted: int, usable: Candidates) -> int:
         """Place tasks that end; return for how many there is room, or will be."""
-        needs_no_reserve = job.priority < self._inputs.gpu_reserve.priority
+        needs_no_reserve = job.priority < self._snapshot.gpu_reserve.priority
         if job.spec.gpus <= 0 and needs_no_reserve and not job.lacks_members:
             return self._place_beside_few_gpus(job, wanted, usable)
         return self._tasks.place(job, wanted, usable, whole=job.gang)
@@ -191,7 +191,7 @@
         state = self._state
         placed = state.plan.parts_of(job)
         still_wanted = job.shortfall - sum(part.tasks for part in placed)
-        left = self._inputs.quota.headroom(job.spec, still_wanted)
+        left = self._snapshot.quota.headroom(job.spec, still_wanted)
         if left <= 0:
             return
         candidates = state.candidates(job)
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -1,4 +1,4 @@
-"""What the parts of a pass share: the machines' capacity, and the job at hand with its limits."""
+"""What the parts of a cycle share: the machines' capacity, and the job at hand with its limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Candidates,
     GpuReserve,
     MachineCapacity,
-    Quota,
+    TeamQuota,
     allows,
     fetch_s,
 )
@@ -36,11 +36,11 @@
 """How many times as long a fetch takes beside another one, where they share the rate."""
 
 
-class PassInputs(msgspec.Struct, frozen=True):
-    """What a pass decides by."""
+class SchedulingSnapshot(msgspec.Struct, frozen=True):
+    """What a cycle decides by."""
 
     capacities: Sequence[MachineCapacity]
-    quota: Quota
+    quota: TeamQuota
     now: MonotonicTime
     rng: random.Random
     sample: int
@@ -80,7 +80,7 @@
     def __init__(self, job: Job, gpu_reserve: GpuReserve) -> None:
         self.gpu_reserve = gpu_reserve.for_job(job)
         self.zones: Counter[Zone] = Counter(job.zones)
-        """Where its tasks are, with those placed in this pass."""
+        """Where its tasks are, with those placed in this cycle."""
         self.sampled_only = False
         """It was shown a sample of the machines only."""
         self.warm_only = False
@@ -93,21 +93,21 @@
         """What its replicas may take of the room for large tasks."""
 
 
-class PassState:
-    """One pass under way."""
+class CycleState:
+    """One cycle under way."""
 
-    def __init__(self, inputs: PassInputs, jobs: Sequence[Job]) -> None:
-        self.inputs = inputs
-        self.now = inputs.now
+    def __init__(self, snapshot: SchedulingSnapshot, jobs: Sequence[Job]) -> None:
+        self.snapshot = snapshot
+        self.now = snapshot.now
         self.plan = Plan()
-        self.images = ImageSurvey(inputs.capacities, inputs.gpu_reserve, jobs)
+        self.images = ImageSurvey(snapshot.capacities, snapshot.gpu_reserve, jobs)
         self.leftover = False
         """Everything has had its turn: what room is left may as well fetch."""
         self.limits: JobLimits
         """Of the job at hand (`begin`)."""
-        self._gpus_kept_on = _machines_to_keep(inputs.capacities, inputs.gpus_kept)
+        self._gpus_kept_on = _machines_to_keep(snapshot.capacities, snapshot.gpus_kept)
         self._groups: dict[MachineKind, list[MachineCapacity]] = {}
-        for capacity in inputs.capacities:
+        for capacity in snapshot.capacities:
             self._groups.setdefault(capacity.machine.kind, []).append(capacity)
         for number, capacity in enumerate(chain.from_iterable(self._groups.values())):
             capacity.number = number
@@ -117,7 +117,7 @@
 
     def begin(self, job: Job) -> JobLimits:
         """Turn to a job."""
-        self.limits = JobLimits(job, self.inputs.gpu_reserve)
+        self.limits = JobLimits(job, self.snapshot.gpu_reserve)
         self._narrowed.clear()
         return self.limits
 
@@ -159,22 +159,22 @@
             candidates.note_stopping(capacity)
 
     def sample(self, job: Job, capacities: list[MachineCapacity]) -> list[MachineCapacity]:
-        """Take a random sample of more machines than a pass should look at for one job.
+        """Take a random sample of more machines than a cycle should look at for one job.
 
-        Another one next pass. A gang needs several machines at once, so it gets all of them.
+        Another one next cycle. A gang needs several machines at once, so it gets all of them.
         """
-        size = self.inputs.sample
+        size = self.snapshot.sample
         if job.gang or len(capacities) <= size:
             self.plan.machines_examined += len(capacities)
             return capacities
         self.plan.machines_examined += size
         self.limits.sampled_only = True
-        return self.inputs.rng.sample(capacities, size)
+        return self.snapshot.rng.sample(capacities, size)
 
     def may_use(self, job: Job, capacity: MachineCapacity) -> bool:
         """Tell whether a job may use a machine: it avoids none, and leaves reserved ones alone
         unless it ends before they are needed."""
-        if self.inputs.avoid(job, capacity.machine):
+        if self.snapshot.avoid(job, capacity.machine):
             return False
         return capacity.reserved_s is None or not delays(job, capacity.reserved_s)
 
@@ -191,7 +191,7 @@
         """Estimate when a replica would run: the worker has to heartbeat first, and have the
         image."""
         if capacity.next_heartbeat_in_s is None:
-            capacity.next_heartbeat_in_s = self.inputs.next_heartbeat_in_s(capacity.machine)
+            capacity.next_heartbeat_in_s = self.snapshot.next_heartbeat_in_s(capacity.machine)
         return capacity.next_heartbeat_in_s + self._image_s(spec, capacity)
 
     def _image_s(self, spec: JobSpec, capacity: MachineCapacity) -> float:
@@ -202,7 +202,7 @@
         fetch = here.fetches.get(spec.image)
         if fetch is not None and here.images_in_use[spec.image]:
             return max(FETCH_UNDER_WAY_S, took - (self.now - fetch.began))
-        beside_another = self.inputs.fetches_share and capacity.fetches_other(spec.image)
+        beside_another = self.snapshot.fetches_share and capacity.fetches_other(spec.image)
         return took * (SHARED_FETCH if beside_another else 1.0)
 
     def is_warm_enough(self, spec: JobSpec, capacity: MachineCapacity) -> bool:
@@ -212,7 +212,7 @@
             return not limits.warm_only or capacity.machine.warmth(spec.image) < COLD
         if limits.warm_only and self.start_s(spec, capacity) > limits.acceptable_wait_s:
             return False
-        return capacity.displaced(spec, self.inputs.recent_specs) <= limits.displaced_max
+        return capacity.displaced(spec, self.snapshot.recent_specs) <= limits.displaced_max
 
     # -- how many ---------------------------------------------------------------------------
 
@@ -237,7 +237,7 @@
             return spec.task_count
         if warmth == FETCHED_NOW:
             return spec.task_count if self.leftover else 0
-        if self.inputs.fetches_share and capacity.fetches_other(spec.image):
+        if self.snapshot.fetches_share and capacity.fetches_other(spec.image):
             return 0  # two at a time take as long as one after the other, and both wait
         return 0 if spec.image in capacity.fetching_here else 1
 
@@ -265,7 +265,7 @@
         """Tell how many replicas a machine takes that are in no more large tasks' way."""
         count = 0
         before = capacity.beside_replicas()
-        recent = self.inputs.recent_specs
+        recent = self.snapshot.recent_specs
         while count < most and capacity.displaced(spec, recent) <= self.limits.displaced_max:
             count += 1
             capacity.reserve(spec, 1)
@@ -287,7 +287,7 @@
                 self.limits.cold_left -= count
                 self.images.placed_cold(job, count)
             capacity.fetching_here.add(spec.image)
-            self.inputs.quota.use(spec, count)
+            self.snapshot.quota.use(spec, count)
             total += count
         return total
 
--- a/src/ryewing/scheduling/image_survey.py
+++ b/src/ryewing/scheduling/image_survey.py
@@ -37,7 +37,7 @@
 
 
 class ImageSurvey:
-    """What a pass knows of images and of how much room there is, before it places anything."""
+    """What a cycle knows of images and of how much room there is, before it places anything."""
 
     def __init__(
         self,
--- a/src/ryewing/scheduling/plan.py
+++ b/src/ryewing/scheduling/plan.py
@@ -1,4 +1,4 @@
-"""What a pass decides."""
+"""What a cycle decides."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Batch:
-    """What one job gets in one pass."""
+    """What one job gets in one cycle."""
 
     __slots__ = ("job", "parts")
 
@@ -42,7 +42,7 @@
 
 
 class Plan:
-    """The outcome of a pass."""
+    """The outcome of a cycle."""
 
     def __init__(self) -> None:
         self.moves: list[Assignment] = []
@@ -54,7 +54,7 @@
         self.reserved: Reservation | None = None
         """The overdue gang for which machines are kept, and which."""
         self.machines_examined = 0
-        """Machines looked at one by one: the cost of the pass."""
+        """Machines looked at one by one: the cost of the cycle."""
 
     def parts_of(self, job: Job) -> list[BatchPart]:
         """List what a job has got so far."""
--- a/src/ryewing/scheduling/queueing.py
+++ b/src/ryewing/scheduling/queueing.py
@@ -170,7 +170,7 @@
     cpus: Supply,
     now: WallTime,
 ) -> list[Job]:
-    """Order jobs with a shortfall for a placement pass."""
+    """Order jobs with a shortfall for a scheduling cycle."""
     groups: dict[tuple[bool, int, bool], list[Job]] = {}
     times: dict[Job, tuple[WallTime, ...]] = {}
     # A gang that lacks members keeps all its other places waiting: found on an overloaded day,
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ryewing.scheduling.capacity import Candidates, MachineCapacity, gpu_cost
-from ryewing.scheduling.cycle_state import SHORT_WAIT_S, PassState
+from ryewing.scheduling.cycle_state import SHORT_WAIT_S, CycleState
 from ryewing.scheduling.tasks import TaskPlacer
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment
@@ -29,7 +29,7 @@
 class ReplicaPlacer:
     """Places replicas, and moves those that should run elsewhere."""
 
-    def __init__(self, state: PassState, tasks: TaskPlacer) -> None:
+    def __init__(self, state: CycleState, tasks: TaskPlacer) -> None:
         self._state = state
         self._tasks = tasks
 
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -5,7 +5,7 @@
 import math
 
 from ryewing.scheduling.capacity import MachineCapacity
-from ryewing.scheduling.cycle_state import PassState
+from ryewing.scheduling.cycle_state import CycleState
 from ryewing.scheduling.plan import Reservation
 from ryewing.scheduling.preemption import may_preempt
 from ryewing.state.jobs import Job, count_fitting
@@ -15,11 +15,11 @@
 """How long a task that should have ended is still thought to run."""
 
 
-def reserve(state: PassState, job: Job) -> None:
+def reserve(state: CycleState, job: Job) -> None:
     """Keep the machines that will soonest hold the whole gang, in one zone if it asks that.
 
     Others may use them for what ends before the last of them is free (backfilling). Decided anew
-    in every pass: machines that have emptied meanwhile come first, so it holds.
+    in every cycle: machines that have emptied meanwhile come first, so it holds.
     """
     capacities = state.candidates(job).capacities
     best: list[MachineCapacity] = []
@@ -35,14 +35,14 @@
 
 
 def _soonest(
-    state: PassState, job: Job, capacities: list[MachineCapacity], only: Zone | None
+    state: CycleState, job: Job, capacities: list[MachineCapacity], only: Zone | None
 ) -> tuple[list[MachineCapacity], float]:
     """Find the machines of a zone that will hold the gang first, and when; none if they can't."""
     waits = [
         (_drain_s(job, capacity, state.now), number, capacity)
         for number, capacity in enumerate(capacities)
         if (only is None or capacity.machine.zone == only)
-        and not state.inputs.avoid(job, capacity.machine)
+        and not state.snapshot.avoid(job, capacity.machine)
     ]
     found: list[MachineCapacity] = []
     left = job.spec.task_count
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from ryewing.scheduling.capacity import MachineCapacity, gpu_cost, stranded_gpus
-from ryewing.scheduling.cycle_state import Choice, PassState
+from ryewing.scheduling.cycle_state import Choice, CycleState
 from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD
 from ryewing.units import Zone
@@ -32,7 +32,7 @@
 class Selector:
     """Chooses machines for the job at hand."""
 
-    def __init__(self, state: PassState) -> None:
+    def __init__(self, state: CycleState) -> None:
         self._state = state
 
     def choose(
@@ -104,7 +104,7 @@
         cold = machine.warmth(spec.image) == COLD
         return (
             bool(machine.faults),
-            capacity.displaced(spec, self._state.inputs.recent_specs),
+            capacity.displaced(spec, self._state.snapshot.recent_specs),
             round(self._state.start_s(spec, capacity)),
             gpu_cost(spec, machine),
             max(0, capacity.replicas() - REPLICAS_TOGETHER),
--- a/src/ryewing/scheduling/tasks.py
+++ b/src/ryewing/scheduling/tasks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ryewing.scheduling.capacity import Candidates, MachineCapacity
-from ryewing.scheduling.cycle_state import PassState
+from ryewing.scheduling.cycle_state import CycleState
 from ryewing.scheduling.selection import Selector
 from ryewing.scheduling.victims import Preemptor
 from ryewing.state.jobs import Job
@@ -12,7 +12,7 @@
 class TaskPlacer:
     """Takes the job at hand through the three stages."""
 
-    def __init__(self, state: PassState) -> None:
+    def __init__(self, state: CycleState) -> None:
         self._state = state
         self.selector = Selector(state)
         self.preemptor = Preemptor(state)
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -11,7 +11,7 @@
     VictimKey,
     stranded_gpus,
 )
-from ryewing.scheduling.cycle_state import Choice, PassState
+from ryewing.scheduling.cycle_state import Choice, CycleState
 from ryewing.scheduling.preemption import lost_work, may_preempt, saving_s, stop_order
 from ryewing.state.jobs import Job, count_fitting
 from ryewing.state.machine import COLD, WARM, Assignment
@@ -19,7 +19,7 @@
 from ryewing.wire.messages import JobSpec
 
 PREEMPT_MAX = 64
-"""Places freed for one array in one pass: bounds the work of a pass."""
+"""Places freed for one array in one cycle: bounds the work of a cycle."""
 
 
 class _Option(NamedTuple):
@@ -47,7 +47,7 @@
 class Preemptor:
     """Stops less important work for the job at hand."""
 
-    def __init__(self, state: PassState) -> None:
+    def __init__(self, state: CycleState) -> None:
         self._state = state
         self._least_priority: int | None = None
 
@@ -59,7 +59,7 @@
             self._least_priority = max(
                 (
                     assignment.job.priority
-                    for capacity in self._state.inputs.capacities
+                    for capacity in self._state.snapshot.capacities
                     for assignment in capacity.machine.assignments.values()
                     if assignment.job is not None
                 ),
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -98,7 +98,7 @@
 
     def step(self) -> None:
         """Read the records if they may have changed, and write what has to change."""
-        if not self._demands or not self._term.may_begin() or not self._leader.placer.gathered:
+        if not self._demands or not self._term.may_begin() or not self._leader.scheduler.reconciled:
             return
         now = monotonic_now()
         for demand in self._demands.values():
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -354,7 +354,7 @@
     def __init__(self) -> None:
         self.jobs: dict[JobId, Job] = {}
         self.waiting: set[JobId] = set()
-        """Jobs that may have a shortfall; kept so that no pass looks at all jobs."""
+        """Jobs that may have a shortfall; kept so that no cycle looks at all jobs."""
         self.dirty: set[JobId] = set()
         """Jobs with finishes, or a final state, to be written."""
         self._factors: dict[str, float] = {}
--- a/tests/clients/test_token_bucket.py
+++ b/tests/clients/test_token_bucket.py
@@ -8,7 +8,7 @@
 
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.config.settings import Team
-from ryewing.scheduling.capacity import Quota
+from ryewing.scheduling.capacity import TeamQuota
 from ryewing.units import MonotonicTime
 
 
@@ -23,5 +23,5 @@
 
 
 def test_team_without_limit_has_no_limit() -> None:
-    quota = Quota({"t": Team("t")}, {}, {})
+    quota = TeamQuota({"t": Team("t")}, {}, {})
     assert quota.headroom(job_spec(team="t"), 1000) == 1000
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -81,7 +81,7 @@
     harness.write()
     harness.new_leader(6)
     assert len(harness.leader.term.cluster.machines) == 1
-    assert harness.leader.placer.ready_to_place()
+    assert harness.leader.scheduler.check_reconciled()
 
 
 def test_a_failed_release_leaves_the_machine_in_use(harness: LeaderHarness) -> None:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -129,7 +129,7 @@
 
 
 def fill(fleet: Fleet) -> None:
-    """Place until every task runs; a pass looks at a sample of the machines."""
+    """Place until every task runs; a cycle looks at a sample of the machines."""
     harness = fleet.harness
     passes = 0
     while len(fleet.placed) < TASKS:
@@ -151,7 +151,7 @@
     leader.worker_commands.schedule_direct_message = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
     job = leader.term.job_table.jobs[JobId("run-1")]
     assert len(leader.term.cluster.machines) == MACHINES
-    assert not leader.placer.ready_to_place()
+    assert not leader.scheduler.check_reconciled()
     for _ in range(2):
         fleet.all_send_heartbeats()
     harness.place()
@@ -217,7 +217,7 @@
     """An attempt beyond its term's would be one of the next term's, and attempts never repeat."""
     harness.ready_worker()
     harness.accept(task_count=1)
-    harness.leader.placer._attempts = MAX_ATTEMPTS - ATTEMPTS_LEFT
+    harness.leader.scheduler._attempts = MAX_ATTEMPTS - ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
     assert not harness.lost
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -95,7 +95,7 @@
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.worker_commands.send(machine)  # the body of /orders does not show the task
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
-    harness.leader.placer.run_pass()
+    harness.leader.scheduler.run_cycle()
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
     assert not starts(harness.exchange(worker))  # a later heartbeat: never executed, given up
     assert harness.assignments() == {}
@@ -179,13 +179,13 @@
     job = harness.begin(worker, task_count=3)
     harness.exchange(worker)
     harness.new_leader(6)
-    assert not harness.leader.placer.ready_to_place()  # a recorded machine has not been heard
+    assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.worker_commands.send(machine)  # the handshake
     assert machine.handshaken
     assert worker.token == fencing_token(TermNumber(6))
-    assert harness.leader.placer.ready_to_place()
-    harness.leader.placer.run_pass()
+    assert harness.leader.scheduler.check_reconciled()
+    harness.leader.scheduler.run_cycle()
     found = harness.leader.term.job_table.get(job)
     assert found is not None
     assert found.shortfall == 0
@@ -216,12 +216,12 @@
     harness.later(bound - policy().gather_s - 0.5)
     harness.exchange(heard)
     harness.leader.term.cluster.expire(harness.clock())
-    harness.leader.placer.run_pass()
+    harness.leader.scheduler.run_cycle()
     assert ("run-1/0" in harness.assignments("i-000002")) is (free_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
     harness.leader.term.cluster.expire(harness.clock())  # old hold and one lease are over
-    harness.leader.placer.run_pass()
+    harness.leader.scheduler.run_cycle()
     assert "run-1/0" in harness.assignments("i-000002")
 
 
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -12,12 +12,12 @@
 from support.placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
 from support.services import SERVICE, replicas, serve
 
-from ryewing import scheduling as placement
+from ryewing import scheduling
 from ryewing.autoscaling.planning import CapacityBackoff, plan_rentals
 from ryewing.clients.store import Put
 from ryewing.config.settings import Objective
 from ryewing.scheduling import queueing
-from ryewing.scheduling.capacity import MachineCapacity, Quota
+from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.jobs import final_key, impossible
 from ryewing.state.machine import RAN_WELL_S
 from ryewing.units import MachineId, MonotonicTime, WallTime, Zone
@@ -228,10 +228,10 @@
     machine = world.machine("i-1", CPU)
     world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
     gang = world.job("run-1", shape="group", task_count=1, cpus=32.0, priority="standard")
-    plan = placement.Pass(
-        placement.PassInputs(
+    plan = scheduling.SchedulingCycle(
+        scheduling.SchedulingSnapshot(
             [MachineCapacity(machine)],
-            Quota(TEAMS, {}, {}),
+            TeamQuota(TEAMS, {}, {}),
             MonotonicTime(T0 + 200),
             random.Random(1),
             64,
@@ -246,10 +246,10 @@
     world = World()
     world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
-    found = placement.Pass(
-        placement.PassInputs(
+    found = scheduling.SchedulingCycle(
+        scheduling.SchedulingSnapshot(
             [MachineCapacity(m) for m in world.cluster.machines.values()],
-            Quota(TEAMS, {}, {}),
+            TeamQuota(TEAMS, {}, {}),
             MonotonicTime(T0 + 200),
             random.Random(1),
             64,
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -10,7 +10,7 @@
 from support.fakes import CPU, GPU, FakeWorker, job_spec, policy, settings
 from support.harness import LeaderHarness
 
-from ryewing import scheduling as placement
+from ryewing import scheduling
 from ryewing.api.api import MAX_STORE_READS_IN_FLIGHT, MAX_SUBMISSIONS_IN_FLIGHT
 from ryewing.clients.cloud import RELEASE_MAX
 from ryewing.clients.peers import ImageLocality
@@ -19,7 +19,7 @@
 from ryewing.leader.state_writer import MACHINE_PREFIX
 from ryewing.leader.worker_commands import max_sends_in_flight
 from ryewing.process.node import API_SHARE, PEER_SHARE
-from ryewing.scheduling.capacity import MachineCapacity, Quota
+from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import DONE_PREFIX, Job, JobRecord, JobTable, live_key
 from ryewing.state.machine import TaskPhase
@@ -68,13 +68,13 @@
                 task = TaskId(one.id, next(numbers))
                 self.cluster.assign(machine, task, Attempt(1), TaskPhase.RUNNING, T0)
 
-    def plan(self, *jobs: Job) -> placement.Plan:
+    def plan(self, *jobs: Job) -> scheduling.Plan:
         teams = {team.name: team for team in settings().params.teams}
         capacities = [MachineCapacity(machine) for machine in self.cluster.machines.values()]
-        quota = Quota(teams, {}, {})
+        quota = TeamQuota(teams, {}, {})
         now = MonotonicTime(T0 + 100.0)
-        return placement.Pass(
-            placement.PassInputs(capacities, quota, now, random.Random(7), policy().sample)
+        return scheduling.SchedulingCycle(
+            scheduling.SchedulingSnapshot(capacities, quota, now, random.Random(7), policy().sample)
         ).run(jobs)
 
 
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("waiting", [5, 40])
 def test_jobs_that_wait_for_images_look_at_samples(size: int, waiting: int) -> None:
-    """Twice a pass: at machines with the image, and at what lies idle. Never at all of them."""
+    """Twice a cycle: at machines with the image, and at what lies idle. Never at all of them."""
     fleet = Fleet(size)
     for n, machine in enumerate(fleet.cluster.machines.values()):
         machine.record_image(f"img-{n % 7}", 4.0)
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -15,7 +15,7 @@
 from ryewing.clients.store import Put, TxnResult
 from ryewing.leader.autoscaler import Renter
 from ryewing.leader.division import NoShardError, NotReadyError
-from ryewing.leader.scheduler import PASS_REST
+from ryewing.leader.scheduler import CYCLE_REST_FACTOR
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
@@ -112,7 +112,7 @@
 
 def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
     leader, params = east.leader, east.settings.params
-    renter = Renter(leader.term, leader.writer, leader.worker_commands, leader.placer)
+    renter = Renter(leader.term, leader.writer, leader.worker_commands, leader.scheduler)
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
     rates = {
@@ -127,7 +127,9 @@
     for name, (rate, whole) in rates.items():
         assert rate == pytest.approx(0.5 * whole), name
     took = 1.0
-    assert 2 * took / (took + leader.placer._rest_s(took)) == pytest.approx(1 / (PASS_REST + 1))
+    assert 2 * took / (took + leader.scheduler._rest_s(took)) == pytest.approx(
+        1 / (CYCLE_REST_FACTOR + 1)
+    )
 
 
 def test_a_job_that_fills_the_memory_of_one_term(east: LeaderHarness) -> None:
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -1,4 +1,4 @@
-"""The indexes of a pass: the same as looking at every machine, without looking at every one."""
+"""The indexes of a cycle: the same as looking at every machine, without looking at every one."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from support.fakes import CPU, GPU, policy, settings
 from support.placement_world import T0, World
 
-from ryewing import scheduling as placement
-from ryewing.scheduling.capacity import Candidates, MachineCapacity, Quota
-from ryewing.scheduling.cycle_state import PassState
+from ryewing import scheduling
+from ryewing.scheduling.capacity import Candidates, MachineCapacity, TeamQuota
+from ryewing.scheduling.cycle_state import CycleState
 from ryewing.scheduling.preemption import may_preempt
 from ryewing.scheduling.victims import Preemptor
 from ryewing.state.jobs import Job
@@ -56,12 +56,12 @@
         """Make jobs that wait."""
         return [self._job(f"run-2{number:04d}", 12) for number in range(count)]
 
-    def inputs(self, sample: int = 64) -> placement.PassInputs:
-        """Give what a pass starts from."""
+    def inputs(self, sample: int = 64) -> scheduling.SchedulingSnapshot:
+        """Give what a cycle starts from."""
         teams = {team.name: team for team in settings().params.teams}
         capacities = [MachineCapacity(machine) for machine in self.machines]
-        quota = Quota(teams, {}, {})
-        return placement.PassInputs(
+        quota = TeamQuota(teams, {}, {})
+        return scheduling.SchedulingSnapshot(
             capacities, quota, MonotonicTime(T0 + 100.0), random.Random(3), sample, gpus_kept=0.0
         )
 
@@ -71,7 +71,7 @@
     """Compared after each of many steps in which room is taken and tasks are stopped."""
     world = RandomWorld(seed)
     jobs = world.waiting(10)
-    state = PassState(world.inputs(), jobs)
+    state = CycleState(world.inputs(), jobs)
     preemptor = Preemptor(state)
     for _ in range(60):
         job = world.rng.choice(jobs)
@@ -108,7 +108,7 @@
     one task more than it needed."""
     world = RandomWorld(1)
     job = world.job("run-9", priority="production", cpus=16.0, spot=True)
-    state = PassState(world.inputs(), [job])
+    state = CycleState(world.inputs(), [job])
     state.begin(job)
     candidates = state.candidates(job)
     narrowed = state.narrowed(candidates, candidates.capacities[1:])
@@ -144,5 +144,5 @@
         return may_fit(capacity, spec)  # type: ignore[arg-type]
 
     monkeypatch.setattr(MachineCapacity, "may_fit", counted)
-    placement.Pass(world.inputs(policy().sample)).run(jobs)
+    scheduling.SchedulingCycle(world.inputs(policy().sample)).run(jobs)
     assert len(asked) <= 12 * len(world.machines) + 4 * policy().sample * len(jobs)
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -1,6 +1,6 @@
 """Against a steady stream of smaller work: the largest begin, and every class and team is served.
 
-A small world in steps of five seconds: passes place, tasks run their time, and as much new small
+A small world in steps of five seconds: cycles place, tasks run their time, and as much new small
 work comes as has ended, so that there is never room to spare.
 """
 
@@ -12,10 +12,10 @@
 import pytest
 from support.fakes import CPU, job_spec, settings
 
-from ryewing import scheduling as placement
+from ryewing import scheduling
 from ryewing.config.settings import Team
 from ryewing.scheduling import queueing
-from ryewing.scheduling.capacity import MachineCapacity, Quota
+from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import Job, JobRecord, JobTable
 from ryewing.state.machine import Assignment, TaskPhase
@@ -85,9 +85,9 @@
         ordered = queueing.order(jobs, settings().params.objectives, supply, supply, now)
         capacities = [MachineCapacity(m) for m in self.cluster.machines.values()]
         teams = {"red": Team("red"), "blue": Team("blue")}
-        quota = Quota(teams, {}, {})
-        plan = placement.Pass(
-            placement.PassInputs(capacities, quota, MonotonicTime(self.now), self.rng, 64)
+        quota = TeamQuota(teams, {}, {})
+        plan = scheduling.SchedulingCycle(
+            scheduling.SchedulingSnapshot(capacities, quota, MonotonicTime(self.now), self.rng, 64)
         ).run(ordered, queueing.overdue(ordered, now))
         stopped: list[Assignment] = plan.stops
         for assignment in stopped:
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -252,7 +252,7 @@
 
 
 def test_room_freed_for_one_job_serves_another_in_the_same_pass() -> None:
-    """Where a task might fit is remembered in a pass, until something is stopped."""
+    """Where a task might fit is remembered in a cycle, until something is stopped."""
     world = World()
     large = world.job("run-9", task_count=1, cpus=32.0, memory_gb=1.0)
     world.put(large, world.machine("i-1"), 1)
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -71,7 +71,7 @@
 
 
 def test_one_probe_at_a_time_and_a_step_for_each(harness: LeaderHarness) -> None:
-    """A task was placed in every pass until the first of them had failed."""
+    """A task was placed in every cycle until the first of them had failed."""
     workers = harness.ready_workers(4)
     job = failed_job(harness, workers)
     seen = [job.backoff_s]
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -196,8 +196,8 @@
 
     def _placing(self, leader: Leader) -> Callable[[], None]:
         def place() -> None:
-            if leader.term.may_begin() and leader.placer.ready_to_place():
-                leader.placer.run_pass()
+            if leader.term.may_begin() and leader.scheduler.check_reconciled():
+                leader.scheduler.run_cycle()
 
         return place
 
@@ -219,7 +219,7 @@
             leader.writer._bucket = self._bucket(leader.writer._bucket)
             early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
             leader.worker_commands._early_heartbeat_bucket = early
-            leader.placer._rng = random.Random(int(leader.term.number))
+            leader.scheduler._rng = random.Random(int(leader.term.number))
             leader.worker_commands.workers = DirectLink(self, node.name)  # type: ignore[assignment]
             leader.worker_commands.schedule_direct_message = leader.worker_commands.send  # type: ignore[method-assign]
 
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -138,7 +138,7 @@
         self.write()
         for worker in workers:
             self.exchange(worker)
-        assert self.leader.placer.ready_to_place()
+        assert self.leader.scheduler.check_reconciled()
 
     def ready_worker(self) -> FakeWorker:
         """A worker to which tasks may be given."""
@@ -165,8 +165,8 @@
         self.exchange(worker)
 
     def place(self) -> None:
-        assert self.leader.placer.ready_to_place()
-        self.leader.placer.run_pass()
+        assert self.leader.scheduler.check_reconciled()
+        self.leader.scheduler.run_cycle()
 
     def assignments(self, name: str = "i-000001") -> dict[str, str]:
         machine = self.leader.term.cluster.machines[MachineId(name)]
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ryewing import scheduling as placement
+from ryewing import scheduling
 from ryewing.scheduling import queueing
-from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, Quota
+from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.jobs import Job, JobRecord, JobTable
 from ryewing.state.machine import Assignment, Machine, TaskPhase
@@ -64,13 +64,13 @@
         kept: float = 99.0,
         moving: Sequence[Assignment] = (),
         **ways: Any,
-    ) -> placement.Plan:
+    ) -> scheduling.Plan:
         gpu_reserve = NO_RESERVE
         for one in self.job_table:
             gpu_reserve = gpu_reserve.widened(one)
-        quota = Quota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
+        quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
         capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
-        inputs = placement.PassInputs(
+        snapshot = scheduling.SchedulingSnapshot(
             capacities,
             quota,
             MonotonicTime(T0 + now),
@@ -80,10 +80,10 @@
             kept,
             **ways,
         )
-        return placement.Pass(inputs).run(jobs, (), moving)
+        return scheduling.SchedulingCycle(snapshot).run(jobs, (), moving)
 
 
-def spread_of(plan: placement.Plan) -> Counter[str]:
+def spread_of(plan: scheduling.Plan) -> Counter[str]:
     counts: Counter[str] = Counter()
     for batch in plan.batches:
         for machine, count in batch.parts:
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -117,9 +117,11 @@
         for worker in workers:
             leader.on_heartbeat(worker.heartbeat())
 
-    sample.time_ms("pass_ms", harness.place)
-    sample.figures["machines_examined"] = leader.placer.machines_examined // leader.placer.passes
-    sample.figures["short_jobs"] = len(leader.placer.unplaced)
+    sample.time_ms("cycle_ms", harness.place)
+    sample.figures["machines_examined"] = (
+        leader.scheduler.machines_examined // leader.scheduler.cycles
+    )
+    sample.figures["short_jobs"] = len(leader.scheduler.unplaced)
     sample.time_ms("heartbeats_ms", heartbeats)
     sample.figures["heartbeat_us"] = round(1000 * sample.figures.pop("heartbeats_ms") / count, 1)
     sample.time_ms("maintenance_ms", leader.run_maintenance)
@@ -128,7 +130,7 @@
     sample.time_ms(
         "return_ms",
         lambda: fleet.to_return(
-            cluster.machines.values(), leader.placer.unplaced, leader.term.policy, clock()
+            cluster.machines.values(), leader.scheduler.unplaced, leader.term.policy, clock()
         ),
     )
     sample.time_ms("image_locality_ms", lambda: msgspec.msgpack.encode(leader.image_locality()))
