--- a/src/ryewing/autoscaling/planning.py
+++ b/src/ryewing/autoscaling/planning.py
@@ -21,7 +21,7 @@
 
 SPARE_GPUS = 1.2
 """How many times the GPUs lately wanted are kept."""
-RETIRE_DRAIN = 0.25
+CORDON_DRAIN = 0.25
 """The part of the drain target within which waiting work without GPUs must end."""
 NO_CAPACITY_S = 20.0
 NO_CAPACITY_MAX_S = 120.0
@@ -51,7 +51,7 @@
         return now >= self._until.get(option, MonotonicTime(0.0))
 
 
-class RentalPlan:
+class ScaleOutPlan:
     """Machines to be rented: the options from the best on, and how many."""
 
     __slots__ = ("count", "options")
@@ -61,7 +61,7 @@
         self.count = count
 
 
-def per_machine(spec: JobSpec, machine_type: MachineType) -> int:
+def tasks_per_machine(spec: JobSpec, machine_type: MachineType) -> int:
     """Tell how many tasks of a job an empty machine takes."""
     if not fits_machine_type(spec, machine_type):
         return 0
@@ -91,7 +91,7 @@
         if spec.machine_types is not None and machine_type.name not in spec.machine_types:
             continue
         # Counted as if the job filled the machine: others will use the rest.
-        places = per_machine(spec, machine_type)
+        places = tasks_per_machine(spec, machine_type)
         if places == 0:
             continue
         share = max(
@@ -184,17 +184,17 @@
         return found
 
 
-def plan_rentals(
+def plan_scale_out(
     short: Sequence[tuple[Job, int]],
     booting: Sequence[Machine],
     machine_types: dict[str, MachineType],
     backoff: CapacityBackoff,
     policy: Policy,
     now: MonotonicTime,
-) -> list[RentalPlan]:
+) -> list[ScaleOutPlan]:
     """Turn what is short into machines to rent, beyond those that are booting."""
     room = _BootingRoom(booting)
-    result: list[RentalPlan] = []
+    result: list[ScaleOutPlan] = []
     for job, count in short:
         taken: Counter[str] = Counter()
         """Where the tasks would be: a job that is spread gets half a zone at the most. Machines
@@ -216,7 +216,7 @@
 
 def _machines(job: Job, count: int, machine_type: MachineType, policy: Policy) -> int:
     """Tell how many machines of a type some of a job's tasks are rented for."""
-    places = per_machine(job.spec, machine_type)
+    places = tasks_per_machine(job.spec, machine_type)
     if job.gang or job.endless:
         return -(-count // places)
     # An array needs no place of its own for every task: enough that it drains in time.
@@ -224,13 +224,13 @@
     return max(1, round(count / places / rounds))
 
 
-def _add_plan(plan_rentals: list[RentalPlan], options: list[Option], machines: int) -> None:
+def _add_plan(plan_scale_out: list[ScaleOutPlan], options: list[Option], machines: int) -> None:
     """Add to a plan for the same: one request for all of them, since the cloud takes few."""
-    for plan in plan_rentals:
+    for plan in plan_scale_out:
         if plan.options[0] == options[0]:
             plan.count += machines
             return
-    plan_rentals.append(RentalPlan(options, machines))
+    plan_scale_out.append(ScaleOutPlan(options, machines))
 
 
 def serves(machine: Machine) -> bool:
@@ -241,7 +241,7 @@
     )
 
 
-def to_retire(
+def machines_to_cordon(
     machines: Iterable[Machine], gpus_wanted: float, drain_s: float, policy: Policy
 ) -> set[MachineId]:
     """Choose the machines with GPUs that should take no more work, the dearest first.
@@ -250,7 +250,7 @@
     thirds of the GPUs were in use, all of them were paid for. Not while work without GPUs waits
     for long, since then its processors are wanted too.
     """
-    if drain_s > RETIRE_DRAIN * policy.drain_target_s:
+    if drain_s > CORDON_DRAIN * policy.drain_target_s:
         return set()
     with_gpus = [
         m for m in machines if m.machine_type.gpus > 0 and m.acknowledges and not m.quarantined
@@ -267,7 +267,7 @@
     return chosen
 
 
-def to_return(
+def scale_in_candidates(
     machines: Iterable[Machine],
     waiting: Sequence[tuple[Job, int]],
     policy: Policy,
@@ -279,9 +279,9 @@
     """
     chosen = []
     for machine in machines:
-        if machine.assignments or machine.leaving or machine.heard_at is None:
+        if machine.assignments or machine.being_released or machine.heard_at is None:
             continue
-        if machine.retiring:
+        if machine.cordoned:
             chosen.append(machine)
             continue
         if now - machine.idle_since < policy.idle_return_s and not machine.quarantined:
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -1,7 +1,7 @@
 """The fleet of one term: machines rented, listed, given up and returned.
 
-Which ones is `fleet`'s decision; here stand the requests, whose names and answers are recorded so
-that nothing is rented twice.
+Which ones is decided by `ryewing.autoscaling`; here stand the requests, whose names and answers are
+recorded so that nothing is rented twice.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import gevent
 import msgspec
 
-from ryewing.autoscaling import planning as fleet
+from ryewing.autoscaling import planning
 from ryewing.clients.cloud import (
     RELEASE_MAX,
     RENT_MAX,
@@ -34,20 +34,20 @@
 log = logging.getLogger("ryewing.leader.autoscaler")
 
 REQUEST_PREFIX = "h/"
-UNLISTED_TWICE = 2
+MISSED_LISTS_MAX = 2
 MACHINE_TYPES_EVERY_S = 60.0
 UNHEARD_EXTRA_S = 0.5
-RELEASED_KEPT = 20_000
+RELEASED_NAMES_KEPT = 20_000
 """Names of machines that are gone, kept for as long as copies of what they said may arrive."""
-RETIRE_SHARE = 0.01
+CORDON_SHARE = 0.01
 """The part of the fleet that stops taking work in one step."""
-BOOT_LEAST_S = 60.0
+MIN_BOOT_PATIENCE_S = 60.0
 """How long a machine may take to boot at the least: deleted sooner, it costs as much."""
 LATE_AFTER = 1.3
 """Heartbeat intervals, a little more than the longest one, after which a heartbeat is late."""
 
 
-class Renter:
+class Autoscaler:
     """Owns the rental requests, and what the cloud was seen not to have."""
 
     def __init__(
@@ -65,38 +65,39 @@
         limits = msgspec.structs.replace(limits, rps=term.scope.share * limits.rps)
         self.cloud = Cloud(parse_address(term.settings.endpoints.cloud), limits)
         self.listing = MachineListing(self.cloud, limits.rps)
-        self.capacity_backoff = fleet.CapacityBackoff()
+        self.capacity_backoff = planning.CapacityBackoff()
         self.pending_requests: dict[str, RentalRequest] = {}
         self._requests = 0
         self._machine_types_at = MonotonicTime(-1e9)
         self._only_listed: dict[MachineId, int] = {}
         """Machines known from lists alone, and how many lists in a row have lacked them."""
-        self._types_kept: frozenset[str] = frozenset()
+        self._stored_machine_types: frozenset[str] = frozenset()
         """The machine types that the store has."""
 
-    def load_types(self) -> list[MachineType]:
+    def load_machine_types(self) -> list[MachineType]:
         """Read the machine types that an earlier leader left in the store."""
         machine_types = catalogue.read(self.term.store)
-        self._types_kept = frozenset(machine_type.name for machine_type in machine_types)
+        self._stored_machine_types = frozenset(machine_type.name for machine_type in machine_types)
         return machine_types
 
-    def fleet_loop(self) -> None:
+    def autoscaling_loop(self) -> None:
         """Bring the fleet to what is wanted."""
         while True:
             gevent.sleep(0.5)
             if not self.term.may_begin():
                 continue
             try:
-                self._fleet_step()
+                self.step()
             except CloudUnavailableError as error:
                 log.debug("event=cloud-down error=%s", error)
                 gevent.sleep(0.5)
             except StoreUnavailableError as error:
                 log.debug("event=fleet-store-down error=%s", error)
 
-    def _fleet_step(self) -> None:
+    def step(self) -> None:
+        """Take one step: replace unhealthy machines, scale in, scale out."""
         now = monotonic_now()
-        gone = self.to_give_up(now)
+        gone = self.unhealthy_machines(now)
         if gone:
             self.release(gone)
         if now - self._machine_types_at > MACHINE_TYPES_EVERY_S:
@@ -107,8 +108,8 @@
             self.send_request(request)
         if not self.scheduler.reconciled or not self.term.machine_types:
             return
-        self._retire()
-        returned = fleet.to_return(
+        self.cordon()
+        returned = planning.scale_in_candidates(
             self.term.cluster.machines.values(),
             self.scheduler.unplaced,
             self.term.policy,
@@ -116,25 +117,25 @@
         )
         if returned:
             self.release([(machine, "idle") for machine in returned])
-        self.rent()
+        self.scale_out()
 
-    def _retire(self) -> None:
+    def cordon(self) -> None:
         """Bring the machines that take no more work to what the GPUs wanted ask for."""
         machines = self.term.cluster.machines.values()
-        wanted = fleet.to_retire(
+        wanted = planning.machines_to_cordon(
             machines, self.scheduler.gpus_wanted, self.scheduler.drain_s(), self.term.policy
         )
-        budget = max(1, int(RETIRE_SHARE * len(machines)))
+        budget = max(1, int(CORDON_SHARE * len(machines)))
         for machine in machines:
-            if machine.retiring and machine.id not in wanted:
-                machine.retiring = False
+            if machine.cordoned and machine.id not in wanted:
+                machine.cordoned = False
                 self.term.scheduling_needed.set()
-            elif not machine.retiring and machine.id in wanted and budget > 0:
-                machine.retiring = True
-                machine.retiring_since = monotonic_now()
+            elif not machine.cordoned and machine.id in wanted and budget > 0:
+                machine.cordoned = True
+                machine.cordoned_since = monotonic_now()
                 budget -= 1
 
-    def to_give_up(self, now: MonotonicTime) -> list[tuple[Machine, str]]:
+    def unhealthy_machines(self, now: MonotonicTime) -> list[tuple[Machine, str]]:
         """Machines that are better released than waited for.
 
         When many fall silent at once the fault may be on our side, and then each is only given
@@ -178,7 +179,9 @@
         return self.term.began_at if machine.recorded else None  # heard in an earlier term
 
     def _boot_patience_s(self, machine: Machine) -> float:
-        return max(self.term.policy.boot_patience * machine.machine_type.boot_s, BOOT_LEAST_S)
+        return max(
+            self.term.policy.boot_patience * machine.machine_type.boot_s, MIN_BOOT_PATIENCE_S
+        )
 
     def _silence_s(self, machine: Machine) -> float:
         """Tell how long a machine is waited for.
@@ -202,13 +205,13 @@
             # may use these machines by now.
             return
         for machine, _why in chosen:
-            machine.leaving = True
+            machine.being_released = True
         try:
             self.cloud.release([machine.id for machine, _why in chosen])
         except CloudUnavailableError:
             # It may still be carried out late; until then the machine is used as before.
             for machine, _why in chosen:
-                machine.leaving = False
+                machine.being_released = False
             raise
         now = monotonic_now()
         for machine, why in chosen:
@@ -225,7 +228,7 @@
                 self.worker_commands.workers.forget(machine.address)
             self.writer.to_record.discard(machine.id)
             self.term.released[machine.id] = None
-            if len(self.term.released) > RELEASED_KEPT:
+            if len(self.term.released) > RELEASED_NAMES_KEPT:
                 self.term.released.popitem(last=False)
             self.writer.machines.drop(machine.id)
         self.term.scheduling_needed.set()
@@ -236,12 +239,12 @@
         self._machine_types_at = monotonic_now()
         self.term.set_machine_types(machine_types)
         kept = frozenset(machine_type.name for machine_type in machine_types)
-        if kept != self._types_kept:
+        if kept != self._stored_machine_types:
             # Noted only once it is written: other nodes take no job before they know the types.
             catalogue.write(
                 self.term.store, self.term.leadership.fencing_conditions(), machine_types
             )
-            self._types_kept = kept
+            self._stored_machine_types = kept
 
     def read_list(self) -> None:
         """Read a page of the cloud's list, and take in what it tells."""
@@ -290,25 +293,25 @@
                 self._only_listed[name] = 0
             else:
                 self._only_listed[name] += 1
-                if self._only_listed[name] >= UNLISTED_TWICE:
+                if self._only_listed[name] >= MISSED_LISTS_MAX:
                     del self._only_listed[name]
                     self.term.cluster.remove(machine, monotonic_now())
 
-    def rent(self) -> None:
+    def scale_out(self) -> None:
         """Ask for what is short, beyond what is booting."""
         now = monotonic_now()
         booting = [
             m
             for m in self.term.cluster.machines.values()
-            if not m.leaving
+            if not m.being_released
             and not m.assignments
             and not m.quarantined
             and not m.usable()
             and m.unacknowledged_since is None
-            and not m.retiring
+            and not m.cordoned
             and m.notice_s is None
         ]
-        for plan in fleet.plan_rentals(
+        for plan in planning.plan_scale_out(
             self.scheduler.unplaced,
             booting,
             self.term.machine_types,
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -3,7 +3,7 @@
 Everything here ends with the term. The loops share one state in one thread; gevent switches only
 where a request is under way, so what is decided between two requests is consistent. What the loops
 do stands in the parts: `intake` the jobs, `writer` the store, `dispatch` the workers, `scheduler`
-the scheduling cycles, `renter` the fleet. Here stand the lease, the rebuild and what is tended.
+the scheduling cycles, `autoscaler` the fleet. Here stand the lease, the rebuild and what is tended.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import LeaseLostError, StoreUnavailableError
-from ryewing.leader.autoscaler import Renter
+from ryewing.leader.autoscaler import Autoscaler
 from ryewing.leader.job_watcher import JobWatcher
 from ryewing.leader.recovery import Recovery
 from ryewing.leader.scheduler import Scheduler
@@ -58,7 +58,7 @@
         self.worker_commands = WorkerCommands(self.term, self.writer)
         self.job_watcher = JobWatcher(self.term, self.writer, self.worker_commands)
         self.scheduler = Scheduler(self.term, self.worker_commands)
-        self.renter = Renter(self.term, self.writer, self.worker_commands, self.scheduler)
+        self.autoscaler = Autoscaler(self.term, self.writer, self.worker_commands, self.scheduler)
         self._greenlets: list[gevent.Greenlet] = []
         self.extra_loops: list[Callable[[], None]] = []
         """Run for as long as the term lasts, besides its own."""
@@ -98,7 +98,7 @@
         if not self.term.state_loaded.is_set():
             return True
         return not self.writer.in_flight() and not any(
-            machine.leaving
+            machine.being_released
             or any(
                 assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()
             )
@@ -189,7 +189,7 @@
             self.term.number,
             len(self.term.job_table.jobs),
             len(self.term.cluster.machines),
-            len(self.renter.pending_requests),
+            len(self.autoscaler.pending_requests),
             monotonic_now() - self.term.began_at,
         )
         self.term.state_loaded.set()
@@ -200,12 +200,14 @@
         self._spawn(self.writer.write_loop)
         self._spawn(self.scheduler.scheduling_loop)
         self._spawn(self._maintenance_loop)
-        self._spawn(self.renter.fleet_loop)
+        self._spawn(self.autoscaler.autoscaling_loop)
         for loop in self.extra_loops:
             self._spawn(loop)
 
     def _load(self) -> None:
-        Recovery(self.term, self.job_watcher, self.writer, self.renter, self._image_locality).load()
+        Recovery(
+            self.term, self.job_watcher, self.writer, self.autoscaler, self._image_locality
+        ).load()
 
     def _maintenance_loop(self) -> None:
         """Leases that end, and stops that must be sent again."""
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -11,7 +11,7 @@
 
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import readable
-from ryewing.leader.autoscaler import REQUEST_PREFIX, Renter
+from ryewing.leader.autoscaler import REQUEST_PREFIX, Autoscaler
 from ryewing.leader.job_watcher import JobWatcher
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, StateWriter
 from ryewing.leader.term_context import TermContext
@@ -44,19 +44,19 @@
         term: TermContext,
         job_watcher: JobWatcher,
         writer: StateWriter,
-        renter: Renter,
+        autoscaler: Autoscaler,
         image_locality: ImageLocality | None,
     ) -> None:
         self._term = term
         self._intake = job_watcher
         self._writer = writer
-        self._renter = renter
+        self._renter = autoscaler
         self._image_locality = image_locality
 
     def load(self) -> None:
         """Read everything; raise StoreUnavailableError to be called again."""
         now = monotonic_now()
-        types = self._renter.load_types()
+        types = self._renter.load_machine_types()
         if types:
             self._term.set_machine_types(types)
         self._load_jobs(now)
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -234,12 +234,12 @@
         found: list[Assignment] = []
         unwanted: list[Assignment] = []
         for machine in self.term.cluster.machines.values():
-            if machine.leaving or not machine.assignments or not machine.acknowledges:
+            if machine.being_released or not machine.assignments or not machine.acknowledges:
                 continue
             must = machine.notice_s is not None or machine.quarantined
             if not must and (
-                not machine.retiring
-                or now - machine.retiring_since < MOVE_AFTER_S
+                not machine.cordoned
+                or now - machine.cordoned_since < MOVE_AFTER_S
                 # It stays for what else is there.
                 or any(
                     assignment.job is None or not assignment.job.endless
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -220,7 +220,7 @@
         commands = self._repeatable_commands(machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
-        if machine.notice_s is not None or machine.leaving or not self.term.may_begin():
+        if machine.notice_s is not None or machine.being_released or not self.term.may_begin():
             return commands
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         for assignment in machine.assignments.values():
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -137,6 +137,9 @@
         "acknowledged",
         "address",
         "assignments",
+        "being_released",
+        "cordoned",
+        "cordoned_since",
         "cpus",
         "ended",
         "expired_incarnation",
@@ -149,7 +152,6 @@
         "images",
         "images_in_use",
         "last_reported",
-        "leaving",
         "machine_type",
         "may_hold_until",
         "memory_gb",
@@ -160,8 +162,6 @@
         "recorded",
         "rented_at",
         "required_acknowledgement",
-        "retiring",
-        "retiring_since",
         "spot",
         "token_bumped_at",
         "token_bumps",
@@ -201,10 +201,10 @@
         """How long tasks take here, as against the same jobs' tasks elsewhere."""
         self.token_bumps = 0
         self.token_bumped_at: MonotonicTime | None = None
-        self.leaving = False
-        self.retiring = False
+        self.being_released = False
+        self.cordoned = False
         """No more work is wanted here: it is returned once what runs has ended."""
-        self.retiring_since = now
+        self.cordoned_since = now
         self.quarantined = False
         self.assignments: dict[TaskId, Assignment] = {}
         self.last_reported: dict[tuple[str, int], ReportedTask] = {}
@@ -241,8 +241,8 @@
         return (
             self.acknowledges
             and self.recorded
-            and not self.leaving
-            and not self.retiring
+            and not self.being_released
+            and not self.cordoned
             and not self.quarantined
             and self.notice_s is None
         )
--- a/tests/autoscaling/test_planning.py
+++ b/tests/autoscaling/test_planning.py
@@ -6,7 +6,12 @@
 from support.fakes import job, policy
 from support.placement_world import FLAVOURS, T0, World
 
-from ryewing.autoscaling.planning import CapacityBackoff, options_for, plan_rentals, to_return
+from ryewing.autoscaling.planning import (
+    CapacityBackoff,
+    options_for,
+    plan_scale_out,
+    scale_in_candidates,
+)
 from ryewing.units import MonotonicTime
 
 
@@ -14,8 +19,8 @@
     world = World()
     booting = [world.machine("i-1")]
     short = [(job(task_count=8), 8)]
-    assert plan_rentals(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
-    [plan] = plan_rentals(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    assert plan_scale_out(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
+    [plan] = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.count == 1
     assert plan.options[0][0] == "c32"
 
@@ -51,5 +56,5 @@
     if assignments:
         world.put(world.job("run-9"), machine, 1)
     short = [(job(), 1)] if waiting else []
-    chosen = to_return([machine], short, policy(), MonotonicTime(T0 + idle_s))
+    chosen = scale_in_candidates([machine], short, policy(), MonotonicTime(T0 + idle_s))
     assert (chosen == [machine]) is returned
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -20,18 +20,18 @@
 
 def rent(harness: LeaderHarness) -> None:
     harness.place()
-    harness.leader.renter.rent()
+    harness.leader.autoscaler.scale_out()
 
 
 def test_a_successor_repeats_a_recorded_wish_under_its_name(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    harness.leader.renter.send_request = lambda request: None  # type: ignore[method-assign]  # dies before asking
+    harness.leader.autoscaler.send_request = lambda request: None  # type: ignore[method-assign]  # dies before asking
     rent(harness)
     assert len(harness.store.listing(REQUEST_PREFIX)[0]) == 1
     assert not harness.cloud.requests
     harness.new_leader(6)
-    for request in list(harness.leader.renter.pending_requests.values()):
-        harness.leader.renter.send_request(request)
+    for request in list(harness.leader.autoscaler.pending_requests.values()):
+        harness.leader.autoscaler.send_request(request)
     rent(harness)  # what is booting counts
     assert len(harness.cloud.requests) == 1
     harness.write()
@@ -59,17 +59,17 @@
     with pytest.raises(CloudUnavailableError):
         rent(harness)
     harness.cloud.rent = real  # type: ignore[method-assign]
-    [pending] = harness.leader.renter.pending_requests.values()
-    harness.leader.renter.send_request(pending)
+    [pending] = harness.leader.autoscaler.pending_requests.values()
+    harness.leader.autoscaler.send_request(pending)
     assert [request.id for request in harness.cloud.requests] == [pending.id]
 
 
 def test_nothing_is_rented_without_the_lease(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    rent_wish = harness.leader.renter.pending_requests
+    rent_wish = harness.leader.autoscaler.pending_requests
     harness.place()
     harness.later(3.1, renewed=False)
-    harness.leader.renter.rent()
+    harness.leader.autoscaler.scale_out()
     assert not harness.cloud.requests
     assert len(rent_wish) == 1  # recorded, to be asked for once the lease is confirmed
 
@@ -94,7 +94,7 @@
 
     harness.cloud.release = refused  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
-        harness.leader.renter.release([(machine, "idle")])
+        harness.leader.autoscaler.release([(machine, "idle")])
     assert machine.usable()
 
 
@@ -117,13 +117,13 @@
     for shown in lists:
         host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
         harness.cloud.listed = [host] if shown else []
-        harness.leader.renter.read_list()
+        harness.leader.autoscaler.read_list()
         if heard:
             harness.exchange(worker)
     assert (MachineId(worker.name) in harness.leader.term.cluster.machines) is known
     harness.accept(task_count=8)
     harness.place()
-    harness.leader.renter.rent()
+    harness.leader.autoscaler.scale_out()
     assert bool(harness.cloud.requests) is not known
 
 
@@ -136,12 +136,12 @@
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert len(harness.leader.renter.to_give_up(harness.clock())) == given_up
+    assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == given_up
     harness.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
         harness.exchange(worker)
     harness.leader.term.cluster.expire(harness.clock())
-    assert len(harness.leader.renter.to_give_up(harness.clock())) == silent
+    assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == silent
 
 
 def test_machines_of_an_earlier_term_are_given_up_once_their_lease_is_over(
@@ -158,7 +158,7 @@
         for worker in workers[4:]:
             harness.exchange(worker)
     harness.leader.term.cluster.expire(harness.clock())
-    chosen = harness.leader.renter.to_give_up(harness.clock())
+    chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
     assert sorted((machine.id, why) for machine, why in chosen) == [
         (worker.name, "silent") for worker in workers[:4]
     ]
@@ -171,7 +171,7 @@
         harness.later(0.3)
         harness.exchange(worker)
     harness.later(policy().silence_s - 1.0)  # the first three are silent, the others only late
-    assert harness.leader.renter.to_give_up(harness.clock()) == []
+    assert harness.leader.autoscaler.unhealthy_machines(harness.clock()) == []
 
 
 def noted_messages(harness: LeaderHarness) -> list[MachineId]:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -14,7 +14,7 @@
 from ryewing.clients.machine_listing import LIST_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
-from ryewing.leader.autoscaler import RELEASED_KEPT
+from ryewing.leader.autoscaler import RELEASED_NAMES_KEPT
 from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.state.machine import TaskPhase
@@ -43,11 +43,11 @@
 
     def rent(self) -> tuple[int, int]:
         """Rent what is wanted, and let it boot; count the requests, and writes once it is up."""
-        harness, renter = self.harness, self.harness.leader.renter
+        harness, autoscaler = self.harness, self.harness.leader.autoscaler
         requests = len(harness.cloud.requests)
         while len(harness.leader.term.cluster.machines) < MACHINES:
             harness.place()
-            renter.rent()
+            autoscaler.scale_out()
         harness.write()
         self._boot()
         writes = harness.store.writes
@@ -172,13 +172,13 @@
         fleet.all_send_heartbeats()
         leader.run_maintenance()
         harness.place()
-        given_up = leader.renter.to_give_up(harness.clock())
+        given_up = leader.autoscaler.unhealthy_machines(harness.clock())
         assert not any(machine.may_hold_until for machine, _why in given_up)
         assert max(asked.values(), default=0) <= look + 1
     fleet.lease_over()
     requests = 0
-    while gone := leader.renter.to_give_up(harness.clock()):
-        leader.renter.release(gone)
+    while gone := leader.autoscaler.unhealthy_machines(harness.clock()):
+        leader.autoscaler.release(gone)
         requests += 1
     assert requests == -(-len(lost) // RELEASE_MAX)
     assert set(map(str, harness.cloud.released)) == lost
@@ -199,14 +199,14 @@
         ListedMachine(f"i-{number:06d}", "c32", "a", "running", "", False, 5.0)
         for number in range(machines)
     ]
-    renter = harness.leader.renter
+    autoscaler = harness.leader.autoscaler
     rps = harness.settings.params.cloud.rps
     pages = 0
     seconds = 60.0
     for _ in range(round(seconds / 0.5)):
         harness.clock.now += 0.5
-        if renter.listing.due(harness.clock()):
-            renter.read_list()
+        if autoscaler.listing.due(harness.clock()):
+            autoscaler.read_list()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
     assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
@@ -236,7 +236,7 @@
     machines = {f"i-{number:06d}": list(range(number % 1900, number % 1900 + 40))
                 for number in range(fleet)}  # fmt: skip
     assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
-    assert fleet < RELEASED_KEPT
+    assert fleet < RELEASED_NAMES_KEPT
     assert fleet * 2 * 32 < ATTEMPTS_LEFT  # a task for each half of a processor
     assert max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * MAX_SENDS_IN_FLIGHT
     names = [f"i-{number:06d}" for number in range(fleet)]
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -53,7 +53,10 @@
         ),
         (lambda: setattr(machine, "recorded", False), lambda: setattr(machine, "recorded", True)),
         (lambda: harness.later(3.1, renewed=False), lambda: harness.later(0.0)),
-        (lambda: setattr(machine, "leaving", True), lambda: setattr(machine, "leaving", False)),
+        (
+            lambda: setattr(machine, "being_released", True),
+            lambda: setattr(machine, "being_released", False),
+        ),
     ]
     for take_away, give_back in guards:
         take_away()
@@ -234,7 +237,7 @@
     harness.exchange(heard)
     harness.later(policy().silence_s + 1.0)
     harness.exchange(heard)
-    harness.leader.renter.release(harness.leader.renter.to_give_up(harness.clock()))
+    harness.leader.autoscaler.release(harness.leader.autoscaler.unhealthy_machines(harness.clock()))
     assert harness.cloud.released == ["i-000001"]
     harness.place()
     assert harness.assignments("i-000002") == {"run-1/0": TaskPhase.PLANNED}
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -448,12 +448,12 @@
     """They were noted as known before the write: after an outage no follower learned them."""
     harness.store.down = True
     with pytest.raises(StoreUnavailableError):
-        harness.leader.renter._read_machine_types()
+        harness.leader.autoscaler._read_machine_types()
     harness.store.down = False
-    harness.leader.renter._read_machine_types()
+    harness.leader.autoscaler._read_machine_types()
     assert harness.store.get(catalogue.KEY) is not None
     before = harness.store.writes
-    harness.leader.renter._read_machine_types()
+    harness.leader.autoscaler._read_machine_types()
     assert harness.store.writes == before
 
 
@@ -467,8 +467,8 @@
     )
     harness.ready(harness.worker(names[0]))
     harness.new_leader(6)
-    for request in list(harness.leader.renter.pending_requests.values()):
-        harness.leader.renter.send_request(request)
+    for request in list(harness.leader.autoscaler.pending_requests.values()):
+        harness.leader.autoscaler.send_request(request)
     harness.write()
     said = as_production_reads(harness.store, MACHINE_PREFIX)[names[0]]
     assert [record["heard"] for record in said] == [True]
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -292,10 +292,10 @@
     """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
     harness.ready_workers(250)
     machines = list(harness.leader.term.cluster.machines.values())
-    harness.leader.renter.release([(machine, "silent") for machine in machines])
+    harness.leader.autoscaler.release([(machine, "silent") for machine in machines])
     assert len(harness.cloud.released) == RELEASE_MAX
     assert len(harness.leader.term.cluster.machines) == 250 - RELEASE_MAX
-    assert not any(m.leaving for m in harness.leader.term.cluster.machines.values())
+    assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
 
 
 # -- records that share a value -----------------------------------------------------------------
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -13,7 +13,7 @@
 from ryewing.clients.machine_listing import LIST_SHARE
 from ryewing.clients.peers import ShardLoadAnswer
 from ryewing.clients.store import Put, TxnResult
-from ryewing.leader.autoscaler import Renter
+from ryewing.leader.autoscaler import Autoscaler
 from ryewing.leader.division import NoShardError, NotReadyError
 from ryewing.leader.scheduler import CYCLE_REST_FACTOR
 from ryewing.leader.scope import TermScope
@@ -46,7 +46,7 @@
         ListedMachine("i-000003", "c32", "a", "running"),
         ListedMachine("i-000004", "c32", "b", "failed"),
     ]
-    east.leader.renter.read_list()
+    east.leader.autoscaler.read_list()
     assert sorted(east.leader.term.cluster.machines) == ["i-000001", "i-000003"]
     assert not east.cloud.released
 
@@ -54,7 +54,7 @@
 def test_another_shards_zones_are_never_rented_in(east: LeaderHarness) -> None:
     east.accept(task_count=1)
     east.place()
-    east.leader.renter.rent()
+    east.leader.autoscaler.scale_out()
     assert {request.zone for request in east.cloud.requests} == {"a"}
     assert {request.id for request in east.cloud.requests} == {"r-east-5-1"}
     west = TermScope(WEST, frozenset({Zone("b")}), 0.5)
@@ -80,8 +80,8 @@
     assert starts(east.exchange(worker)) == []
     assert east.leader.on_heartbeat(worker.heartbeat()) is not None
     machine = east.leader.term.cluster.machines[next(iter(east.leader.term.cluster.machines))]
-    east.leader.renter.release([(machine, "idle")])
-    east.leader.renter.pending_requests.clear()
+    east.leader.autoscaler.release([(machine, "idle")])
+    east.leader.autoscaler.pending_requests.clear()
     assert not east.cloud.released
     assert not east.leader.term.may_begin()
     east.leader.term.sealed = False
@@ -112,13 +112,13 @@
 
 def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
     leader, params = east.leader, east.settings.params
-    renter = Renter(leader.term, leader.writer, leader.worker_commands, leader.scheduler)
+    autoscaler = Autoscaler(leader.term, leader.writer, leader.worker_commands, leader.scheduler)
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
     rates = {
         "writes": (leader.writer._bucket.rate, 0.65 * params.state.write_rps),
-        "cloud": (renter.cloud.bucket.rate, 0.8 * params.cloud.rps),
-        "list": (leader.renter.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
+        "cloud": (autoscaler.cloud.bucket.rate, 0.8 * params.cloud.rps),
+        "list": (leader.autoscaler.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
             leader.worker_commands._early_heartbeat_bucket.rate,
             60.0 * params.resources.core_share,
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -52,7 +52,7 @@
     assert machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
     harness.place()
-    harness.leader.renter.rent()
+    harness.leader.autoscaler.scale_out()
     assert len(harness.cloud.requests) == 1
     # Once it is seen to hear, by a message that shows the new token, it gets work again.
     harness.exchange(deaf)
@@ -82,7 +82,7 @@
         harness.later(policy().gather_s / 2)
     harness.accept(task_count=8)
     harness.place()
-    harness.leader.renter.rent()
+    harness.leader.autoscaler.scale_out()
     assert len(harness.cloud.requests) == 1
 
 
@@ -101,7 +101,7 @@
                 unanswered(harness, worker)
             else:
                 harness.exchange(worker)
-    chosen = harness.leader.renter.to_give_up(harness.clock())
+    chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
     assert [why for _machine, why in chosen] == ["unheeding"] * given_up
 
 
@@ -356,17 +356,17 @@
         assert answer is not None
         assert not starts(answer.commands)
     elif act == "rent":
-        leader.renter.send_request(RentalRequest("r-5-9", "c32", "a", False, 1))
+        leader.autoscaler.send_request(RentalRequest("r-5-9", "c32", "a", False, 1))
         assert not harness.cloud.requests
     elif act == "repeat":
-        leader.renter.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
-        leader.renter.send_request(leader.renter.pending_requests["r-4-1"])
+        leader.autoscaler.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
+        leader.autoscaler.send_request(leader.autoscaler.pending_requests["r-4-1"])
         assert not harness.cloud.requests
-        assert "r-4-1" in leader.renter.pending_requests
+        assert "r-4-1" in leader.autoscaler.pending_requests
     elif act == "release":
-        leader.renter.release([(machine, "idle")])
+        leader.autoscaler.release([(machine, "idle")])
         assert not harness.cloud.released
-        assert not machine.leaving
+        assert not machine.being_released
     elif act == "tell":
         assert leader.poll(job) is None
     else:
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -11,7 +11,7 @@
 from support.placement_world import T0, World, spread_of
 from support.services import SERVICE, replicas, serve
 
-from ryewing.autoscaling.planning import to_retire
+from ryewing.autoscaling.planning import machines_to_cordon
 from ryewing.leader.scheduler import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
 from ryewing.scheduling import SHORT_WAIT_S
 from ryewing.state.machine import Assignment, Machine, TaskPhase
@@ -200,7 +200,7 @@
     elif why == "faulty":
         machine.quarantined = True
     else:
-        machine.retiring = True
+        machine.cordoned = True
     return machine, next(iter(machine.assignments.values()))
 
 
@@ -282,7 +282,7 @@
     cluster.machines[MachineId(plain.name)].record_image("img-s", 2.0)
     for worker in dear:
         machine = cluster.machines[MachineId(worker.name)]
-        machine.retiring, machine.retiring_since = True, harness.clock()
+        machine.cordoned, machine.cordoned_since = True, harness.clock()
 
     def moved(after_s: float) -> int:
         harness.later(after_s)
@@ -304,4 +304,4 @@
     world = World()
     machines = [world.machine(f"i-{n}", GPU) for n in range(4)]
     world.put(world.job("run-1", **SERVICE, task_count=1), machines[3], 1)
-    assert to_retire(machines, 3.0, 0.0, policy()) == {"i-0", "i-1", "i-2"}
+    assert machines_to_cordon(machines, 3.0, 0.0, policy()) == {"i-0", "i-1", "i-2"}
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -253,7 +253,7 @@
         harness.exchange(worker)
     harness.place()
     assert sum(len(harness.assignments(worker.name)) for worker in workers) == 1  # one tells
-    harness.leader.renter.rent()
+    harness.leader.autoscaler.scale_out()
     assert not harness.cloud.requests
     assert not any(m.quarantined for m in harness.leader.term.cluster.machines.values())
 
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -215,7 +215,7 @@
             return
         leader = elector.leader
         if leader is not None:
-            leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
+            leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
             leader.writer._bucket = self._bucket(leader.writer._bucket)
             early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
             leader.worker_commands._early_heartbeat_bucket = early
@@ -236,9 +236,9 @@
 
     def _giving_up(self, leader: Leader) -> Callable[[], None]:
         def give_up() -> None:
-            gone = leader.renter.to_give_up(self.clock())
+            gone = leader.autoscaler.unhealthy_machines(self.clock())
             if gone and leader.term.may_begin():
-                leader.renter.release(gone)
+                leader.autoscaler.release(gone)
 
         return give_up
 
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -80,7 +80,7 @@
             self.scope,
         )
         leader = Leader(term_context, self.finals.__setitem__, image_locality)
-        leader.renter.cloud = leader.renter.listing.cloud = self.cloud  # type: ignore[assignment]
+        leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
         leader.worker_commands.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
         leader.term.set_machine_types(self.cloud.machine_types())
         leader.worker_commands.schedule_direct_message = lambda machine: None  # type: ignore[method-assign]
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -19,7 +19,7 @@
 from support.fakes import Clock, FakeWorker, settings
 from support.harness import LeaderHarness
 
-from ryewing.autoscaling import planning as fleet
+from ryewing.autoscaling import planning
 from ryewing.units import WallTime
 
 REPEATS = 7
@@ -125,11 +125,11 @@
     sample.time_ms("heartbeats_ms", heartbeats)
     sample.figures["heartbeat_us"] = round(1000 * sample.figures.pop("heartbeats_ms") / count, 1)
     sample.time_ms("maintenance_ms", leader.run_maintenance)
-    sample.time_ms("give_up_ms", lambda: leader.renter.to_give_up(clock()))
-    sample.time_ms("retire_ms", leader.renter._retire)
+    sample.time_ms("unhealthy_ms", lambda: leader.autoscaler.unhealthy_machines(clock()))
+    sample.time_ms("cordon_ms", leader.autoscaler.cordon)
     sample.time_ms(
-        "return_ms",
-        lambda: fleet.to_return(
+        "scale_in_ms",
+        lambda: planning.scale_in_candidates(
             cluster.machines.values(), leader.scheduler.unplaced, leader.term.policy, clock()
         ),
     )
