--- a/src/ryewing/api/api.py
+++ b/src/ryewing/api/api.py
@@ -61,7 +61,7 @@
     read_object,
 )
 
-log = logging.getLogger("ryewing.api.api")
+log = logging.getLogger(__name__)
 T = TypeVar("T")
 
 MAX_SUBMISSIONS_IN_FLIGHT = 64
@@ -140,10 +140,10 @@
         job = JobId(name)
         return self._cancel(job) if cancel else self._poll(job)
 
-    def _busy(self, why: str, retry_s: float | None = None) -> Response:
+    def _busy(self, reason: str, retry_s: float | None = None) -> Response:
         wait = self._node.policy.retry_after_s if retry_s is None else retry_s
         header = ("Retry-After", str(max(1, math.ceil(wait))))
-        return Response(503, {"error": why}, [header])
+        return Response(503, {"error": reason}, [header])
 
     # -- health and workers -----------------------------------------------------------------
 
@@ -181,7 +181,7 @@
         try:
             spec = read_job_spec(body)
         except MalformedError as error:
-            log.info("event=refused job=%s status=400 why=%r", job, str(error))
+            log.info("event=refused job=%s status=400 reason=%r", job, str(error))
             return self._unless_known(job, Response(400, {"error": str(error)}))
         machine_types = self._node.known_machine_types()
         if not machine_types:
@@ -203,9 +203,9 @@
     def _new_record(self, spec: JobSpec, machine_types: dict[str, MachineType]) -> JobRecord:
         """Make the record of a new job; leave with the reason if it can't be taken, now or ever."""
         node = self._node
-        why = infeasibility_reason(spec, machine_types, node.teams)
-        if why is not None:
-            raise RefusedError(Response(422, {"error": why}))
+        reason = infeasibility_reason(spec, machine_types, node.teams)
+        if reason is not None:
+            raise RefusedError(Response(422, {"error": reason}))
         try:
             shard = node.choose_shard(spec)
         except NoShardError as error:
@@ -252,7 +252,8 @@
         if result.ok:
             self._remember_shard(job, record)
             log.info(
-                "event=accepted job=%s class=%s owner=%s tasks=%d site=%s image=%s/%gGB guess_s=%g",
+                "event=accepted job=%s class=%s team=%s tasks=%d zone=%s image=%s/%gGB "
+                "estimated_s=%g",
                 job,
                 record.spec.job_class,
                 record.spec.team,
--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -15,7 +15,7 @@
 
 from ryewing.wire.messages import BODY_LIMIT
 
-log = logging.getLogger("ryewing.http")
+log = logging.getLogger(__name__)
 
 Headers = list[tuple[str, str]]
 StartResponse = Callable[[str, Headers], object]
--- a/src/ryewing/clients/http_client.py
+++ b/src/ryewing/clients/http_client.py
@@ -43,7 +43,7 @@
     try:
         return decode(reply.body, kind)
     except MalformedError as error:
-        log = logging.getLogger(f"ryewing.{source}")
+        log = logging.getLogger(f"ryewing.clients.{source}")
         log.warning("event=unreadable-answer from=%s error=%s", source, error)
         raise failure(f"unreadable answer: {error}") from None
 
--- a/src/ryewing/clients/peers.py
+++ b/src/ryewing/clients/peers.py
@@ -20,7 +20,7 @@
 from ryewing.config.settings import Address
 from ryewing.wire.messages import UNREADABLE
 
-log = logging.getLogger("ryewing.clients.peers")
+log = logging.getLogger(__name__)
 FRAME_MAX = 4 * 1024 * 1024
 IDLE_S = 60.0
 KEPT_CONNECTIONS = 4
@@ -221,7 +221,7 @@
         try:
             return peer.request(request, PEER_DEADLINE_S)
         except PeerUnavailableError as error:
-            log.debug("event=peer-silent error=%s", error)
+            log.debug("event=peer-unreachable error=%s", error)
             return None
 
     def broadcast(self, request: Request) -> None:
--- a/src/ryewing/clients/store.py
+++ b/src/ryewing/clients/store.py
@@ -27,7 +27,7 @@
     decode,
 )
 
-log = logging.getLogger("ryewing.clients.store")
+log = logging.getLogger(__name__)
 
 DEADLINE_S = 1.0
 DIRECT_S = 0.5
--- a/src/ryewing/config/policy.py
+++ b/src/ryewing/config/policy.py
@@ -91,9 +91,9 @@
         end
         """
     )
-    value, why = run(source, name, _INSTRUCTION_LIMIT)
-    if why is not None:
-        raise PolicyError(f"{name}: {why}")
+    value, reason = run(source, name, _INSTRUCTION_LIMIT)
+    if reason is not None:
+        raise PolicyError(f"{name}: {reason}")
     if lupa.lua_type(value) != "table":
         raise PolicyError(f"{name}: must return a table")
     return dict(value.items())
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -31,7 +31,7 @@
 from ryewing.units import MachineId, MonotonicTime, Zone, monotonic_now
 from ryewing.wire.messages import MachineType, RentalRequest
 
-log = logging.getLogger("ryewing.leader.autoscaler")
+log = logging.getLogger(__name__)
 
 REQUEST_PREFIX = "h/"
 MISSED_LISTS_MAX = 2
@@ -89,10 +89,10 @@
             try:
                 self.step()
             except CloudUnavailableError as error:
-                log.debug("event=cloud-down error=%s", error)
+                log.debug("event=cloud-unavailable error=%s", error)
                 gevent.sleep(0.5)
             except StoreUnavailableError as error:
-                log.debug("event=fleet-store-down error=%s", error)
+                log.debug("event=store-unavailable error=%s", error)
 
     def step(self) -> None:
         """Take one step: replace unhealthy machines, scale in, scale out."""
@@ -169,7 +169,7 @@
         ]
         if few and len(unacknowledging) <= most:
             # Its heartbeats come, our answers don't reach it: it can't be used, but it is paid for.
-            result += [(machine, "unheeding") for machine in unacknowledging]
+            result += [(machine, "unacknowledging") for machine in unacknowledging]
         return result
 
     def _heard_since(self, machine: Machine) -> MonotonicTime | None:
@@ -204,23 +204,23 @@
             # Requests were made, or the process stood still, since this was decided: a successor
             # may use these machines by now.
             return
-        for machine, _why in chosen:
+        for machine, _reason in chosen:
             machine.being_released = True
         try:
-            self.cloud.release([machine.id for machine, _why in chosen])
+            self.cloud.release([machine.id for machine, _reason in chosen])
         except CloudUnavailableError:
             # It may still be carried out late; until then the machine is used as before.
-            for machine, _why in chosen:
+            for machine, _reason in chosen:
                 machine.being_released = False
             raise
         now = monotonic_now()
-        for machine, why in chosen:
+        for machine, reason in chosen:
             log.info(
-                "event=released machine=%s flavour=%s spot=%s why=%s tasks=%d",
+                "event=released machine=%s machine_type=%s spot=%s reason=%s tasks=%d",
                 machine.id,
                 machine.machine_type.name,
                 machine.spot,
-                why,
+                reason,
                 len(machine.assignments),
             )
             self.term.cluster.remove(machine, now)
@@ -348,7 +348,7 @@
         try:
             names = self.cloud.rent(request)
         except NoCapacityError:
-            log.info("event=no-capacity flavour=%s site=%s spot=%s", *option)
+            log.info("event=no-capacity machine_type=%s zone=%s spot=%s", *option)
             self.capacity_backoff.refused(option, monotonic_now())
             names = []
         now = monotonic_now()
@@ -358,7 +358,7 @@
             else:
                 self.capacity_backoff.granted(option)
             log.info(
-                "event=rented count=%d asked=%d flavour=%s site=%s spot=%s hire=%s",
+                "event=rented count=%d requested=%d machine_type=%s zone=%s spot=%s rental=%s",
                 len(names),
                 request.count,
                 *option,
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -16,7 +16,7 @@
 from ryewing.units import JobId, KeyVersion, MonotonicTime, Revision, monotonic_now
 from ryewing.wire.messages import JobStatus
 
-log = logging.getLogger("ryewing.leader.job_watcher")
+log = logging.getLogger(__name__)
 
 JOB_BYTES = 4096
 """What a live job takes, tasks on machines aside: 1.8 KiB as measured, with room to spare."""
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -27,7 +27,7 @@
 from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
 from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobStatus
 
-log = logging.getLogger("ryewing.leader.leader")
+log = logging.getLogger(__name__)
 
 TELL_EVERY_S = 10.0
 CUT = "cut-from-workers"
@@ -167,10 +167,10 @@
             self.resign(UNFOLLOWED)
         return True
 
-    def resign(self, why: str) -> None:
+    def resign(self, reason: str) -> None:
         """Leave leadership to another node. LeaseValidity ends before the lease does: the end of
         that may be made known late."""
-        self.term.end(why)
+        self.term.end(reason)
         try:
             self.term.store.resign(self.term.leadership.lease)
         except StoreUnavailableError as error:
@@ -185,7 +185,7 @@
                 log.info("event=load-failed term=%d error=%s", self.term.number, error)
                 gevent.sleep(0.2)
         log.info(
-            "event=loaded term=%d jobs=%d machines=%d hires=%d took_s=%.3f",
+            "event=state-loaded term=%d jobs=%d machines=%d rentals=%d took_s=%.3f",
             self.term.number,
             len(self.term.job_table.jobs),
             len(self.term.cluster.machines),
@@ -223,7 +223,7 @@
         self._maintained_at = now
         self._log_state(now)
         for machine in self.term.cluster.expire(now):
-            log.info("event=lease-over machine=%s", machine.id)
+            log.info("event=lease-expired machine=%s", machine.id)
             self.term.scheduling_needed.set()
         if not self.term.lease_validity.may_answer_workers(now):
             return
@@ -284,14 +284,15 @@
         for job, count in self.scheduler.unplaced:
             waiting[job.spec.job_class] = waiting.get(job.spec.job_class, 0) + count
         log.info(
-            "event=state jobs=%d passes=%d looked=%d stretch=%.2f cards=%s machines=%s short=%s",
+            "event=state jobs=%d cycles=%d machines_examined=%d fetch_slowdown=%.2f gpus=%s "
+            "machines=%s unplaced=%s",
             len(self.term.job_table.jobs),
             self.scheduler.cycles,
             self.scheduler.machines_examined,
             self.term.cluster.fetch_slowdown,
             ",".join(f"{phase}:{n:g}" for phase, n in sorted(phases.items())) or "-",
             ",".join(
-                f"{kind}:{int(n)}(up={int(up)};vcpus_free={v:g};cards_free={c:g})"
+                f"{kind}:{int(n)}(up={int(up)};cpus_free={v:g};gpus_free={c:g})"
                 for kind, (n, up, v, c) in sorted(kinds.items())
             )
             or "-",
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -35,7 +35,7 @@
 )
 from ryewing.wire.messages import JobSpec
 
-log = logging.getLogger("ryewing.leader.scheduler")
+log = logging.getLogger(__name__)
 
 MIN_CYCLE_GAP_S = 0.2
 """The least pause between cycles: a start waits for a heartbeat anyway, which takes half a
@@ -122,7 +122,7 @@
         self.reconciled = True
         unreconciled = [m.id for m in self.term.cluster.unreconciled()]
         log.info(
-            "event=gathered term=%d waited_s=%.2f unheard=%s",
+            "event=reconciled term=%d waited_s=%.2f unreconciled=%s",
             self.term.number,
             waited,
             name_some(unreconciled) or "-",
@@ -226,9 +226,9 @@
                 self._moved_at[assignment.job.spec.job_class] = now
         self.unplaced = plan.unplaced
 
-    def _stop(self, assignment: Assignment, why: TerminationReason, now: MonotonicTime) -> None:
+    def _stop(self, assignment: Assignment, reason: TerminationReason, now: MonotonicTime) -> None:
         grace_s = assignment.job.grace_s if assignment.job is not None else 0.0
-        self.worker_commands.terminate(assignment, grace_s, why, now)
+        self.worker_commands.terminate(assignment, grace_s, reason, now)
 
     def _replicas_to_move(self, now: MonotonicTime) -> list[Assignment]:
         """List the replicas that should run elsewhere: their machine is about to go, or is faulty,
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -41,7 +41,7 @@
 from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, Revision, monotonic_now
 from ryewing.wire.messages import MACHINE_KEYS
 
-log = logging.getLogger("ryewing.leader.state_writer")
+log = logging.getLogger(__name__)
 T = TypeVar("T")
 
 MACHINE_PREFIX = "m/"
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -84,10 +84,10 @@
         self._on_lost = on_lost
         self._on_machine_types = on_machine_types
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
         """End the term."""
         if not self.stopped:
-            self._on_lost(why)
+            self._on_lost(reason)
 
     def may_start(self) -> bool:
         """Tell whether the lease surely holds now."""
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -30,7 +30,7 @@
 )
 from ryewing.wire.messages import Command, Heartbeat, HeartbeatResponse
 
-log = logging.getLogger("ryewing.leader.worker_commands")
+log = logging.getLogger(__name__)
 
 MAX_COMMANDS = 500
 """Commands in one response: keeps its line within 64 KiB."""
@@ -121,7 +121,9 @@
                 heartbeat.spot,
                 now,
             )
-            log.info("event=unexpected-machine machine=%s flavour=%s", name, heartbeat.machine_type)
+            log.info(
+                "event=unexpected-machine machine=%s machine_type=%s", name, heartbeat.machine_type
+            )
         new_address = bool(heartbeat.address) and machine.address != heartbeat.address
         fresh = self.term.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=True)
         if not fresh and machine.heard_at is not None and now - machine.heard_at > UNWAITED_S:
@@ -184,18 +186,18 @@
         self._terminate_whole(assignment, job.grace_s, TerminationReason.DRAIN, now)
 
     def _terminate_whole(
-        self, assignment: Assignment, grace_s: float, why: TerminationReason, now: MonotonicTime
+        self, assignment: Assignment, grace_s: float, reason: TerminationReason, now: MonotonicTime
     ) -> None:
         """Stop a task; of a gang all of them, since an orderly stop needs every one told."""
         job = assignment.job
         if job is None or not job.is_gang or job.spec.task_count == 1:
-            self.terminate(assignment, grace_s, why, now)
+            self.terminate(assignment, grace_s, reason, now)
             return
         for mate in self.term.cluster.assignments_of(job):
-            self.terminate(mate, grace_s, why, now)
+            self.terminate(mate, grace_s, reason, now)
 
     def terminate(
-        self, assignment: Assignment, grace_s: float, why: TerminationReason, now: MonotonicTime
+        self, assignment: Assignment, grace_s: float, reason: TerminationReason, now: MonotonicTime
     ) -> None:
         """Stop one task attempt: forget it if nothing was sent, else by a pending termination."""
         machine = assignment.machine
@@ -203,14 +205,14 @@
             self.term.cluster.drop(assignment, now)
             return
         if self.term.terminations.add(
-            machine.id, assignment.task, assignment.attempt, grace_s, why, now
+            machine.id, assignment.task, assignment.attempt, grace_s, reason, now
         ):
             log.info(
-                "event=stop task=%s machine=%s mercy_s=%g why=%s",
+                "event=stop task=%s machine=%s grace_s=%g reason=%s",
                 assignment.task,
                 machine.id,
                 grace_s,
-                why,
+                reason,
             )
             self.schedule_direct_message(machine)
 
@@ -307,7 +309,7 @@
                     heartbeat.incarnation
                 )  # the incarnation had changed: nothing was executed
         except WorkerUnavailableError as error:
-            log.debug("event=worker-silent machine=%s error=%s", machine.id, error)
+            log.debug("event=worker-unreachable machine=%s error=%s", machine.id, error)
         finally:
             self._sending.discard(machine.id)
 
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -49,7 +49,7 @@
 )
 from ryewing.wire.messages import MachineType
 
-log = logging.getLogger("ryewing.process.node")
+log = logging.getLogger(__name__)
 WATCH_S = 8.0
 LOAD_EVERY_S = 1.0
 IMAGE_LOCALITY_EVERY_S = 5.0
@@ -114,7 +114,7 @@
                 self.follow()
                 continue
             except StoreUnavailableError as error:
-                log.debug("event=store-down error=%s", error)
+                log.debug("event=store-unavailable error=%s", error)
             except Exception:
                 # A fault here must not end the process: users and workers are still served.
                 log.exception("event=follow-failed")
@@ -215,21 +215,21 @@
             self.leader_name = holder.node
             self._leader_term = TermNumber(holder.term)
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """End this node's term, if it leads."""
         leader = self.leader
         if leader is None:
             return
         log.info(
-            "event=stepped-down node=%s term=%d why=%s%s",
+            "event=stepped-down node=%s term=%d reason=%s%s",
             self._process.name,
             leader.term.number,
-            why,
+            reason,
             self._log_suffix(),
         )
         self.leader = None
         self.leader_name = None
-        if why in (CUT, UNFOLLOWED):
+        if reason in (CUT, UNFOLLOWED):
             self._abstain_until = MonotonicTime(monotonic_now() + ABSTAIN_S)
         leader.stop()
 
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -44,7 +44,7 @@
 from ryewing.units import JobId, MonotonicTime, NodeName, ShardName, Zone, monotonic_now
 from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus, MachineType
 
-log = logging.getLogger("ryewing.process.node")
+log = logging.getLogger(__name__)
 CANCEL_KNOWN_S = 10.0
 """With the lease, above the longest for which a leader that has not seen a change may start tasks
 or answer users (`leadership.JOBS_KNOWN_MAX_AGE_S`); 0.1.0 and 0.2.0 went by their watch, of 8 s and
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -42,7 +42,7 @@
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import MonotonicTime, NodeName, Revision, ShardName, monotonic_now
 
-log = logging.getLogger("ryewing.sharding")
+log = logging.getLogger(__name__)
 
 WATCH_S = 1.0
 BUSY_STEP_S = 0.2
@@ -101,10 +101,10 @@
             try:
                 pause_s = self._round()
             except DivisionDiffersError as error:
-                log.error("event=division-differs why=%r", str(error))
+                log.error("event=division-differs reason=%r", str(error))
                 pause_s = DISAGREEING_S
             except StoreUnavailableError as error:
-                log.debug("event=store-down error=%s", error)
+                log.debug("event=store-unavailable error=%s", error)
                 pause_s = BUSY_STEP_S
             except Exception:
                 log.exception("event=coordination-failed")
@@ -307,4 +307,4 @@
                 lambda old: begin_move(old, move.target, found.healthy) if old else None,
             )
         except MoveRefusedError as error:
-            log.info("event=move-refused shard=%s why=%r", move.shard, str(error))
+            log.info("event=move-refused shard=%s reason=%r", move.shard, str(error))
--- a/src/ryewing/sharding/planner.py
+++ b/src/ryewing/sharding/planner.py
@@ -13,7 +13,7 @@
 from ryewing.sharding.load import Assignment, PlanInputs, cost, moves
 from ryewing.units import ShardName
 
-log = logging.getLogger("ryewing.sharding")
+log = logging.getLogger(__name__)
 
 SOLVER_S = 1.0
 """What the solver may take; a plan is made every few seconds at the most."""
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -15,7 +15,7 @@
 from ryewing.sharding.settings import ShardSettings
 from ryewing.units import KeyVersion, NodeName, Revision, ShardName, wall_now
 
-log = logging.getLogger("ryewing.sharding")
+log = logging.getLogger(__name__)
 
 SHARDS_PREFIX = "shards/"
 OWNER_PREFIX = SHARDS_PREFIX + "owner/"
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -25,7 +25,7 @@
 from ryewing.units import KeyVersion, MonotonicTime, ShardName, monotonic_now
 from ryewing.wire.messages import Entry
 
-log = logging.getLogger("ryewing.sharding")
+log = logging.getLogger(__name__)
 
 STEP_S = 0.5
 FIRST_STEP_S = 0.1
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -41,7 +41,7 @@
 )
 from ryewing.wire.messages import Heartbeat, MachineType, ReportedTask
 
-log = logging.getLogger("ryewing.state.cluster_state")
+log = logging.getLogger(__name__)
 
 LEASE_MARGIN_S = 0.5
 """How much longer than its lease a worker is thought to hold its tasks."""
@@ -109,7 +109,12 @@
                 # An old heartbeat, held back until a new leader began, tells of where the task was.
                 # Which one is old shows later: until then it is on both, and gone once it is gone
                 # from both. Found by a table: the old one went, and the task was started again.
-                log.error("task=%s event=seen-twice machine=%s other=%s", task, machine.id, other)
+                log.error(
+                    "task=%s event=task-on-two-machines machine=%s other=%s",
+                    task,
+                    machine.id,
+                    other,
+                )
                 job.duplicates.setdefault(task.number, set()).add(other)
             job.live[task.number] = machine.id
             job.zones[machine.zone] += 1
@@ -319,7 +324,7 @@
                 self.drop(assignment, now)
                 self.require_acknowledgement(machine, "start-lost", now)
 
-    def require_acknowledgement(self, machine: Machine, why: str, now: MonotonicTime) -> None:
+    def require_acknowledgement(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
         """Something we told a worker has not reached it: no more work until it shows a new token.
 
         Where heartbeats arrive and answers don't, a machine was refilled after each heartbeat.
@@ -327,7 +332,7 @@
         if machine.acknowledges and machine.token_bumps < MAX_TOKEN_BUMPS:
             machine.token_bumps += 1
             machine.required_acknowledgement = machine.token_bumps
-            log.info("event=doubted machine=%s why=%s", machine.id, why)
+            log.info("event=worker-suspected machine=%s reason=%s", machine.id, reason)
             for assignment in list(machine.assignments.values()):
                 if assignment.phase == TaskPhase.PLANNED:
                     self.drop(assignment, now)
@@ -382,7 +387,7 @@
             if assignment.phase == TaskPhase.SENT:
                 # The worker refuses our start while the other attempt is there (`in_use`).
                 # Keep the room counted once, under what is really there.
-                log.warning("task=%s machine=%s event=other-attempt", task, machine.id)
+                log.warning("task=%s machine=%s event=unexpected-attempt", task, machine.id)
             self.drop(assignment, now)
             assignment = None
         if assignment is None:
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from ryewing.state.cluster_state import ClusterState
 
-log = logging.getLogger("ryewing.state.failure_detector")
+log = logging.getLogger(__name__)
 
 FAILING_MACHINES_MIN = 3
 """A job that failed on so many machines is thought to fail on every one."""
@@ -53,7 +53,7 @@
         thought faulty for a few bad machines. Its replicas that run well elsewhere count instead.
         """
         log.warning(
-            "job=%s machine=%s event=replica-ended cause=%s well=%s",
+            "job=%s machine=%s event=replica-ended cause=%s ran_well=%s",
             job.id,
             machine.id,
             cause,
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -30,7 +30,7 @@
     MachineType,
 )
 
-log = logging.getLogger("ryewing.state.jobs")
+log = logging.getLogger(__name__)
 
 LIVE_PREFIX = "j/"
 FINISHED_PREFIX = "d/"
--- a/src/ryewing/state/machine_type_catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -16,7 +16,7 @@
 from ryewing.units import KeyVersion
 from ryewing.wire.messages import MachineType, MachineTypeList
 
-log = logging.getLogger("ryewing.state.machine_type_catalogue")
+log = logging.getLogger(__name__)
 
 KEY = "flavours"
 
@@ -39,7 +39,7 @@
         parts = [machine_types]
     except RejectedError as error:
         parts = part(machine_types, store.limits.value_kb * 1024)
-        log.info("event=types-parted values=%d why=%s", len(parts), error)
+        log.info("event=machine-types-split values=%d reason=%s", len(parts), error)
         # The first comes last: until then, what was there before is there still.
         for number in reversed(range(len(parts))):
             store.txn(fence, [Put(_key(number), MachineTypeList(parts[number]))])
--- a/src/ryewing/state/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -27,7 +27,7 @@
 from ryewing.units import KeyVersion, Revision
 from ryewing.wire.messages import Entry
 
-log = logging.getLogger("ryewing.state.paged_records")
+log = logging.getLogger(__name__)
 
 FILL = 0.6
 """How full a value may get by new records. The rest is for those in it that grow."""
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -31,7 +31,7 @@
 class PendingTermination:
     """One stop that is under way."""
 
-    __slots__ = ("attempt", "created_at", "grace_s", "machine", "sent_at", "task", "why")
+    __slots__ = ("attempt", "created_at", "grace_s", "machine", "reason", "sent_at", "task")
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         task: TaskId,
         attempt: Attempt,
         grace_s: float,
-        why: TerminationReason,
+        reason: TerminationReason,
         now: MonotonicTime,
     ) -> None:
         self.machine = machine
         self.task = task
         self.attempt = attempt
         self.grace_s = grace_s
-        self.why = why
+        self.reason = reason
         self.created_at = now
         self.sent_at: MonotonicTime | None = None
 
@@ -67,7 +67,7 @@
         task: TaskId,
         attempt: Attempt,
         grace_s: float,
-        why: TerminationReason,
+        reason: TerminationReason,
         now: MonotonicTime,
     ) -> bool:
         """Ask for a stop; a later ask can only shorten the grace period. True if it is news."""
@@ -75,7 +75,7 @@
         old = terminations.get((task, attempt))
         if old is None:
             terminations[task, attempt] = PendingTermination(
-                machine, task, attempt, grace_s, why, now
+                machine, task, attempt, grace_s, reason, now
             )
             return True
         if grace_s < old.grace_s:
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "why"),
+    ("script", "reason"),
     [
         ("return {", "expected"),
         ("return {idle_return = 3}", "unknown name"),
@@ -64,10 +64,10 @@
         ("return {x = string.rep('x', 1e9)}", "nil value"),
     ],
 )
-def test_bad_lua_is_refused_with_file_and_reason(tmp_path: Any, script: str, why: str) -> None:
+def test_bad_lua_is_refused_with_file_and_reason(tmp_path: Any, script: str, reason: str) -> None:
     file = tmp_path / "p.lua"
     file.write_text(script)
-    with pytest.raises(PolicyError, match=why) as error:
+    with pytest.raises(PolicyError, match=reason) as error:
         load(file, settings())
     assert "p.lua" in str(error.value)
 
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -159,7 +159,7 @@
             harness.exchange(worker)
     harness.leader.term.cluster.expire(harness.clock())
     chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
-    assert sorted((machine.id, why) for machine, why in chosen) == [
+    assert sorted((machine.id, reason) for machine, reason in chosen) == [
         (worker.name, "silent") for worker in workers[:4]
     ]
 
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -173,7 +173,7 @@
         leader.run_maintenance()
         harness.place()
         given_up = leader.autoscaler.unhealthy_machines(harness.clock())
-        assert not any(machine.may_hold_until for machine, _why in given_up)
+        assert not any(machine.may_hold_until for machine, _reason in given_up)
         assert max(asked.values(), default=0) <= look + 1
     fleet.lease_over()
     requests = 0
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -102,7 +102,7 @@
             else:
                 harness.exchange(worker)
     chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
-    assert [why for _machine, why in chosen] == ["unheeding"] * given_up
+    assert [reason for _machine, reason in chosen] == ["unacknowledging"] * given_up
 
 
 @pytest.mark.parametrize("age_s", [1.0, 5.0, LEASE_S + 1.0, 3 * LEASE_S])
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -191,13 +191,13 @@
 # -- moves --------------------------------------------------------------------------------------
 
 
-def going(world: World, why: str) -> tuple[Machine, Assignment]:
-    machine = world.machine("i-1", GPU if why == "unwanted" else CPU)
+def going(world: World, reason: str) -> tuple[Machine, Assignment]:
+    machine = world.machine("i-1", GPU if reason == "unwanted" else CPU)
     machine.record_image("img-1", 2.0)
     world.put(world.job("run-1", **SERVICE, task_count=1), machine, 1)
-    if why == "notice":
+    if reason == "notice":
         machine.notice_s = 10.0
-    elif why == "faulty":
+    elif reason == "faulty":
         machine.quarantined = True
     else:
         machine.cordoned = True
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize(
-    ("why", "elsewhere", "moved", "stops"),
+    ("reason", "elsewhere", "moved", "stops"),
     [
         ("notice", "warm", True, 0),
         ("notice", "cold", True, 0),
@@ -220,10 +220,10 @@
     ],
 )
 def test_a_replica_is_stopped_for_a_move_only_where_there_is_room(
-    why: str, elsewhere: str, moved: bool, stops: int
+    reason: str, elsewhere: str, moved: bool, stops: int
 ) -> None:
     world = World()
-    _machine, assignment = going(world, why)
+    _machine, assignment = going(world, reason)
     if elsewhere != "none":
         expensive = msgspec.structs.replace(GPU, price=99.0)
         there = world.machine("i-2", expensive if elsewhere == "gpus" else CPU)
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -158,9 +158,9 @@
         if self.down:
             raise StoreUnavailableError("503")
 
-    def _reject(self, why: str) -> NoReturn:
-        self.rejected.append(why)
-        raise RejectedError(f"400: {why}")
+    def _reject(self, reason: str) -> NoReturn:
+        self.rejected.append(reason)
+        raise RejectedError(f"400: {reason}")
 
     def get(self, key: str) -> Entry | None:
         self._check()
