--- a/src/ryewing/api/api.py
+++ b/src/ryewing/api/api.py
@@ -23,22 +23,22 @@
     StoreUnavailableError,
     ThrottledError,
     TxnResult,
-    readable,
+    decode_stored,
 )
 from ryewing.clients.user_request_limiter import RateLimitExceededError, UserRequest
 from ryewing.leader.division import NoShardError, NotReadyError
-from ryewing.state.jobs import (
+from ryewing.state.job_records import (
     CANCELLED,
     DONE,
     FinalRecord,
     JobRecord,
     final_key,
-    infeasibility_reason,
     live_key,
     read_record,
     stored_size_bytes,
     with_cancel_mark,
 )
+from ryewing.state.resources import infeasibility_reason
 from ryewing.units import (
     JobId,
     KeyVersion,
@@ -49,17 +49,11 @@
     monotonic_now,
     wall_now,
 )
-from ryewing.wire.messages import (
-    BODY_LIMIT,
-    Entry,
-    JobSpec,
-    JobStatus,
-    MachineType,
-    MalformedError,
-    read_heartbeat,
-    read_job_spec,
-    read_object,
-)
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.codec import BODY_LIMIT, MalformedError, read_object
+from ryewing.wire.jobs import JobSpec, JobStatus, read_job_spec
+from ryewing.wire.store import Entry
+from ryewing.wire.workers import read_heartbeat
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -309,7 +303,7 @@
             raise RefusedError(self._busy("the state service can't be reached")) from None
         if final is None:
             return None
-        status = self._readable(readable(final.data, FinalRecord, final.key)).status
+        status = self._readable(decode_stored(final.data, FinalRecord, final.key)).status
         self._node.final_states.put(job, status)
         return JobStatus(job, status)
 
--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -10,7 +10,9 @@
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Team
 from ryewing.units import JobId, ShardName, Zone
-from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus, MachineType
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.jobs import JobSpec, JobStatus
+from ryewing.wire.workers import Heartbeat, HeartbeatResponse
 
 
 class Controller(Protocol):
--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -13,7 +13,7 @@
 from gevent import socket
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-from ryewing.wire.messages import BODY_LIMIT
+from ryewing.wire.codec import BODY_LIMIT
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/autoscaling/planning.py
+++ b/src/ryewing/autoscaling/planning.py
@@ -11,10 +11,12 @@
 
 from ryewing.config.policy import Policy
 from ryewing.scheduling.capacity import allows
-from ryewing.state.jobs import EPSILON, Job, count_fitting, fits_machine_type
+from ryewing.state.jobs import Job
 from ryewing.state.machine import Machine
+from ryewing.state.resources import EPSILON, count_fitting, fits_machine_type
 from ryewing.units import MachineId, MonotonicTime, Zone
-from ryewing.wire.messages import JobSpec, MachineType
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.jobs import JobSpec
 
 Option = tuple[str, str, bool]
 """Type, zone, spot."""
--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -11,7 +11,7 @@
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.config.settings import Address, CloudLimits
 from ryewing.units import MachineId
-from ryewing.wire.messages import (
+from ryewing.wire.cloud import (
     MachineNames,
     MachinePage,
     MachineType,
--- a/src/ryewing/clients/http_client.py
+++ b/src/ryewing/clients/http_client.py
@@ -17,7 +17,7 @@
 from gevent import socket
 
 from ryewing.config.settings import Address
-from ryewing.wire.messages import MalformedError, decode
+from ryewing.wire.codec import MalformedError, decode
 
 T = TypeVar("T")
 
--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -11,7 +11,7 @@
 from ryewing.clients.cloud import Cloud
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.units import MachineId, MonotonicTime, monotonic_now
-from ryewing.wire.messages import ListedMachine
+from ryewing.wire.cloud import ListedMachine
 
 LIST_EVERY_S = 4.0
 """How long after its begin a reading of the whole list is begun again, if it is over by then."""
--- a/src/ryewing/clients/peers.py
+++ b/src/ryewing/clients/peers.py
@@ -18,7 +18,7 @@
 from gevent.server import StreamServer
 
 from ryewing.config.settings import Address
-from ryewing.wire.messages import UNREADABLE
+from ryewing.wire.codec import UNREADABLE
 
 log = logging.getLogger(__name__)
 FRAME_MAX = 4 * 1024 * 1024
--- a/src/ryewing/clients/store.py
+++ b/src/ryewing/clients/store.py
@@ -17,15 +17,8 @@
 from ryewing.clients.http_client import HttpClient, Reply, UnreachableError, decode_answer
 from ryewing.config.settings import Address, StateLimits
 from ryewing.units import KeyVersion, Revision
-from ryewing.wire.messages import (
-    ChangeLog,
-    Entry,
-    EntryPage,
-    LeaseGranted,
-    MalformedError,
-    TxnAnswer,
-    decode,
-)
+from ryewing.wire.codec import MalformedError, decode
+from ryewing.wire.store import ChangeLog, Entry, EntryPage, LeaseGranted, TxnAnswer
 
 log = logging.getLogger(__name__)
 
@@ -302,7 +295,7 @@
         return _decode(reply, ChangeLog)
 
 
-def readable(data: bytes | msgspec.Raw, kind: type[T], key: str) -> T | None:
+def decode_stored(data: bytes | msgspec.Raw, kind: type[T], key: str) -> T | None:
     """Decode what the store holds under a key; None, and a line in the log, if it can't be read.
 
     One value that can't be read must not end a term or a process: the next one would meet it too.
--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -15,7 +15,8 @@
 from ryewing.clients.http_client import HttpClient, UnreachableError
 from ryewing.config.settings import parse_address
 from ryewing.units import FencingToken
-from ryewing.wire.messages import Command, DirectCommands, Heartbeat, MalformedError, read_heartbeat
+from ryewing.wire.codec import MalformedError
+from ryewing.wire.workers import Command, DirectCommands, Heartbeat, read_heartbeat
 
 DEADLINE_S = 2.0
 KEPT_SHARE = 0.07
--- a/src/ryewing/config/settings.py
+++ b/src/ryewing/config/settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ryewing.wire.messages import UNREADABLE
+from ryewing.wire.codec import UNREADABLE
 
 Address = tuple[str, int]
 
--- a/src/ryewing/election/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -19,7 +19,7 @@
     TermStore,
     ThrottledError,
     TxnResult,
-    readable,
+    decode_stored,
 )
 from ryewing.units import (
     DRIFT,
@@ -124,10 +124,12 @@
     for entry in entries:
         if entry.key == HOLDER_KEY:
             # Somebody holds the lease, whoever it is: it is waited for.
-            election.holder = readable(entry.data, LeaseHolder, entry.key) or LeaseHolder("", "", 0)
+            election.holder = decode_stored(entry.data, LeaseHolder, entry.key) or LeaseHolder(
+                "", "", 0
+            )
             election.holder_key_version = KeyVersion(entry.key_version)
         elif entry.key == TERM_KEY:
-            record = readable(entry.data, TermRecord, entry.key)
+            record = decode_stored(entry.data, TermRecord, entry.key)
             if record is None:
                 raise StoreUnavailableError(
                     "the term can't be read"
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -29,7 +29,7 @@
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.machine import Machine
 from ryewing.units import MachineId, MonotonicTime, Zone, monotonic_now
-from ryewing.wire.messages import MachineType, RentalRequest
+from ryewing.wire.cloud import MachineType, RentalRequest
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/leader/division.py
+++ b/src/ryewing/leader/division.py
@@ -9,7 +9,8 @@
 from ryewing.clients.store import Store, TermStore
 from ryewing.leader.scope import WHOLE_FLEET, TermScope
 from ryewing.units import ShardName
-from ryewing.wire.messages import JobSpec, MachineType
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.jobs import JobSpec
 
 
 class NoShardError(Exception):
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -11,10 +11,11 @@
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import WorkerCommands
-from ryewing.state.jobs import LIVE_PREFIX, Job, JobRecord, read_record
+from ryewing.state.job_records import LIVE_PREFIX, JobRecord, read_record
+from ryewing.state.jobs import Job
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import JobId, KeyVersion, MonotonicTime, Revision, monotonic_now
-from ryewing.wire.messages import JobStatus
+from ryewing.wire.jobs import JobStatus
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -25,7 +25,8 @@
 from ryewing.leader.worker_commands import PROBE_AFTER, WorkerCommands
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
-from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobStatus
+from ryewing.wire.jobs import JobStatus
+from ryewing.wire.workers import Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -10,15 +10,16 @@
 from typing import NamedTuple
 
 from ryewing.clients.peers import ImageLocality
-from ryewing.clients.store import readable
+from ryewing.clients.store import decode_stored
 from ryewing.leader.autoscaler import REQUEST_PREFIX, Autoscaler
 from ryewing.leader.job_watcher import JobWatcher
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
-from ryewing.state.jobs import FINISHED_PREFIX, LIVE_PREFIX, Job, read_record
+from ryewing.state.job_records import FINISHED_PREFIX, LIVE_PREFIX, read_record
+from ryewing.state.jobs import Job
 from ryewing.units import DRIFT, JobId, KeyVersion, MachineId, MonotonicTime, Zone, monotonic_now
-from ryewing.wire.messages import RentalRequest
+from ryewing.wire.cloud import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
 """Added to the time for which workers may hold tasks of an earlier leader."""
@@ -81,7 +82,7 @@
         for name, bits in records:
             chunk = _parse_chunk(name)
             job = self._ending_job(chunk)
-            text = readable(bits, str, name)
+            text = decode_stored(bits, str, name)
             if job is None or chunk.number is None or text is None:
                 finishes.drop(name)
             else:
@@ -106,7 +107,7 @@
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
         records, twice = self._writer.machines.load(entries)
         for name, raw in records:
-            record = readable(raw, MachineRecord, MACHINE_PREFIX + name)
+            record = decode_stored(raw, MachineRecord, MACHINE_PREFIX + name)
             if record is None:
                 continue
             machine = self._term.cluster.add(
@@ -134,6 +135,6 @@
     def _load_requests(self) -> None:
         entries, _ = self._term.store.listing(REQUEST_PREFIX)
         for entry in entries:
-            request = readable(entry.data, RentalRequest, entry.key)
+            request = decode_stored(entry.data, RentalRequest, entry.key)
             if request is not None:
                 self._renter.pending_requests[request.id] = request
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -19,9 +19,10 @@
 from ryewing.scheduling import preemption, queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota, allows
 from ryewing.state.failure_detector import AVOID_S
-from ryewing.state.jobs import Job, fits_machine_type
+from ryewing.state.jobs import Job
 from ryewing.state.machine import WARM, Assignment, Machine, TaskPhase
 from ryewing.state.pending_terminations import TerminationReason
+from ryewing.state.resources import fits_machine_type
 from ryewing.units import (
     MAX_ATTEMPTS,
     Attempt,
@@ -33,7 +34,7 @@
     monotonic_now,
     wall_now,
 )
-from ryewing.wire.messages import JobSpec
+from ryewing.wire.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/leader/scope.py
+++ b/src/ryewing/leader/scope.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ryewing.state.jobs import JobRecord
+from ryewing.state.job_records import JobRecord
 from ryewing.units import ShardName, TermNumber, Zone
-from ryewing.wire.messages import MachineType
+from ryewing.wire.cloud import MachineType
 
 
 class TermScope(msgspec.Struct, frozen=True):
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -20,26 +20,26 @@
     Remove,
     StoreUnavailableError,
     TxnResult,
-    readable,
+    decode_stored,
 )
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.leader.term_context import TermContext
-from ryewing.state.jobs import (
+from ryewing.state.job_records import (
     CANCELLED,
     DONE,
     FINISHED_PREFIX,
     LIVE_PREFIX,
     TASKS_PER_CHUNK,
     FinalRecord,
-    Job,
     final_key,
     finished_chunk_name,
     live_key,
 )
+from ryewing.state.jobs import Job
 from ryewing.state.machine import Machine
 from ryewing.state.paged_records import PagedRecords
 from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, Revision, monotonic_now
-from ryewing.wire.messages import MACHINE_KEYS
+from ryewing.wire.cloud import MACHINE_KEYS
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -359,7 +359,7 @@
             return
         final = self.term.store.get(final_key(job.id))
         if final is not None:
-            record = readable(final.data, FinalRecord, final.key)
+            record = decode_stored(final.data, FinalRecord, final.key)
             if record is not None:
                 self._finalised(job, record.status)
 
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -18,10 +18,10 @@
 from ryewing.election.leadership import Leadership
 from ryewing.leader.scope import WHOLE_FLEET, TermScope
 from ryewing.state.cluster_state import ClusterState
-from ryewing.state.jobs import JobTable
+from ryewing.state.job_table import JobTable
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import MachineId, monotonic_now
-from ryewing.wire.messages import MachineType
+from ryewing.wire.cloud import MachineType
 
 
 class TeamLimits(Protocol):
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -28,7 +28,7 @@
     monotonic_now,
     term_of_token,
 )
-from ryewing.wire.messages import Command, Heartbeat, HeartbeatResponse
+from ryewing.wire.workers import Command, Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -23,7 +23,7 @@
     Response,
     ShardLoadAnswer,
 )
-from ryewing.clients.store import StoreUnavailableError, TermStore, WatchExpiredError, readable
+from ryewing.clients.store import StoreUnavailableError, TermStore, WatchExpiredError, decode_stored
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings
 from ryewing.election.leadership import (
@@ -47,7 +47,7 @@
     TermNumber,
     monotonic_now,
 )
-from ryewing.wire.messages import MachineType
+from ryewing.wire.cloud import MachineType
 
 log = logging.getLogger(__name__)
 WATCH_S = 8.0
@@ -315,7 +315,7 @@
         entry = self.store.get(HOLDER_KEY)
         if entry is None:
             return True
-        holder = readable(entry.data, LeaseHolder, entry.key)
+        holder = decode_stored(entry.data, LeaseHolder, entry.key)
         if holder is None:
             return False
         if holder.node == self._process.name:
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -40,9 +40,11 @@
 from ryewing.leader.division import Division, WholeFleet
 from ryewing.process.leader_elector import LeaderElector, ProcessParts
 from ryewing.state import machine_type_catalogue as catalogue
-from ryewing.state.jobs import CANCELLED, DONE
+from ryewing.state.job_records import CANCELLED, DONE
 from ryewing.units import JobId, MonotonicTime, NodeName, ShardName, Zone, monotonic_now
-from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus, MachineType
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.jobs import JobSpec, JobStatus
+from ryewing.wire.workers import Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 CANCEL_KNOWN_S = 10.0
--- a/src/ryewing/scheduling/capacity.py
+++ b/src/ryewing/scheduling/capacity.py
@@ -11,10 +11,11 @@
 from typing import NamedTuple
 
 from ryewing.config.settings import Team
-from ryewing.state.jobs import EPSILON, Job, count_fitting
+from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD, Assignment, Machine
+from ryewing.state.resources import EPSILON, count_fitting
 from ryewing.units import TeamName
-from ryewing.wire.messages import PRIORITIES, JobSpec
+from ryewing.wire.jobs import PRIORITIES, JobSpec
 
 LARGE_SHARE = 0.125
 """A task that takes so much of a machine is large: a few replicas can be in its way."""
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -25,7 +25,7 @@
 from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD, FETCHED_NOW, WARM, Machine, MachineKind
 from ryewing.units import MachineId, MonotonicTime, Zone
-from ryewing.wire.messages import SERVICE, JobSpec
+from ryewing.wire.jobs import SERVICE, JobSpec
 
 SHORT_WAIT_S = 2.0
 """What a replica may wait for a heartbeat and its image where it would wait longer, or others would
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -8,7 +8,8 @@
 from ryewing.scheduling.cycle_state import CycleState
 from ryewing.scheduling.plan import Reservation
 from ryewing.scheduling.preemption import may_preempt
-from ryewing.state.jobs import Job, count_fitting
+from ryewing.state.jobs import Job
+from ryewing.state.resources import count_fitting
 from ryewing.units import MonotonicTime, Zone
 
 LEAST_WAIT_S = 1.0
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -13,10 +13,11 @@
 )
 from ryewing.scheduling.cycle_state import Choice, CycleState
 from ryewing.scheduling.preemption import lost_work, may_preempt, saving_s, stop_order
-from ryewing.state.jobs import Job, count_fitting
+from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD, WARM, Assignment
+from ryewing.state.resources import count_fitting
 from ryewing.units import Zone
-from ryewing.wire.messages import JobSpec
+from ryewing.wire.jobs import JobSpec
 
 PREEMPT_MAX = 64
 """Places freed for one array in one cycle: bounds the work of a cycle."""
--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from ryewing.clients.store import Store, StoreUnavailableError, readable
+from ryewing.clients.store import Store, StoreUnavailableError, decode_stored
 from ryewing.config.settings import Settings, parse_address
 from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
 from ryewing.sharding.registry import DIVISION_KEY, Registration, ShardRegistry, Zones
@@ -119,7 +119,7 @@
         entry = self._store.get(DIVISION_KEY)
         if entry is None:
             raise CommandError(ExitCode.REFUSED, "the fleet is not divided into shards")
-        zones = readable(entry.data, list[Zones], entry.key)
+        zones = decode_stored(entry.data, list[Zones], entry.key)
         if zones is None:
             raise CommandError(ExitCode.REFUSED, f"{DIVISION_KEY} can't be read")
         return [ShardName(shard.name) for shard in zones]
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -12,9 +12,10 @@
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.shard_store import ShardStore
-from ryewing.state.jobs import fits_machine_type
+from ryewing.state.resources import fits_machine_type
 from ryewing.units import JobId, ShardName, Zone
-from ryewing.wire.messages import JobSpec, MachineType
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.jobs import JobSpec
 
 CHOICES = 2
 """Shards that are drawn for a new job; the one with the least waiting work gets it."""
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -12,7 +12,7 @@
 
 from ryewing.clients.store import LeaseLostError, Put, Store, StoreUnavailableError
 from ryewing.units import MonotonicTime, NodeName, monotonic_now
-from ryewing.wire.messages import Entry
+from ryewing.wire.store import Entry
 
 NODE_PREFIX = "shards/node/"
 RENEWALS_PER_LEASE = 3
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryewing.clients.store import Put, Store, readable
+from ryewing.clients.store import Put, Store, decode_stored
 from ryewing.election.leadership import TERM_KEY
 from ryewing.sharding.health import healthy_nodes
 from ryewing.sharding.ownership import Ownership
@@ -93,7 +93,7 @@
             if entry is None:
                 found[name] = StoredOwnership(None, KeyVersion(0))
                 continue
-            record = readable(entry.data, Ownership, entry.key)
+            record = decode_stored(entry.data, Ownership, entry.key)
             version = KeyVersion(entry.key_version)
             found[name] = StoredOwnership(record, version, record is not None)
         return Registration(found, healthy_nodes(listed), revision)
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -10,7 +10,7 @@
 
 from ryewing.config.settings import Settings, SettingsError
 from ryewing.units import NodeName, ShardName
-from ryewing.wire.messages import UNREADABLE
+from ryewing.wire.codec import UNREADABLE
 
 NAME_LENGTH_MAX = 32
 BY_ZONES = "zones:"
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -16,9 +16,9 @@
 from ryewing.clients.store import Put, Remove, Store, TxnResult
 from ryewing.config.settings import StateLimits
 from ryewing.state import machine_type_catalogue as catalogue
-from ryewing.state.jobs import FINAL_PREFIX, LIVE_PREFIX
+from ryewing.state.job_records import FINAL_PREFIX, LIVE_PREFIX
 from ryewing.units import KeyVersion, Revision, ShardName
-from ryewing.wire.messages import Change, ChangeLog, Entry
+from ryewing.wire.store import Change, ChangeLog, Entry
 
 SHARD_PREFIX = "s/"
 ALLOWANCE_PREFIX = "allowance/"
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -15,15 +15,15 @@
 import gevent
 import msgspec
 
-from ryewing.clients.store import Put, StoreUnavailableError, readable
+from ryewing.clients.store import Put, StoreUnavailableError, decode_stored
 from ryewing.config.settings import Team
 from ryewing.leader.leader import Leader
 from ryewing.sharding.allowance import NOTHING, Allowances, Amount, lowered, raised, target_of
 from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
 from ryewing.sharding.team_demand import TeamDemand
-from ryewing.state.jobs import EPSILON
+from ryewing.state.resources import EPSILON
 from ryewing.units import KeyVersion, MonotonicTime, ShardName, monotonic_now
-from ryewing.wire.messages import Entry
+from ryewing.wire.store import Entry
 
 log = logging.getLogger(__name__)
 
@@ -132,7 +132,7 @@
         if entry is None:
             self._records[name] = _TeamRecord(Allowances(), KeyVersion(0), ceiling)
             return
-        record = readable(entry.data, Allowances, entry.key)
+        record = decode_stored(entry.data, Allowances, entry.key)
         if record is None:
             self._records.pop(name, None)  # nothing may be used until an operator has seen to it
             return
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -11,7 +11,8 @@
 from collections.abc import Iterator
 
 from ryewing.state.failure_detector import FailureDetector
-from ryewing.state.jobs import Job, JobTable
+from ryewing.state.job_table import JobTable
+from ryewing.state.jobs import Job
 from ryewing.state.machine import (
     LIVE_PHASES,
     Assignment,
@@ -39,7 +40,8 @@
     parse_task,
     term_of_token,
 )
-from ryewing.wire.messages import Heartbeat, MachineType, ReportedTask
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.workers import Heartbeat, ReportedTask
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -17,7 +17,9 @@
     TaskId,
     Zone,
 )
-from ryewing.wire.messages import JobSpec, MachineType, ReportedTask
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.jobs import JobSpec
+from ryewing.wire.workers import ReportedTask
 
 RAN_FOR_A_WHILE_S = 15.0
 """A replica that ran for so long did not fail at its start."""
--- a/src/ryewing/state/machine_type_catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from ryewing.clients.store import Put, RejectedError, Remove, TermStore, readable
+from ryewing.clients.store import Put, RejectedError, Remove, TermStore, decode_stored
 from ryewing.units import KeyVersion
-from ryewing.wire.messages import MachineType, MachineTypeList
+from ryewing.wire.cloud import MachineType, MachineTypeList
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
     entries, _ = store.listing(KEY)
     found: dict[str, MachineType] = {}
     for entry in entries:
-        kept = readable(entry.data, MachineTypeList, entry.key)
+        kept = decode_stored(entry.data, MachineTypeList, entry.key)
         for machine_type in kept.machine_types if kept is not None else ():
             found[machine_type.name] = machine_type
     return list(found.values())
--- a/src/ryewing/state/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -23,9 +23,9 @@
 
 import msgspec
 
-from ryewing.clients.store import Put, readable
+from ryewing.clients.store import Put, decode_stored
 from ryewing.units import KeyVersion, Revision
-from ryewing.wire.messages import Entry
+from ryewing.wire.store import Entry
 
 log = logging.getLogger(__name__)
 
@@ -241,4 +241,4 @@
 
 
 def _records(entry: Entry) -> dict[str, msgspec.Raw]:
-    return readable(entry.data, dict[str, msgspec.Raw], entry.key) or {}
+    return decode_stored(entry.data, dict[str, msgspec.Raw], entry.key) or {}
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 
 from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
-from ryewing.wire.messages import Command
+from ryewing.wire.workers import Command
 
 RESEND_S = 1.0
 
--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -13,7 +13,7 @@
 
 from ryewing.api.http_server import MAX_HEADER_BYTES, MAX_HEADERS, RequestHeaders
 from ryewing.units import JobId
-from ryewing.wire.messages import JobStatus
+from ryewing.wire.jobs import JobStatus
 
 
 @pytest.fixture
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -19,9 +19,10 @@
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.config.settings import CloudLimits
 from ryewing.process.node import Node
-from ryewing.state.jobs import live_key
+from ryewing.state.job_records import live_key
 from ryewing.units import JobId, Revision
-from ryewing.wire.messages import BODY_LIMIT, MalformedError, read_heartbeat
+from ryewing.wire.codec import BODY_LIMIT, MalformedError
+from ryewing.wire.workers import read_heartbeat
 
 PATIENT_S = 10.0
 GOOD_REPORT = {
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -15,7 +15,7 @@
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
-from ryewing.wire.messages import ListedMachine
+from ryewing.wire.cloud import ListedMachine
 
 
 def rent(harness: LeaderHarness) -> None:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -19,7 +19,8 @@
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.state.machine import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
-from ryewing.wire.messages import Command, ListedMachine
+from ryewing.wire.cloud import ListedMachine
+from ryewing.wire.workers import Command
 
 MACHINES = 4000
 MARGIN = 1.5
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -14,10 +14,10 @@
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.election.leadership import campaign, read_election_record
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
-from ryewing.state.jobs import JobRecord, final_key, live_key
+from ryewing.state.job_records import JobRecord, final_key, live_key
 from ryewing.state.machine import COLD, WARM, TaskPhase
 from ryewing.units import KeyVersion, MachineId, NodeName, TermNumber, fencing_token
-from ryewing.wire.messages import ReportedTask
+from ryewing.wire.workers import ReportedTask
 
 
 def test_the_whole_way_of_an_array(harness: LeaderHarness) -> None:
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -16,10 +16,11 @@
 from ryewing.leader.autoscaler import REQUEST_PREFIX
 from ryewing.leader.state_writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
 from ryewing.state import machine_type_catalogue as catalogue
-from ryewing.state.jobs import FINISHED_PREFIX, JobRecord, final_key, live_key
+from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, final_key, live_key
 from ryewing.state.paged_records import PagedRecords
 from ryewing.units import JobId, KeyVersion, MachineId
-from ryewing.wire.messages import Entry, MachineType, RentalRequest
+from ryewing.wire.cloud import MachineType, RentalRequest
+from ryewing.wire.store import Entry
 
 
 def raw_settings(**state: Any) -> Any:
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -18,10 +18,11 @@
 from ryewing.config.settings import Objective
 from ryewing.scheduling import queueing
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
-from ryewing.state.jobs import final_key, infeasibility_reason
+from ryewing.state.job_records import final_key
 from ryewing.state.machine import RAN_FOR_A_WHILE_S
+from ryewing.state.resources import infeasibility_reason
 from ryewing.units import MachineId, MonotonicTime, WallTime, Zone
-from ryewing.wire.messages import ReportedTask
+from ryewing.wire.workers import ReportedTask
 
 
 @pytest.mark.parametrize(
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -21,7 +21,9 @@
 from ryewing.process.node import API_SHARE, PEER_SHARE
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
-from ryewing.state.jobs import FINISHED_PREFIX, Job, JobRecord, JobTable, live_key
+from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, live_key
+from ryewing.state.job_table import JobTable
+from ryewing.state.jobs import Job
 from ryewing.state.machine import TaskPhase
 from ryewing.state.paged_records import PagedRecords
 from ryewing.state.pending_terminations import PendingTerminations
@@ -37,7 +39,8 @@
     Zone,
     parse_task,
 )
-from ryewing.wire.messages import Entry, ReportedTask
+from ryewing.wire.store import Entry
+from ryewing.wire.workers import ReportedTask
 
 T0 = MonotonicTime(1000.0)
 SIZES = [60, 260, 1000]
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -19,9 +19,10 @@
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
-from ryewing.state.jobs import Job, JobRecord, live_key
+from ryewing.state.job_records import JobRecord, live_key
+from ryewing.state.jobs import Job
 from ryewing.units import JobId, KeyVersion, ShardName, TermNumber, Zone
-from ryewing.wire.messages import ListedMachine, MachineType
+from ryewing.wire.cloud import ListedMachine, MachineType
 
 EAST, WEST = ShardName("east"), ShardName("west")
 DIVISION = ShardSettings((ShardSpec("east", ("a",)), ShardSpec("west", ("b", "c"))))
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -19,7 +19,8 @@
 from ryewing.leader.worker_commands import MAX_COMMANDS
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, TermNumber, fencing_token
-from ryewing.wire.messages import Heartbeat, RentalRequest, ReportedTask
+from ryewing.wire.cloud import RentalRequest
+from ryewing.wire.workers import Heartbeat, ReportedTask
 
 LEASE_S = settings().params.workers.lease_s
 REPORT_S = settings().params.workers.report_s
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -17,7 +17,9 @@
 from ryewing.scheduling import queueing
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
-from ryewing.state.jobs import Job, JobRecord, JobTable
+from ryewing.state.job_records import JobRecord
+from ryewing.state.job_table import JobTable
+from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment, TaskPhase
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -10,7 +10,7 @@
 
 from ryewing.scheduling import preemption, queueing
 from ryewing.units import JobId, MonotonicTime, WallTime
-from ryewing.wire.messages import Heartbeat, ReportedTask
+from ryewing.wire.workers import Heartbeat, ReportedTask
 
 
 def test_fullest_fitting_machine_first() -> None:
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -12,7 +12,7 @@
 from support.scenarios import Scenario
 from support.timed_workers import NAMES
 
-from ryewing.clients.store import readable
+from ryewing.clients.store import decode_stored
 from ryewing.config.settings import Team
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.allowance import Allowances, Amount, Claim, limit_of, target_of
@@ -43,7 +43,7 @@
 def parts(cluster: Cluster) -> Allowances:
     entry = cluster.store.get("allowance/red")
     assert entry is not None
-    record = readable(entry.data, Allowances, entry.key)
+    record = decode_stored(entry.data, Allowances, entry.key)
     assert record is not None
     return record
 
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -10,7 +10,7 @@
 from ryewing.election.leadership import HOLDER_KEY, read_election_record
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.shard_store import ShardStore
-from ryewing.state.jobs import live_key
+from ryewing.state.job_records import live_key
 from ryewing.units import JobId, KeyVersion, Revision, ShardName, Zone
 
 
--- a/tests/state/test_jobs.py
+++ b/tests/state/test_jobs.py
@@ -4,7 +4,8 @@
 
 from support.fakes import job, job_spec
 
-from ryewing.state.jobs import JobRecord, JobTable
+from ryewing.state.job_records import JobRecord
+from ryewing.state.job_table import JobTable
 from ryewing.units import KeyVersion, MachineId
 
 
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -11,9 +11,10 @@
 from ryewing.api.final_states import FinalStateCache
 from ryewing.clients.store import Put
 from ryewing.clients.user_request_limiter import UserRequestLimiter
-from ryewing.state.jobs import JobRecord, final_key, live_key
+from ryewing.state.job_records import JobRecord, final_key, live_key
 from ryewing.units import JobId, ShardName, Zone
-from ryewing.wire.messages import Heartbeat, HeartbeatResponse, JobSpec, JobStatus
+from ryewing.wire.jobs import JobSpec, JobStatus
+from ryewing.wire.workers import Heartbeat, HeartbeatResponse
 from support.fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 UNBOUNDED_RPS = 1e9
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -33,7 +33,9 @@
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import MachineId, ShardName, is_job_id, parse_task
-from ryewing.wire.messages import GANG, Heartbeat, JobSpec, MachineTypeList
+from ryewing.wire.cloud import MachineTypeList
+from ryewing.wire.jobs import GANG, JobSpec
+from ryewing.wire.workers import Heartbeat
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -23,21 +23,13 @@
 from ryewing.config.policy import Policy, defaults
 from ryewing.config.settings import Settings
 from ryewing.election.leadership import Leadership, LeaseValidity
-from ryewing.state.jobs import Job, JobRecord
+from ryewing.state.job_records import JobRecord
+from ryewing.state.jobs import Job
 from ryewing.units import KeyVersion, MachineId, MonotonicTime, Revision, TermNumber
-from ryewing.wire.messages import (
-    Change,
-    ChangeLog,
-    Command,
-    Entry,
-    Heartbeat,
-    JobSpec,
-    ListedMachine,
-    MachinePage,
-    MachineType,
-    RentalRequest,
-    ReportedTask,
-)
+from ryewing.wire.cloud import ListedMachine, MachinePage, MachineType, RentalRequest
+from ryewing.wire.jobs import JobSpec
+from ryewing.wire.store import Change, ChangeLog, Entry
+from ryewing.wire.workers import Command, Heartbeat, ReportedTask
 
 RAW_SETTINGS: dict[str, Any] = {
     "node": "n-0",
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -13,9 +13,9 @@
 from ryewing.leader.leader import Leader
 from ryewing.leader.scope import WHOLE_FLEET
 from ryewing.leader.term_context import TermContext
-from ryewing.state.jobs import JobRecord, live_key
+from ryewing.state.job_records import JobRecord, live_key
 from ryewing.units import FencingToken, JobId, KeyVersion, MachineId
-from ryewing.wire.messages import Command, Heartbeat
+from ryewing.wire.workers import Command, Heartbeat
 from support.fakes import (
     Clock,
     FakeCloud,
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -45,19 +45,17 @@
 from ryewing.clients.cloud import NoCapacityError  # noqa: E402
 from ryewing.clients.http_client import HttpClient, UnreachableError  # noqa: E402
 from ryewing.clients.store import LeaseLostError, Put, RejectedError, Remove  # noqa: E402
-from ryewing.state.jobs import JobRecord, live_key  # noqa: E402
+from ryewing.state.job_records import JobRecord, live_key  # noqa: E402
 from ryewing.units import JobId, KeyVersion, Revision  # noqa: E402
-from ryewing.wire.messages import (  # noqa: E402
-    SERVICE,
-    DirectCommands,
-    HeartbeatResponse,
+from ryewing.wire.cloud import (  # noqa: E402
     ListedMachine,
     MachineNames,
     MachinePage,
     MachineTypeList,
     RentalRequest,
-    ReportedTask,
 )
+from ryewing.wire.jobs import SERVICE  # noqa: E402
+from ryewing.wire.workers import DirectCommands, HeartbeatResponse, ReportedTask  # noqa: E402
 from support.fakes import RAW_SETTINGS, FakeCloud, FakeStore, FakeWorker  # noqa: E402
 
 Handler = Any
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -11,7 +11,9 @@
 from ryewing.scheduling import queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
-from ryewing.state.jobs import Job, JobRecord, JobTable
+from ryewing.state.job_records import JobRecord
+from ryewing.state.job_table import JobTable
+from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment, Machine, TaskPhase
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
@@ -24,7 +26,7 @@
     WallTime,
     Zone,
 )
-from ryewing.wire.messages import MachineType
+from ryewing.wire.cloud import MachineType
 from support.fakes import CPU, GPU, job_spec, settings
 
 T0 = MonotonicTime(1000.0)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from ryewing.state.jobs import CANCELLED, DONE
+from ryewing.state.job_records import CANCELLED, DONE
 from ryewing.units import parse_task
 
 if TYPE_CHECKING:
--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -9,7 +9,7 @@
 
 from ryewing.clients.store import LeaseLostError, Put, Remove, StoreUnavailableError, TxnResult
 from ryewing.units import KeyVersion, Revision
-from ryewing.wire.messages import Change, ChangeLog, Entry
+from ryewing.wire.store import Change, ChangeLog, Entry
 from support.fakes import Clock, FakeStore
 
 
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -10,7 +10,7 @@
 
 from ryewing.clients.workers import WorkerUnavailableError
 from ryewing.units import FencingToken
-from ryewing.wire.messages import Command, Heartbeat, ReportedTask
+from ryewing.wire.workers import Command, Heartbeat, ReportedTask
 from support.fakes import FakeWorker
 
 STEP_S = 0.25
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -16,8 +16,8 @@
 from support.scenarios import Scenario, running, serving
 from support.timed_workers import NAMES
 
-from ryewing.state.jobs import JobRecord
-from ryewing.wire.messages import ReportedTask
+from ryewing.state.job_records import JobRecord
+from ryewing.wire.workers import ReportedTask
 
 
 def test_without_troubles(cluster: Cluster) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -17,18 +17,18 @@
 from ryewing.clients.store import Put
 from ryewing.election.leadership import LeaseHolder, TermRecord
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
-from ryewing.state.jobs import (
+from ryewing.state.job_records import (
     FINISHED_PREFIX,
     FinalRecord,
-    Job,
     JobRecord,
     final_key,
     live_key,
     with_cancel_mark,
 )
+from ryewing.state.jobs import Job
 from ryewing.state.paged_records import PagedRecords
 from ryewing.units import JobId, KeyVersion, MachineId, WallTime
-from ryewing.wire.messages import MachineTypeList, RentalRequest
+from ryewing.wire.cloud import MachineTypeList, RentalRequest
 
 # -- as 0.1.0 writes them -----------------------------------------------------------------------
 
--- a/tests/wire/test_messages.py
+++ b/tests/wire/test_wire.py
@@ -9,9 +9,10 @@
 from support.fakes import job_spec, submission
 from support.placement_world import FLAVOURS, TEAMS
 
-from ryewing.state.jobs import infeasibility_reason
+from ryewing.state.resources import infeasibility_reason
 from ryewing.units import JobId, TaskId, TermNumber, attempt_of, is_job_id, parse_task
-from ryewing.wire.messages import MalformedError, read_job_spec
+from ryewing.wire.codec import MalformedError
+from ryewing.wire.jobs import read_job_spec
 
 
 @pytest.mark.parametrize(
