--- a/run.py
+++ b/run.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).resolve().parent
 sys.path[:0] = [str(ROOT / "src"), str(ROOT / "target" / "deps")]
 
-from ryewing.process.cli import main  # noqa: E402
+from ryewing.cli import main  # noqa: E402
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/src/ryewing/process/__init__.py
+++ b/src/ryewing/process/__init__.py
@@ -1,5 +1,5 @@
-"""One controller process: the command line, what its parts share, and the leader electors.
+"""One controller process: what its parts share, and the leader electors.
 
-The package wires the others together and owns their lifetimes. It imports all of them but
-`sharding`, which the command line loads only where an operator asks for it.
+The package wires the others together and owns their lifetimes. It imports all packages below it;
+the command line starts it, and `sharding` where an operator has divided the fleet.
 """
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -8,14 +8,12 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment, Machine, TaskPhase, ran_for_a_while
-from ryewing.units import JobId, MonotonicTime
-
-if TYPE_CHECKING:
-    from ryewing.state.cluster_state import ClusterState
+from ryewing.units import JobId, MachineId, MonotonicTime
 
 log = logging.getLogger(__name__)
 
@@ -32,10 +30,23 @@
 may wait beside room for it, since machines that fail tasks may recover."""
 
 
+class Cluster(Protocol):
+    """What the failure detector sees and changes of the cluster state that owns it."""
+
+    machines: dict[MachineId, Machine]
+    job_table: JobTable
+
+    def assignments_of(self, job: Job) -> list[Assignment]:
+        """List a job's task attempts, on whatever machines they are."""
+
+    def drop(self, assignment: Assignment, now: MonotonicTime, finished: bool = False) -> None:
+        """Take a task attempt off its machine."""
+
+
 class FailureDetector:
     """Decides what a failed task says, and which jobs have to wait."""
 
-    def __init__(self, cluster: ClusterState) -> None:
+    def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
 
     def replica_ended(
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -13,8 +13,8 @@
 from support.planner_inputs import random_inputs
 from support.timed_store import StoreLink, TimedStore
 
+from ryewing.cli import main
 from ryewing.clients.store import StoreUnavailableError
-from ryewing.process.cli import main
 from ryewing.sharding import exact, greedy, planner
 from ryewing.sharding.load import cost, moves
 from ryewing.sharding.ownership import (
