--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -77,8 +77,8 @@
         if seen.record is None:
             raise CommandError(ExitCode.REFUSED, f"shard {name!r} has no readable owner yet")
         try:
-            taken = self._registry.take(
-                name, seen, lambda old: begin_move(old, target, found.healthy) if old else None
+            taken = self._registry.advance(
+                name, seen, lambda old: begin_move(old, target, found.healthy)
             )
         except MoveRefusedError as error:
             raise CommandError(ExitCode.REFUSED, f"shard {name!r}: {error}") from None
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -222,7 +222,7 @@
         elif record.phase is Phase.SEALED and record.owner == self._node:
             self._settle(name, seen, leader)
         elif leader is not None and leader.term.state_loaded.is_set():
-            self._take(name, seen, lambda old: finish(old, self._node) if old else None)
+            self._advance_record(name, seen, lambda old: finish(old, self._node))
 
     def _give_way(self, name: ShardName, seen: StoredOwnership) -> None:
         """Resign if the record names another owner, who waits for the lease."""
@@ -237,7 +237,7 @@
             if not leader.drained() and waited_s < DRAIN_MAX_S:
                 return
             leader.resign(MOVING)
-        self._take(name, seen, lambda old: settle(old, self._node) if old else None)
+        self._advance_record(name, seen, lambda old: settle(old, self._node))
 
     def _hand_off_if_unfit(
         self, name: ShardName, seen: StoredOwnership, found: Registration
@@ -249,7 +249,7 @@
         if not others:
             return
         target = self._choice.assignment(found, others)[name]
-        self._take(name, seen, lambda old: hand_off(old, self._node, target) if old else None)
+        self._advance_record(name, seen, lambda old: hand_off(old, self._node, target))
 
     def _is_orphan(self, record: Ownership, healthy: set[NodeName]) -> bool:
         """Tell whether those who should take the next step of a shard are not there to do so."""
@@ -271,20 +271,23 @@
         chosen = self._choice.assignment(found, nodes)[name]
         if chosen != self._node and now - since < ORPHAN_PATIENCE_S:
             return
-        self._take(name, seen, partial(self._adoption, healthy=found.healthy))
+        adoption = partial(self._adoption, healthy=found.healthy)
+        self._note_step(name, self._registry.take(name, seen, adoption))
 
     def _adoption(self, old: Ownership | None, healthy: set[NodeName]) -> Ownership | None:
         if old is None:
             return first_owner(self._node)
         return repair(old, self._node, healthy)
 
-    def _take(
+    def _advance_record(
         self,
         name: ShardName,
         seen: StoredOwnership,
-        step: Callable[[Ownership | None], Ownership | None],
+        step: Callable[[Ownership], Ownership | None],
     ) -> None:
-        taken = self._registry.take(name, seen, step)
+        self._note_step(name, self._registry.advance(name, seen, step))
+
+    def _note_step(self, name: ShardName, taken: Ownership | None) -> None:
         if taken is not None:
             self.records[name] = taken
             self._update_seal(name)
@@ -301,10 +304,10 @@
         if move is None:
             return
         try:
-            self._take(
+            self._advance_record(
                 move.shard,
                 found.shards[move.shard],
-                lambda old: begin_move(old, move.target, found.healthy) if old else None,
+                lambda old: begin_move(old, move.target, found.healthy),
             )
         except MoveRefusedError as error:
             log.info("event=move-refused shard=%s reason=%r", move.shard, str(error))
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -22,7 +22,7 @@
 DIVISION_KEY = SHARDS_PREFIX + "division"
 
 Step = Callable[[Ownership | None], Ownership | None]
-"""Gives the next record, or None to leave things as they are."""
+"""Returns the next record, or None to leave things as they are."""
 
 
 class DivisionDiffersError(Exception):
@@ -98,8 +98,19 @@
             found[name] = StoredOwnership(record, version, record is not None)
         return Registration(found, healthy_nodes(listed), revision)
 
+    def advance(
+        self,
+        name: ShardName,
+        seen: StoredOwnership,
+        step: Callable[[Ownership], Ownership | None],
+    ) -> Ownership | None:
+        """Take a step of a shard that has a record; one without is left alone (see `take`)."""
+        return self.take(name, seen, lambda old: step(old) if old is not None else None)
+
     def take(self, name: ShardName, seen: StoredOwnership, step: Step) -> Ownership | None:
-        """Take a step from the record that was seen; the new record, or None if it wasn't taken.
+        """Take a step from the record that was seen.
+
+        Return the new record, or None if the step wasn't taken.
 
         A write that got no answer may be carried out late: it names the version it replaces, so it
         can't undo a step that came after it, and the next reading shows whether it was.
