--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -22,10 +22,10 @@
 from ryewing.clients.machine_listing import MachineListing
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.config.settings import parse_address
+from ryewing.leader.direct_messages import DirectMessages
 from ryewing.leader.scheduler import Scheduler
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.machine import Machine
 from ryewing.units import MachineId, MonotonicTime, Zone, monotonic_now
@@ -54,12 +54,12 @@
         self,
         term: TermContext,
         writer: StateWriter,
-        worker_commands: WorkerCommands,
+        direct_messages: DirectMessages,
         scheduler: Scheduler,
     ) -> None:
         self.term = term
         self.writer = writer
-        self.worker_commands = worker_commands
+        self.direct_messages = direct_messages
         self.scheduler = scheduler
         limits = term.settings.params.cloud
         limits = msgspec.structs.replace(limits, rps=term.scope.share * limits.rps)
@@ -225,7 +225,7 @@
             )
             self.term.cluster.remove(machine, now)
             if machine.address:
-                self.worker_commands.workers.forget(machine.address)
+                self.direct_messages.workers.forget(machine.address)
             self.writer.to_record.discard(machine.id)
             self.term.released[machine.id] = None
             if len(self.term.released) > RELEASED_NAMES_KEPT:
@@ -270,7 +270,7 @@
             if listed.address and not machine.address:
                 machine.address = listed.address
                 if machine.recorded and not machine.handshaken:
-                    self.worker_commands.schedule_direct_message(machine)
+                    self.direct_messages.schedule(machine)
             if listed.status == "failed":
                 failed.append((machine, "failed"))
         if failed:
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -10,7 +10,7 @@
 from ryewing.clients.store import StoreUnavailableError, WatchExpiredError
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import WorkerCommands
+from ryewing.leader.terminations import TaskTerminator
 from ryewing.state.job_records import LIVE_PREFIX, JobRecord, read_record
 from ryewing.state.jobs import Job
 from ryewing.state.pending_terminations import TerminationReason
@@ -29,12 +29,10 @@
 class JobWatcher:
     """Owns the place in the store's log up to which the jobs are known."""
 
-    def __init__(
-        self, term: TermContext, writer: StateWriter, worker_commands: WorkerCommands
-    ) -> None:
+    def __init__(self, term: TermContext, writer: StateWriter, terminator: TaskTerminator) -> None:
         self.term = term
         self.writer = writer
-        self.worker_commands = worker_commands
+        self.terminator = terminator
         self.revision = Revision(0)
         self._cancelled_early: set[JobId] = set()
         """Cancels told here before the job was known, until a watch has brought what there is."""
@@ -78,7 +76,7 @@
             self.term.cluster.failure_detector.clear_faults(job)
         now = monotonic_now()
         for assignment in self.term.cluster.assignments_of(job):
-            self.worker_commands.terminate(assignment, 0.0, TerminationReason.CANCELLED, now)
+            self.terminator.terminate(assignment, 0.0, TerminationReason.CANCELLED, now)
         self.term.writes_needed.set()
 
     def watch_loop(self) -> None:
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -17,13 +17,17 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import LeaseLostError, StoreUnavailableError
 from ryewing.leader.autoscaler import Autoscaler
+from ryewing.leader.direct_messages import PROBE_AFTER, DirectMessages
+from ryewing.leader.early_heartbeats import EarlyHeartbeats
+from ryewing.leader.heartbeat_effects import HeartbeatEffects
+from ryewing.leader.heartbeats import HeartbeatHandler
 from ryewing.leader.job_watcher import JobWatcher
 from ryewing.leader.recovery import Recovery
 from ryewing.leader.scheduler import Scheduler
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import PROBE_AFTER, WorkerCommands
-from ryewing.state.machine import TaskPhase
+from ryewing.leader.terminations import TaskTerminator
+from ryewing.state.machine import Machine, TaskPhase
 from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
 from ryewing.wire.jobs import JobStatus
 from ryewing.wire.workers import Heartbeat, HeartbeatResponse
@@ -56,10 +60,14 @@
         self._image_locality = image_locality
         self.term = term
         self.writer = StateWriter(self.term, on_final, self._on_record)
-        self.worker_commands = WorkerCommands(self.term, self.writer)
-        self.job_watcher = JobWatcher(self.term, self.writer, self.worker_commands)
-        self.scheduler = Scheduler(self.term, self.worker_commands)
-        self.autoscaler = Autoscaler(self.term, self.writer, self.worker_commands, self.scheduler)
+        self.direct_messages = DirectMessages(self.term, self._on_news)
+        self.terminator = TaskTerminator(self.term, self.direct_messages)
+        self.heartbeat_effects = HeartbeatEffects(self.term, self.terminator)
+        self.heartbeats = HeartbeatHandler(self.term, self.writer, self.heartbeat_effects)
+        self.early_heartbeats = EarlyHeartbeats(self.term, self.direct_messages)
+        self.job_watcher = JobWatcher(self.term, self.writer, self.terminator)
+        self.scheduler = Scheduler(self.term, self.terminator, self.early_heartbeats)
+        self.autoscaler = Autoscaler(self.term, self.writer, self.direct_messages, self.scheduler)
         self._greenlets: list[gevent.Greenlet] = []
         self.extra_loops: list[Callable[[], None]] = []
         """Run for as long as the term lasts, besides its own."""
@@ -70,7 +78,7 @@
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Answer a worker, or None if this node must not answer 200 now."""
-        return self.worker_commands.on_heartbeat(heartbeat)
+        return self.heartbeats.on_heartbeat(heartbeat)
 
     def poll(self, job_id: JobId) -> JobStatus | None:
         """Tell a job's state, or None if only the store can tell."""
@@ -109,6 +117,9 @@
     def _on_record(self, key: str, data: msgspec.Raw, key_version: KeyVersion) -> None:
         self.job_watcher.apply_record(key, data, key_version)
 
+    def _on_news(self, machine: Machine, now: MonotonicTime) -> None:
+        self.heartbeat_effects.apply(machine, now)
+
     # -- life -------------------------------------------------------------------------------
 
     def start(self) -> None:
@@ -122,7 +133,7 @@
         current = gevent.getcurrent()
         others = [g for g in self._greenlets if g is not current]
         gevent.killall(others, block=False)
-        self.worker_commands.stop()
+        self.direct_messages.stop()
 
     def _spawn(self, loop: Callable[[], None]) -> None:
         self._greenlets.append(gevent.spawn(self._guard, loop))
@@ -196,7 +207,7 @@
         self.term.state_loaded.set()
         for machine in list(self.term.cluster.machines.values()):
             if machine.address:
-                self.worker_commands.schedule_direct_message(machine)
+                self.direct_messages.schedule(machine)
         self._spawn(self.job_watcher.watch_loop)
         self._spawn(self.writer.write_loop)
         self._spawn(self.scheduler.scheduling_loop)
@@ -233,8 +244,8 @@
             if stopping is None:
                 self.term.terminations.machine_gone(name)
             else:
-                self.worker_commands.schedule_direct_message(stopping)
-        self.worker_commands.probe(now)
+                self.direct_messages.schedule(stopping)
+        self.direct_messages.probe(now)
         if (
             self.term.settings.members
             and self.scheduler.reconciled
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -14,8 +14,9 @@
 import gevent
 
 from ryewing import scheduling
+from ryewing.leader.early_heartbeats import EarlyHeartbeats
 from ryewing.leader.term_context import TermContext
-from ryewing.leader.worker_commands import WorkerCommands
+from ryewing.leader.terminations import TaskTerminator
 from ryewing.scheduling import preemption, queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota, allows
 from ryewing.state.failure_detector import AVOID_S
@@ -75,9 +76,12 @@
 class Scheduler:
     """Owns what cycles have found: what is short, what GPUs were wanted."""
 
-    def __init__(self, term: TermContext, worker_commands: WorkerCommands) -> None:
+    def __init__(
+        self, term: TermContext, terminator: TaskTerminator, early_heartbeats: EarlyHeartbeats
+    ) -> None:
         self.term = term
-        self.worker_commands = worker_commands
+        self.terminator = terminator
+        self.early_heartbeats = early_heartbeats
         self.reconciled = False
         self.unplaced: list[scheduling.Unplaced] = []
         self._guarantees = any(t.cpus or t.gpus for t in term.settings.params.teams)
@@ -195,7 +199,7 @@
             avoid=self._avoid,
             fetches_share=cluster.fetches_share(),
             recent_specs=tuple(self._recent_specs.values()),
-            next_heartbeat_in_s=lambda machine: self.worker_commands.next_heartbeat_in_s(
+            next_heartbeat_in_s=lambda machine: self.early_heartbeats.next_heartbeat_in_s(
                 machine, now
             ),
         )
@@ -218,7 +222,7 @@
                 serving |= names
         for name in sorted(planned, key=lambda name: name not in serving):
             machine = self.term.cluster.machines[name]
-            self.worker_commands.request_early_heartbeat(machine, now, name in serving)
+            self.early_heartbeats.request(machine, now, name in serving)
         for assignment in plan.stops:
             self._stop(assignment, TerminationReason.PREEMPTED, now)
         for assignment in plan.moves:
@@ -229,7 +233,7 @@
 
     def _stop(self, assignment: Assignment, reason: TerminationReason, now: MonotonicTime) -> None:
         grace_s = assignment.job.grace_s if assignment.job is not None else 0.0
-        self.worker_commands.terminate(assignment, grace_s, reason, now)
+        self.terminator.terminate(assignment, grace_s, reason, now)
 
     def _replicas_to_move(self, now: MonotonicTime) -> list[Assignment]:
         """List the replicas that should run elsewhere: their machine is about to go, or is faulty,
@@ -380,7 +384,7 @@
             return True
         if job.done_count == 0:
             for assignment in assignments:
-                self.worker_commands.terminate(assignment, 0.0, TerminationReason.GANG_BROKEN, now)
+                self.terminator.terminate(assignment, 0.0, TerminationReason.GANG_BROKEN, now)
         return False
 
     def _avoid(self, job: Job, machine: Machine) -> bool:
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -10,9 +10,9 @@
 
 from ryewing.clients.cloud import CloudUnavailableError
 from ryewing.leader.autoscaler import REQUEST_PREFIX
+from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.leader.leader import CUT, CUT_PROBE_S
 from ryewing.leader.state_writer import MACHINE_PREFIX
-from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
@@ -176,23 +176,23 @@
 
 def noted_messages(harness: LeaderHarness) -> list[MachineId]:
     """Let direct messages wait in line as they do, and note to which machines they go."""
-    del harness.leader.worker_commands.schedule_direct_message
+    del harness.leader.direct_messages.schedule
     asked: list[MachineId] = []
-    harness.leader.worker_commands.send = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
+    harness.leader.direct_messages.send = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
     return asked
 
 
 def test_asking_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
     """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
     harness.ready_workers(100)
-    worker_commands = harness.leader.worker_commands
+    direct_messages = harness.leader.direct_messages
     asked = noted_messages(harness)
     harness.later(policy().silence_s)
-    worker_commands.probe(harness.clock())
-    worker_commands.probe(harness.clock())
+    direct_messages.probe(harness.clock())
+    direct_messages.probe(harness.clock())
     assert not asked  # nothing was done while the machines were gone through
-    assert len(worker_commands._senders) == MAX_SENDS_IN_FLIGHT
-    worker_commands._senders.join()
+    assert len(direct_messages.senders) == MAX_SENDS_IN_FLIGHT
+    direct_messages.senders.join()
     assert sorted(asked) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
 
 
@@ -203,14 +203,14 @@
     harness.place()
     for worker in workers:
         harness.exchange(worker)
-    worker_commands = harness.leader.worker_commands
+    direct_messages = harness.leader.direct_messages
     asked = noted_messages(harness)
     harness.later(policy().silence_s)
-    worker_commands.probe(harness.clock())
+    direct_messages.probe(harness.clock())
     [machine] = [m for m in harness.leader.term.cluster.machines.values() if m.assignments]
     harness.leader.apply_cancel(JobId("run-1"))
-    assert machine.id not in worker_commands._others_waiting
-    worker_commands._senders.join()
+    assert machine.id not in direct_messages.other_queue
+    direct_messages.senders.join()
     assert asked[0] == machine.id
     assert len(asked) == 100
 
@@ -218,7 +218,7 @@
 def test_neither_line_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
     """Stops are sent again each second: to silent machines they would have kept all senders."""
     harness.ready_workers(100)
-    worker_commands = harness.leader.worker_commands
+    direct_messages = harness.leader.direct_messages
     asked = noted_messages(harness)
     machines = list(harness.leader.term.cluster.machines.values())
     stopping = {machine.id for machine in machines[:60]}
@@ -228,8 +228,8 @@
             name, task, Attempt(1), 0.0, TerminationReason.CANCELLED, harness.clock()
         )
     for machine in machines:
-        worker_commands.schedule_direct_message(machine)
-    worker_commands._senders.join()
+        direct_messages.schedule(machine)
+    direct_messages.senders.join()
     assert len(asked) == len(set(asked)) == 100
     assert [name in stopping for name in asked[:80]] == [True, False] * 40
 
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -15,8 +15,8 @@
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.autoscaler import RELEASED_NAMES_KEPT
+from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
-from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.state.machine import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
 from ryewing.wire.cloud import ListedMachine
@@ -149,7 +149,7 @@
     # A take-over: every machine is heard by its heartbeats, nothing is started again.
     asked: Counter[MachineId] = Counter()
     leader = harness.new_leader(7)
-    leader.worker_commands.schedule_direct_message = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
+    leader.direct_messages.schedule = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
     job = leader.term.job_table.jobs[JobId("run-1")]
     assert len(leader.term.cluster.machines) == MACHINES
     assert not leader.scheduler.check_reconciled()
@@ -159,7 +159,7 @@
     fleet.all_send_heartbeats()
     assert (job.running, job.shortfall) == (TASKS, 0)
     assert set(fleet.started.values()) == {1}
-    leader.worker_commands.probe(harness.clock())
+    leader.direct_messages.probe(harness.clock())
     assert not asked
 
     # A zone falls silent: too many at once to be released, so each is kept for as long as the
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -96,7 +96,7 @@
     assert answer is not None
     assert len(starts(answer.commands)) == 1
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    harness.leader.worker_commands.send(machine)  # the body of /orders does not show the task
+    harness.leader.direct_messages.send(machine)  # the body of /orders does not show the task
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
     harness.leader.scheduler.run_cycle()
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
@@ -107,13 +107,13 @@
 def test_a_nudge_raises_the_token_and_every_later_answer_carries_it(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     asked: list[str] = []
-    commands = harness.leader.worker_commands
-    commands.schedule_direct_message = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
+    direct_messages = harness.leader.direct_messages
+    direct_messages.schedule = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
     harness.accept(task_count=2)
     harness.place()
     assert asked == [worker.name]
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    harness.leader.worker_commands.send(machine)
+    harness.leader.direct_messages.send(machine)
     assert worker.token == fencing_token(TermNumber(5), 1)
     assert len(starts(harness.exchange(worker))) == 2  # a lower token would be dropped
     harness.accept("run-2", task_count=1)
@@ -134,7 +134,7 @@
     harness.place()
     assert harness.leader.on_heartbeat(worker.heartbeat()) is not None  # lost on its way
     worker.incarnation += 1
-    harness.leader.worker_commands.send(
+    harness.leader.direct_messages.send(
         harness.leader.term.cluster.machines[MachineId(worker.name)]
     )
     assert harness.assignments() == {}
@@ -184,7 +184,7 @@
     harness.new_leader(6)
     assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    harness.leader.worker_commands.send(machine)  # the handshake
+    harness.leader.direct_messages.send(machine)  # the handshake
     assert machine.handshaken
     assert worker.token == fencing_token(TermNumber(6))
     assert harness.leader.scheduler.check_reconciled()
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -347,7 +347,7 @@
 ) -> None:
     worker = harness.ready_worker()
     sent: list[MachineId] = []
-    harness.leader.worker_commands.schedule_direct_message = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
+    harness.leader.direct_messages.schedule = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.later(2.4)
     harness.accept("run-8")
@@ -361,15 +361,17 @@
 def test_how_soon_a_worker_reports(harness: LeaderHarness) -> None:
     """A nudge brings a heartbeat in half a second; not while a response is under way, nor twice."""
     worker = harness.ready_worker()
-    worker_commands = harness.leader.worker_commands
+    early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    assert worker_commands.next_heartbeat_in_s(machine, harness.clock()) == 0.5
+    assert early_heartbeats.next_heartbeat_in_s(machine, harness.clock()) == 0.5
     harness.begin(worker, task_count=1)
     machine.token_bumped_at = None
-    assert worker_commands.next_heartbeat_in_s(machine, harness.clock()) == 3.0
+    assert early_heartbeats.next_heartbeat_in_s(machine, harness.clock()) == 3.0
     harness.exchange(worker)
     machine.token_bumped_at = harness.clock()
-    assert worker_commands.next_heartbeat_in_s(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
+    assert (
+        early_heartbeats.next_heartbeat_in_s(machine, MonotonicTime(harness.clock() + 1.0)) == 2.0
+    )
 
 
 def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -16,8 +16,8 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
+from ryewing.leader.direct_messages import max_sends_in_flight
 from ryewing.leader.state_writer import MACHINE_PREFIX
-from ryewing.leader.worker_commands import max_sends_in_flight
 from ryewing.process.node import API_SHARE, PEER_SHARE
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
@@ -282,7 +282,7 @@
     for worker in workers * 2:
         harness.exchange(worker)
     sent: list[MachineId] = []
-    harness.leader.worker_commands.schedule_direct_message = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
+    harness.leader.direct_messages.schedule = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
     for worker in workers:
         harness.end(worker)
     harness.write()
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -113,7 +113,7 @@
 
 def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
     leader, params = east.leader, east.settings.params
-    autoscaler = Autoscaler(leader.term, leader.writer, leader.worker_commands, leader.scheduler)
+    autoscaler = Autoscaler(leader.term, leader.writer, leader.direct_messages, leader.scheduler)
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
     rates = {
@@ -121,7 +121,7 @@
         "cloud": (autoscaler.cloud.bucket.rate, 0.8 * params.cloud.rps),
         "list": (leader.autoscaler.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
-            leader.worker_commands._early_heartbeat_bucket.rate,
+            leader.early_heartbeats.bucket.rate,
             60.0 * params.resources.core_share,
         ),
     }
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -16,7 +16,7 @@
 from ryewing.clients.http_client import Reply
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.election.leadership import campaign, may_campaign, read_election_record
-from ryewing.leader.worker_commands import MAX_COMMANDS
+from ryewing.leader.commands import MAX_COMMANDS
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, TermNumber, fencing_token
 from ryewing.wire.cloud import RentalRequest
@@ -244,11 +244,11 @@
     harness.leader.on_heartbeat(worker.heartbeat())
     assert len(harness.assignments()) == 2  # not believed yet
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    harness.leader.worker_commands.send(machine)
+    harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
     assert machine.handshaken
     harness.leader.on_heartbeat(copy.deepcopy(old))  # a late copy from before
-    harness.leader.worker_commands.send(machine)
+    harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
     harness.place()
     assert list(harness.assignments().values()) == [TaskPhase.PLANNED, TaskPhase.PLANNED]
@@ -268,8 +268,8 @@
             harness.exchange(worker)
             return answer
 
-    harness.leader.worker_commands.workers = Overtaken()  # type: ignore[assignment]
-    harness.leader.worker_commands.send(machine)
+    harness.leader.direct_messages.workers = Overtaken()  # type: ignore[assignment]
+    harness.leader.direct_messages.send(machine)
     assert list(harness.assignments().values()) == [TaskPhase.RUNNING, TaskPhase.RUNNING]
 
 
@@ -371,11 +371,11 @@
     elif act == "tell":
         assert leader.poll(job) is None
     else:
-        leader.worker_commands.send(machine)
-        assert not leader.worker_commands.workers.sent  # type: ignore[attr-defined]
+        leader.direct_messages.send(machine)
+        assert not leader.direct_messages.workers.sent  # type: ignore[attr-defined]
         harness.later(0.0)
-        leader.worker_commands.send(machine)  # as it would have been sent in time
-        assert len(leader.worker_commands.workers.sent) == 4  # type: ignore[attr-defined]
+        leader.direct_messages.send(machine)  # as it would have been sent in time
+        assert len(leader.direct_messages.workers.sent) == 4  # type: ignore[attr-defined]
 
 
 def test_a_worker_that_has_moved_over_ends_the_old_term(harness: LeaderHarness) -> None:
@@ -439,7 +439,7 @@
     assert found.shortfall == 0
     if cancelled:
         harness.leader.apply_cancel(name)
-        harness.leader.worker_commands.send(
+        harness.leader.direct_messages.send(
             harness.leader.term.cluster.machines[MachineId(runs.name)]
         )
         assert [reported.status for reported in runs.tasks.values()] == [
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -17,13 +17,14 @@
     "clients.token_bucket",
     "election.leadership",
     "leader.autoscaler",
+    "leader.direct_messages",
+    "leader.heartbeats",
     "leader.job_watcher",
     "leader.leader",
     "leader.recovery",
     "leader.scheduler",
     "leader.state_writer",
     "leader.term_context",
-    "leader.worker_commands",
 )
 NODE_PARTS = ("api.api", "process.leader_elector", "process.node")
 SHARDING_PARTS = (
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -185,7 +185,7 @@
             self.after_load()
         for machine in leader.term.cluster.machines.values():
             if machine.address:
-                leader.worker_commands.schedule_direct_message(machine)
+                leader.direct_messages.schedule(machine)
         return True
 
     def _writing(self, leader: Leader) -> Callable[[], None]:
@@ -219,11 +219,11 @@
         if leader is not None:
             leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
             leader.writer._bucket = self._bucket(leader.writer._bucket)
-            early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
-            leader.worker_commands._early_heartbeat_bucket = early
+            early = self._bucket(leader.early_heartbeats.bucket)
+            leader.early_heartbeats.bucket = early
             leader.scheduler._rng = random.Random(int(leader.term.number))
-            leader.worker_commands.workers = DirectLink(self, node.name)  # type: ignore[assignment]
-            leader.worker_commands.schedule_direct_message = leader.worker_commands.send  # type: ignore[method-assign]
+            leader.direct_messages.workers = DirectLink(self, node.name)  # type: ignore[assignment]
+            leader.direct_messages.schedule = leader.direct_messages.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
         """Give a token bucket that goes by the clock of the test: one verdict whatever the
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -81,9 +81,9 @@
         )
         leader = Leader(term_context, self.finals.__setitem__, image_locality)
         leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
-        leader.worker_commands.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
+        leader.direct_messages.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
         leader.term.set_machine_types(self.cloud.machine_types())
-        leader.worker_commands.schedule_direct_message = lambda machine: None  # type: ignore[method-assign]
+        leader.direct_messages.schedule = lambda machine: None  # type: ignore[method-assign]
         leader._load()
         leader.term.state_loaded.set()
         self.leader = leader
