--- a/src/ryewing/autoscaling/__init__.py
+++ b/src/ryewing/autoscaling/__init__.py
@@ -1,5 +1,6 @@
-"""Which machines to rent, to cordon and to release, as pure decisions.
+"""Decides which machines to rent, to cordon and to release.
 
-Nothing here keeps state but the backoff from what the cloud did not have; the clock is passed in.
-It imports `state` and `scheduling`; the leader's autoscaler calls it.
+It owns the rules and the backoff from options that the cloud could not provide, no other state; the
+clock is passed in, and nothing here waits. It imports `scheduling`, `state` and the packages below
+them, and only the leader's autoscaler calls it.
 """
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -201,7 +201,7 @@
             self.term.number,
             len(self.term.job_table.jobs),
             len(self.term.cluster.machines),
-            len(self.autoscaler.pending_requests),
+            len(self.autoscaler.rentals.pending),
             monotonic_now() - self.term.began_at,
         )
         self.term.state_loaded.set()
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -11,8 +11,9 @@
 
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import decode_stored
-from ryewing.leader.autoscaler import REQUEST_PREFIX, Autoscaler
+from ryewing.leader.autoscaler import Autoscaler
 from ryewing.leader.job_watcher import JobWatcher
+from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
@@ -57,7 +58,7 @@
     def load(self) -> None:
         """Read everything; raise StoreUnavailableError to be called again."""
         now = monotonic_now()
-        types = self._renter.load_machine_types()
+        types = self._renter.machine_types.load_stored()
         if types:
             self._term.set_machine_types(types)
         self._load_jobs(now)
@@ -137,4 +138,4 @@
         for entry in entries:
             request = decode_stored(entry.data, RentalRequest, entry.key)
             if request is not None:
-                self._renter.pending_requests[request.id] = request
+                self._renter.rentals.pending[request.id] = request
--- a/tests/autoscaling/test_planning.py
+++ b/tests/autoscaling/test_planning.py
@@ -6,19 +6,17 @@
 from support.fakes import job, policy
 from support.placement_world import FLAVOURS, T0, World
 
-from ryewing.autoscaling.planning import (
-    CapacityBackoff,
-    options_for,
-    plan_scale_out,
-    scale_in_candidates,
-)
+from ryewing.autoscaling.capacity_backoff import CapacityBackoff
+from ryewing.autoscaling.scale_in import scale_in_candidates
+from ryewing.autoscaling.scale_out import options_for, plan_scale_out
+from ryewing.scheduling import Unplaced
 from ryewing.units import MonotonicTime
 
 
 def test_renting_counts_what_is_booting() -> None:
     world = World()
     booting = [world.machine("i-1")]
-    short = [(job(task_count=8), 8)]
+    short = [Unplaced(job(task_count=8), 8)]
     assert plan_scale_out(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
     [plan] = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.count == 1
@@ -55,6 +53,6 @@
     machine.heard_at = T0
     if assignments:
         world.put(world.job("run-9"), machine, 1)
-    short = [(job(), 1)] if waiting else []
+    short = [Unplaced(job(), 1)] if waiting else []
     chosen = scale_in_candidates([machine], short, policy(), MonotonicTime(T0 + idle_s))
     assert (chosen == [machine]) is returned
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -8,10 +8,11 @@
 from support.fakes import policy, settings
 from support.harness import LeaderHarness
 
+from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.cloud import CloudUnavailableError
-from ryewing.leader.autoscaler import REQUEST_PREFIX
 from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.leader.leader import CUT, CUT_PROBE_S
+from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.state_writer import MACHINE_PREFIX
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
@@ -25,13 +26,13 @@
 
 def test_a_successor_repeats_a_recorded_wish_under_its_name(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    harness.leader.autoscaler.send_request = lambda request: None  # type: ignore[method-assign]  # dies before asking
+    harness.leader.autoscaler.rentals.send = lambda request: None  # type: ignore[method-assign]  # dies before asking
     rent(harness)
     assert len(harness.store.listing(REQUEST_PREFIX)[0]) == 1
     assert not harness.cloud.requests
     harness.new_leader(6)
-    for request in list(harness.leader.autoscaler.pending_requests.values()):
-        harness.leader.autoscaler.send_request(request)
+    for request in list(harness.leader.autoscaler.rentals.pending.values()):
+        harness.leader.autoscaler.rentals.send(request)
     rent(harness)  # what is booting counts
     assert len(harness.cloud.requests) == 1
     harness.write()
@@ -59,14 +60,14 @@
     with pytest.raises(CloudUnavailableError):
         rent(harness)
     harness.cloud.rent = real  # type: ignore[method-assign]
-    [pending] = harness.leader.autoscaler.pending_requests.values()
-    harness.leader.autoscaler.send_request(pending)
+    [pending] = harness.leader.autoscaler.rentals.pending.values()
+    harness.leader.autoscaler.rentals.send(pending)
     assert [request.id for request in harness.cloud.requests] == [pending.id]
 
 
 def test_nothing_is_rented_without_the_lease(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    rent_wish = harness.leader.autoscaler.pending_requests
+    rent_wish = harness.leader.autoscaler.rentals.pending
     harness.place()
     harness.later(3.1, renewed=False)
     harness.leader.autoscaler.scale_out()
@@ -94,7 +95,7 @@
 
     harness.cloud.release = refused  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
-        harness.leader.autoscaler.release([(machine, "idle")])
+        harness.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
     assert machine.usable()
 
 
@@ -117,7 +118,7 @@
     for shown in lists:
         host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
         harness.cloud.listed = [host] if shown else []
-        harness.leader.autoscaler.read_list()
+        harness.leader.autoscaler.inventory.read_page()
         if heard:
             harness.exchange(worker)
     assert (MachineId(worker.name) in harness.leader.term.cluster.machines) is known
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -14,8 +14,8 @@
 from ryewing.clients.machine_listing import LIST_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
-from ryewing.leader.autoscaler import RELEASED_NAMES_KEPT
 from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
+from ryewing.leader.machine_releaser import RELEASED_NAMES_KEPT
 from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
 from ryewing.state.machine import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
@@ -179,7 +179,7 @@
     fleet.lease_over()
     requests = 0
     while gone := leader.autoscaler.unhealthy_machines(harness.clock()):
-        leader.autoscaler.release(gone)
+        leader.autoscaler.releaser.release(gone)
         requests += 1
     assert requests == -(-len(lost) // RELEASE_MAX)
     assert set(map(str, harness.cloud.released)) == lost
@@ -206,8 +206,8 @@
     seconds = 60.0
     for _ in range(round(seconds / 0.5)):
         harness.clock.now += 0.5
-        if autoscaler.listing.due(harness.clock()):
-            autoscaler.read_list()
+        if autoscaler.inventory.listing.due(harness.clock()):
+            autoscaler.inventory.read_page()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
     assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -237,7 +237,9 @@
     harness.exchange(heard)
     harness.later(policy().silence_s + 1.0)
     harness.exchange(heard)
-    harness.leader.autoscaler.release(harness.leader.autoscaler.unhealthy_machines(harness.clock()))
+    harness.leader.autoscaler.releaser.release(
+        harness.leader.autoscaler.unhealthy_machines(harness.clock())
+    )
     assert harness.cloud.released == ["i-000001"]
     harness.place()
     assert harness.assignments("i-000002") == {"run-1/0": TaskPhase.PLANNED}
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -13,7 +13,7 @@
 
 from ryewing.clients.store import Put, RejectedError, StoreUnavailableError
 from ryewing.config.settings import SettingsError, load
-from ryewing.leader.autoscaler import REQUEST_PREFIX
+from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.state_writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, final_key, live_key
@@ -449,12 +449,12 @@
     """They were noted as known before the write: after an outage no follower learned them."""
     harness.store.down = True
     with pytest.raises(StoreUnavailableError):
-        harness.leader.autoscaler._read_machine_types()
+        harness.leader.autoscaler.machine_types.refresh()
     harness.store.down = False
-    harness.leader.autoscaler._read_machine_types()
+    harness.leader.autoscaler.machine_types.refresh()
     assert harness.store.get(catalogue.KEY) is not None
     before = harness.store.writes
-    harness.leader.autoscaler._read_machine_types()
+    harness.leader.autoscaler.machine_types.refresh()
     assert harness.store.writes == before
 
 
@@ -468,8 +468,8 @@
     )
     harness.ready(harness.worker(names[0]))
     harness.new_leader(6)
-    for request in list(harness.leader.autoscaler.pending_requests.values()):
-        harness.leader.autoscaler.send_request(request)
+    for request in list(harness.leader.autoscaler.rentals.pending.values()):
+        harness.leader.autoscaler.rentals.send(request)
     harness.write()
     said = as_production_reads(harness.store, MACHINE_PREFIX)[names[0]]
     assert [record["heard"] for record in said] == [True]
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -13,10 +13,11 @@
 from support.services import SERVICE, replicas, serve
 
 from ryewing import scheduling
-from ryewing.autoscaling.planning import CapacityBackoff, plan_scale_out
+from ryewing.autoscaling.capacity_backoff import CapacityBackoff
+from ryewing.autoscaling.scale_out import plan_scale_out
 from ryewing.clients.store import Put
 from ryewing.config.settings import Objective
-from ryewing.scheduling import queueing
+from ryewing.scheduling import Unplaced, queueing
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.job_records import final_key
 from ryewing.state.machine import RAN_FOR_A_WHILE_S
@@ -267,7 +268,7 @@
     tasks: int, spread: bool, expected: int
 ) -> None:
     """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
-    short = [(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
+    short = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
     found = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert sum(plan.count for plan in found) == expected
     assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
@@ -277,7 +278,7 @@
     one = job(**{**SERVICE, "task_count": 4, "spread": True})
     one.zones[Zone("a")] = 2
     one.live = dict.fromkeys((0, 1), MachineId("i-1"))
-    [plan] = plan_scale_out([(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    [plan] = plan_scale_out([Unplaced(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
 
@@ -321,7 +322,9 @@
         harness.exchange(rest)
         harness.place()
         assert lost in replicas(harness, name).values()
-    harness.leader.autoscaler.release(harness.leader.autoscaler.unhealthy_machines(harness.clock()))
+    harness.leader.autoscaler.releaser.release(
+        harness.leader.autoscaler.unhealthy_machines(harness.clock())
+    )
     assert harness.cloud.released == [lost]
     harness.exchange(rest)
     harness.place()
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -12,6 +12,7 @@
 
 from ryewing import scheduling
 from ryewing.api.api import MAX_STORE_READS_IN_FLIGHT, MAX_SUBMISSIONS_IN_FLIGHT
+from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.cloud import RELEASE_MAX
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
@@ -295,7 +296,9 @@
     """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
     harness.ready_workers(250)
     machines = list(harness.leader.term.cluster.machines.values())
-    harness.leader.autoscaler.release([(machine, "silent") for machine in machines])
+    harness.leader.autoscaler.releaser.release(
+        [Release(machine, ReleaseReason.SILENT) for machine in machines]
+    )
     assert len(harness.cloud.released) == RELEASE_MAX
     assert len(harness.leader.term.cluster.machines) == 250 - RELEASE_MAX
     assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -10,6 +10,7 @@
 from support.fakes import CPU, GPU, job_spec
 from support.harness import LeaderHarness, starts
 
+from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.machine_listing import LIST_SHARE
 from ryewing.clients.peers import ShardLoadAnswer
 from ryewing.clients.store import Put, TxnResult
@@ -47,7 +48,7 @@
         ListedMachine("i-000003", "c32", "a", "running"),
         ListedMachine("i-000004", "c32", "b", "failed"),
     ]
-    east.leader.autoscaler.read_list()
+    east.leader.autoscaler.inventory.read_page()
     assert sorted(east.leader.term.cluster.machines) == ["i-000001", "i-000003"]
     assert not east.cloud.released
 
@@ -81,8 +82,8 @@
     assert starts(east.exchange(worker)) == []
     assert east.leader.on_heartbeat(worker.heartbeat()) is not None
     machine = east.leader.term.cluster.machines[next(iter(east.leader.term.cluster.machines))]
-    east.leader.autoscaler.release([(machine, "idle")])
-    east.leader.autoscaler.pending_requests.clear()
+    east.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
+    east.leader.autoscaler.rentals.pending.clear()
     assert not east.cloud.released
     assert not east.leader.term.may_begin()
     east.leader.term.sealed = False
@@ -118,8 +119,8 @@
     assert sum(shares) == pytest.approx(1.0)
     rates = {
         "writes": (leader.writer._bucket.rate, 0.65 * params.state.write_rps),
-        "cloud": (autoscaler.cloud.bucket.rate, 0.8 * params.cloud.rps),
-        "list": (leader.autoscaler.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
+        "cloud": (autoscaler.rentals.cloud.bucket.rate, 0.8 * params.cloud.rps),
+        "list": (leader.autoscaler.inventory.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
             leader.early_heartbeats.bucket.rate,
             60.0 * params.resources.core_share,
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -13,6 +13,7 @@
 from support.fakes import FakeWorker, policy, settings
 from support.harness import LeaderHarness, starts, verbs
 
+from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.http_client import Reply
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.election.leadership import campaign, may_campaign, read_election_record
@@ -357,15 +358,15 @@
         assert answer is not None
         assert not starts(answer.commands)
     elif act == "rent":
-        leader.autoscaler.send_request(RentalRequest("r-5-9", "c32", "a", False, 1))
+        leader.autoscaler.rentals.send(RentalRequest("r-5-9", "c32", "a", False, 1))
         assert not harness.cloud.requests
     elif act == "repeat":
-        leader.autoscaler.pending_requests["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
-        leader.autoscaler.send_request(leader.autoscaler.pending_requests["r-4-1"])
+        leader.autoscaler.rentals.pending["r-4-1"] = RentalRequest("r-4-1", "c32", "a", False, 1)
+        leader.autoscaler.rentals.send(leader.autoscaler.rentals.pending["r-4-1"])
         assert not harness.cloud.requests
-        assert "r-4-1" in leader.autoscaler.pending_requests
+        assert "r-4-1" in leader.autoscaler.rentals.pending
     elif act == "release":
-        leader.autoscaler.release([(machine, "idle")])
+        leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
         assert not harness.cloud.released
         assert not machine.being_released
     elif act == "tell":
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -37,6 +37,7 @@
 from ryewing.wire.jobs import GANG, JobSpec
 from ryewing.wire.workers import Heartbeat
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
+from support.harness import use_cloud
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
 from support.timed_workers import NAMES, STEP_S, DirectLink, TimedWorker
@@ -217,7 +218,7 @@
             return
         leader = elector.leader
         if leader is not None:
-            leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
+            use_cloud(leader, self.cloud)
             leader.writer._bucket = self._bucket(leader.writer._bucket)
             early = self._bucket(leader.early_heartbeats.bucket)
             leader.early_heartbeats.bucket = early
@@ -240,7 +241,7 @@
         def give_up() -> None:
             gone = leader.autoscaler.unhealthy_machines(self.clock())
             if gone and leader.term.may_begin():
-                leader.autoscaler.release(gone)
+                leader.autoscaler.releaser.release(gone)
 
         return give_up
 
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -28,6 +28,13 @@
 )
 
 
+def use_cloud(leader: Leader, cloud: Any) -> None:
+    """Give all parts of a leader that make requests to the cloud a fake of it."""
+    autoscaler = leader.autoscaler
+    autoscaler.rentals.cloud = autoscaler.releaser.cloud = cloud
+    autoscaler.inventory.listing.cloud = autoscaler.machine_types.cloud = cloud
+
+
 class DirectWorkers:
     """Direct commands to fake workers."""
 
@@ -80,7 +87,7 @@
             self.scope,
         )
         leader = Leader(term_context, self.finals.__setitem__, image_locality)
-        leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
+        use_cloud(leader, self.cloud)
         leader.direct_messages.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
         leader.term.set_machine_types(self.cloud.machine_types())
         leader.direct_messages.schedule = lambda machine: None  # type: ignore[method-assign]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -69,7 +69,7 @@
     harness.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHES))])
     harness.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
     leader = harness.new_leader(6)
-    assert leader.autoscaler.load_machine_types() == [CPU, GPU]
+    assert leader.autoscaler.machine_types.load_stored() == [CPU, GPU]
     gang = leader.term.job_table.jobs[JobId("run-000412")]
     assert gang.is_gang
     assert gang.spec.same_zone
@@ -87,7 +87,7 @@
     assert not other.recorded
     assert other.spot
     assert other.zone == "b"
-    assert leader.autoscaler.pending_requests["r-3-1"] == RentalRequest(
+    assert leader.autoscaler.rentals.pending["r-3-1"] == RentalRequest(
         "r-3-1", "c32", "a", True, 12
     )
 
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -19,7 +19,7 @@
 from support.fakes import Clock, FakeWorker, settings
 from support.harness import LeaderHarness
 
-from ryewing.autoscaling import planning
+from ryewing.autoscaling.scale_in import scale_in_candidates
 from ryewing.units import WallTime
 
 REPEATS = 7
@@ -129,7 +129,7 @@
     sample.time_ms("cordon_ms", leader.autoscaler.cordon)
     sample.time_ms(
         "scale_in_ms",
-        lambda: planning.scale_in_candidates(
+        lambda: scale_in_candidates(
             cluster.machines.values(), leader.scheduler.unplaced, leader.term.policy, clock()
         ),
     )
