--- a/src/ryewing/leader/commands.py
+++ b/src/ryewing/leader/commands.py
@@ -1,14 +1,14 @@
-"""Composes the commands for one machine: halts, clears and, in heartbeat responses only, starts.
+"""The commands that may be repeated and may arrive late: halts and clears.
 
-Halts and clears may be repeated and may arrive late, so they are sent both in heartbeat responses
-and in direct messages. A start is sent once, in the response to a new heartbeat.
+They are sent both in heartbeat responses and in direct messages. Starts are composed elsewhere, in
+`heartbeats`, since they are sent once only, in the response to a new heartbeat.
 """
 
 from __future__ import annotations
 
 from ryewing.leader.term_context import TermContext
-from ryewing.state.machine import Machine, TaskPhase
-from ryewing.units import HeartbeatVersion, MonotonicTime
+from ryewing.state.machine import Machine
+from ryewing.units import MonotonicTime
 from ryewing.wire.workers import Command
 
 MAX_COMMANDS = 500
@@ -28,27 +28,10 @@
 
 
 def repeatable_commands(term: TermContext, machine: Machine, now: MonotonicTime) -> list[Command]:
-    """Return the commands that may be repeated and may arrive late: halts and clears.
+    """Return the machine's halts and clears, at most `MAX_COMMANDS`.
 
     Halts come first: clearing an ended task can wait, halting a cancelled one can't.
     """
     return [*term.terminations.commands(machine.id, now), *clear_commands(term, machine)][
         :MAX_COMMANDS
     ]
-
-
-def add_starts(
-    term: TermContext, machine: Machine, version: HeartbeatVersion, commands: list[Command]
-) -> None:
-    """Append a start for each task planned on the machine, and mark those tasks as sent.
-
-    `version` is that of the heartbeat that is being answered.
-    """
-    for assignment in machine.assignments.values():
-        if assignment.phase != TaskPhase.PLANNED or len(commands) >= MAX_COMMANDS:
-            continue
-        if assignment.job is None or assignment.job.cancelled:
-            continue
-        assignment.phase = TaskPhase.SENT
-        assignment.sent_after = version
-        commands.append(Command("start", str(assignment.task), int(assignment.attempt)))
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -8,11 +8,11 @@
 
 import logging
 
-from ryewing.leader.commands import add_starts, repeatable_commands
+from ryewing.leader.commands import MAX_COMMANDS, repeatable_commands
 from ryewing.leader.heartbeat_effects import HeartbeatEffects
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.state.machine import Machine
+from ryewing.state.machine import Machine, TaskPhase
 from ryewing.units import (
     HeartbeatVersion,
     MachineId,
@@ -115,12 +115,23 @@
     def _compose(
         self, machine: Machine, heartbeat: Heartbeat, fresh: bool, now: MonotonicTime
     ) -> list[Command]:
-        """Return the response's commands; starts only to a usable machine's new heartbeat."""
+        """Return the response's commands; mark the tasks whose starts are among them as sent.
+
+        Starts go only to a machine that is recorded, acknowledges its token and is not leaving, in
+        the response to a new heartbeat, while the lease is valid.
+        """
         commands = repeatable_commands(self._term, machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
         if machine.notice_s is not None or machine.being_released or not self._term.may_begin():
             return commands
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
-        add_starts(self._term, machine, version, commands)
+        for assignment in machine.assignments.values():
+            if assignment.phase != TaskPhase.PLANNED or len(commands) >= MAX_COMMANDS:
+                continue
+            if assignment.job is None or assignment.job.cancelled:
+                continue
+            assignment.phase = TaskPhase.SENT
+            assignment.sent_after = version
+            commands.append(Command("start", str(assignment.task), int(assignment.attempt)))
         return commands
