--- a/tests/autoscaling/test_planning.py
+++ b/tests/autoscaling/test_scaling.py
@@ -1,4 +1,4 @@
-"""Which machines to rent and to return."""
+"""Which machines to rent, to release and to ask for again later."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 def test_renting_counts_what_is_booting() -> None:
     world = World()
     booting = [world.machine("i-1")]
-    short = [Unplaced(job(task_count=8), 8)]
-    assert plan_scale_out(short, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
-    [plan] = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    unplaced = [Unplaced(job(task_count=8), 8)]
+    assert plan_scale_out(unplaced, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
+    [plan] = plan_scale_out(unplaced, [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.count == 1
-    assert plan.options[0][0] == "c32"
+    assert plan.options[0].machine_type == "c32"
 
 
 def test_spot_machines_only_for_jobs_that_may() -> None:
-    assert all(not o[2] for o in options_for(job(), FLAVOURS, CapacityBackoff(), T0))
-    assert options_for(job(spot=True), FLAVOURS, CapacityBackoff(), T0)[0][2]
+    assert all(not option.spot for option in options_for(job(), FLAVOURS, CapacityBackoff(), T0))
+    assert options_for(job(spot=True), FLAVOURS, CapacityBackoff(), T0)[0].spot
 
 
 def test_no_capacity_turns_to_the_next_option_and_back() -> None:
@@ -53,6 +53,6 @@
     machine.heard_at = T0
     if assignments:
         world.put(world.job("run-9"), machine, 1)
-    short = [Unplaced(job(), 1)] if waiting else []
-    chosen = scale_in_candidates([machine], short, policy(), MonotonicTime(T0 + idle_s))
+    unplaced = [Unplaced(job(), 1)] if waiting else []
+    chosen = scale_in_candidates([machine], unplaced, policy(), MonotonicTime(T0 + idle_s))
     assert (chosen == [machine]) is returned
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""Renting and returning machines, and those that fall silent."""
+"""Renting and releasing machines, probing silent ones, and a leader cut from its workers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 
 def rent(harness: LeaderHarness) -> None:
+    """Run a scheduling cycle, then rent for what found no room."""
     harness.place()
     harness.leader.autoscaler.scale_out()
 
 
-def test_a_successor_repeats_a_recorded_wish_under_its_name(harness: LeaderHarness) -> None:
+def test_a_successor_repeats_a_recorded_request_under_its_id(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
     harness.leader.autoscaler.rentals.send = lambda request: None  # type: ignore[method-assign]  # dies before asking
     rent(harness)
@@ -40,20 +41,20 @@
     assert len(harness.store.listing(MACHINE_PREFIX)[0]) == 1
 
 
-def test_names_of_requests_differ_between_terms(harness: LeaderHarness) -> None:
+def test_ids_of_requests_differ_between_terms(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
     rent(harness)
     harness.new_leader(6)
     harness.accept("run-2", task_count=50)
     rent(harness)
-    names = [request.id for request in harness.cloud.requests]
-    assert len(names) == len(set(names)) >= 2
+    ids = [request.id for request in harness.cloud.requests]
+    assert len(ids) == len(set(ids)) >= 2
 
 
 def test_an_unanswered_request_is_repeated_not_renewed(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
 
-    def no_answer(_hire: Any) -> Any:
+    def no_answer(_request: Any) -> Any:
         raise CloudUnavailableError("timeout")
 
     real, harness.cloud.rent = harness.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
@@ -67,16 +68,16 @@
 
 def test_nothing_is_rented_without_the_lease(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    rent_wish = harness.leader.autoscaler.rentals.pending
+    pending = harness.leader.autoscaler.rentals.pending
     harness.place()
     harness.later(3.1, renewed=False)
     harness.leader.autoscaler.scale_out()
     assert not harness.cloud.requests
-    assert len(rent_wish) == 1  # recorded, to be asked for once the lease is confirmed
+    assert len(pending) == 1  # recorded, to be asked for once the lease is confirmed
 
 
 def test_a_booting_machine_keeps_a_successor_from_nothing(harness: LeaderHarness) -> None:
-    """Found on a rolling restart: each new leader waited for machines that had never reported."""
+    """Found on a rolling restart: each new leader waited for machines never heard."""
     harness.accept(task_count=8)
     rent(harness)
     harness.write()
@@ -110,7 +111,7 @@
         ([True, False, False, True], False, True),
     ],
 )
-def test_what_a_predecessor_returned_is_not_waited_for(
+def test_what_a_predecessor_released_is_not_waited_for(
     harness: LeaderHarness, lists: list[bool], heard: bool, known: bool
 ) -> None:
     """Lists are old: a new leader took up machines that were gone, and counted them as booting."""
@@ -128,16 +129,16 @@
     assert bool(harness.cloud.requests) is not known
 
 
-@pytest.mark.parametrize(("machines", "silent", "given_up"), [(9, 2, 2), (9, 6, 0)])
+@pytest.mark.parametrize(("machines", "silent", "released"), [(9, 2, 2), (9, 6, 0)])
 def test_silent_machines_are_released_unless_they_are_many(
-    harness: LeaderHarness, machines: int, silent: int, given_up: int
+    harness: LeaderHarness, machines: int, silent: int, released: int
 ) -> None:
     """Many silent at once may mean that the fault is here: nothing is released in haste."""
     workers = harness.ready_workers(machines)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == given_up
+    assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == released
     harness.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
         harness.exchange(worker)
@@ -145,10 +146,10 @@
     assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == silent
 
 
-def test_machines_of_an_earlier_term_are_given_up_once_their_lease_is_over(
+def test_machines_of_an_earlier_term_are_released_once_their_lease_has_expired(
     harness: LeaderHarness,
 ) -> None:
-    """Found in inc-08d3: those never heard since a take-over were waited for like booting ones."""
+    """Found in inc-08d3: those not heard since a failover were waited for like booting ones."""
     workers = harness.ready_workers(6)
     harness.new_leader(6)
     for worker in workers[4:] * 2:
@@ -175,26 +176,26 @@
     assert harness.leader.autoscaler.unhealthy_machines(harness.clock()) == []
 
 
-def noted_messages(harness: LeaderHarness) -> list[MachineId]:
-    """Let direct messages wait in line as they do, and note to which machines they go."""
+def record_messages(harness: LeaderHarness) -> list[MachineId]:
+    """Let direct messages queue as in production, and record to which machines they are sent."""
     del harness.leader.direct_messages.schedule
-    asked: list[MachineId] = []
-    harness.leader.direct_messages.send = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
-    return asked
+    contacted: list[MachineId] = []
+    harness.leader.direct_messages.send = lambda machine: contacted.append(machine.id)  # type: ignore[method-assign]
+    return contacted
 
 
-def test_asking_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
+def test_probing_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
     """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
     harness.ready_workers(100)
     direct_messages = harness.leader.direct_messages
-    asked = noted_messages(harness)
+    contacted = record_messages(harness)
     harness.later(policy().silence_s)
     direct_messages.probe(harness.clock())
     direct_messages.probe(harness.clock())
-    assert not asked  # nothing was done while the machines were gone through
+    assert not contacted  # nothing was sent during the loop over the machines
     assert len(direct_messages.senders) == MAX_SENDS_IN_FLIGHT
     direct_messages.senders.join()
-    assert sorted(asked) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
+    assert sorted(contacted) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
 
 
 def test_tasks_to_stop_do_not_wait_behind_silent_machines(harness: LeaderHarness) -> None:
@@ -205,22 +206,22 @@
     for worker in workers:
         harness.exchange(worker)
     direct_messages = harness.leader.direct_messages
-    asked = noted_messages(harness)
+    contacted = record_messages(harness)
     harness.later(policy().silence_s)
     direct_messages.probe(harness.clock())
     [machine] = [m for m in harness.leader.term.cluster.machines.values() if m.assignments]
     harness.leader.apply_cancel(JobId("run-1"))
     assert machine.id not in direct_messages.other_queue
     direct_messages.senders.join()
-    assert asked[0] == machine.id
-    assert len(asked) == 100
+    assert contacted[0] == machine.id
+    assert len(contacted) == 100
 
 
-def test_neither_line_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
+def test_neither_queue_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
     """Stops are sent again each second: to silent machines they would have kept all senders."""
     harness.ready_workers(100)
     direct_messages = harness.leader.direct_messages
-    asked = noted_messages(harness)
+    contacted = record_messages(harness)
     machines = list(harness.leader.term.cluster.machines.values())
     stopping = {machine.id for machine in machines[:60]}
     for name in sorted(stopping):
@@ -231,8 +232,8 @@
     for machine in machines:
         direct_messages.schedule(machine)
     direct_messages.senders.join()
-    assert len(asked) == len(set(asked)) == 100
-    assert [name in stopping for name in asked[:80]] == [True, False] * 40
+    assert len(contacted) == len(set(contacted)) == 100
+    assert [name in stopping for name in contacted[:80]] == [True, False] * 40
 
 
 @pytest.mark.parametrize(("silent", "cut"), [(2, False), (6, False), (7, True), (9, True)])
@@ -260,7 +261,7 @@
     harness.leader.run_maintenance()
 
 
-def test_a_cut_leader_resigns_once_a_report_and_a_direct_question_were_missed(
+def test_a_cut_leader_resigns_once_a_heartbeat_and_a_probe_were_missed(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Measured on days with such a cut: 7.1 s from the cut to the resignation."""
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -1,6 +1,6 @@
-"""Troubles that came with the grown deployments: who hears, what is old, who is back.
+"""Faults seen in large deployments: lost responses, old copies of messages, restarts, stand-stills.
 
-Each row fails without the guard that it names.
+Each test fails without the guard that it names.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def unanswered(harness: LeaderHarness, worker: FakeWorker) -> None:
-    """A heartbeat that arrives, and an answer that doesn't."""
+    """Deliver a heartbeat whose response is lost."""
     harness.leader.on_heartbeat(worker.heartbeat())
 
 
@@ -43,13 +43,13 @@
     return given
 
 
-def test_a_machine_that_does_not_hear_gets_no_more_work(harness: LeaderHarness) -> None:
+def test_a_machine_that_does_not_acknowledge_gets_no_more_work(harness: LeaderHarness) -> None:
     """Heartbeats arrive, answers don't: it was refilled after every heartbeat, for ever."""
-    deaf = harness.ready_worker()
+    suspect = harness.ready_worker()
     harness.accept(task_count=4)
-    assert placed_in_rounds(harness, deaf, 12) == 1
+    assert placed_in_rounds(harness, suspect, 12) == 1
     assert harness.assignments() == {}
-    machine = harness.leader.term.cluster.machines[MachineId(deaf.name)]
+    machine = harness.leader.term.cluster.machines[MachineId(suspect.name)]
     assert not machine.usable()
     assert machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
@@ -57,29 +57,31 @@
     harness.leader.autoscaler.scale_out()
     assert len(harness.cloud.requests) == 1
     # Once it is seen to hear, by a message that shows the new token, it gets work again.
-    harness.exchange(deaf)
-    harness.exchange(deaf)
+    harness.exchange(suspect)
+    harness.exchange(suspect)
     harness.place()
-    assert len(starts(harness.exchange(deaf))) == 4
+    assert len(starts(harness.exchange(suspect))) == 4
 
 
-def test_a_session_that_rises_although_it_was_answered_casts_doubt(harness: LeaderHarness) -> None:
-    deaf = harness.ready_worker()
-    deaf.incarnation += 1
+def test_an_incarnation_that_rises_although_it_was_answered_is_suspect(
+    harness: LeaderHarness,
+) -> None:
+    suspect = harness.ready_worker()
+    suspect.incarnation += 1
     harness.accept(task_count=1)
-    unanswered(harness, deaf)
+    unanswered(harness, suspect)
     harness.place()
     assert harness.assignments() == {}
-    harness.exchange(deaf)  # it hears this
-    harness.exchange(deaf)  # and shows it
+    harness.exchange(suspect)  # it hears this
+    harness.exchange(suspect)  # and shows it
     harness.place()
-    assert len(starts(harness.exchange(deaf))) == 1
+    assert len(starts(harness.exchange(suspect))) == 1
 
 
 def test_a_machine_that_never_shook_hands_is_not_counted_as_booting(harness: LeaderHarness) -> None:
-    deaf = harness.worker()
+    suspect = harness.worker()
     for _ in range(3):
-        unanswered(harness, deaf)
+        unanswered(harness, suspect)
         harness.write()
         harness.later(policy().gather_s / 2)
     harness.accept(task_count=8)
@@ -88,9 +90,9 @@
     assert len(harness.cloud.requests) == 1
 
 
-@pytest.mark.parametrize(("deaf", "given_up"), [(1, 1), (2, 2), (6, 0)])
-def test_machines_that_do_not_hear_for_long_are_returned_unless_many(
-    harness: LeaderHarness, deaf: int, given_up: int
+@pytest.mark.parametrize(("unacknowledging", "released"), [(1, 1), (2, 2), (6, 0)])
+def test_unacknowledging_machines_are_released_unless_many(
+    harness: LeaderHarness, unacknowledging: int, released: int
 ) -> None:
     """Many at once may mean that it is our answers that are lost."""
     workers = harness.ready_workers(9)
@@ -99,18 +101,18 @@
     for _ in range(int(LEASE_S / REPORT_S) + 4):
         harness.later(REPORT_S)
         for number, worker in enumerate(workers):
-            if number < deaf:
+            if number < unacknowledging:
                 unanswered(harness, worker)
             else:
                 harness.exchange(worker)
     chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
-    assert [reason for _machine, reason in chosen] == ["unacknowledging"] * given_up
+    assert [reason for _machine, reason in chosen] == ["unacknowledging"] * released
 
 
 @pytest.mark.parametrize("age_s", [1.0, 5.0, LEASE_S + 1.0, 3 * LEASE_S])
 @pytest.mark.parametrize("alive", [True, False])
 @pytest.mark.parametrize("copies", ["older", "newest"])
-def test_copies_of_reports_prove_nothing_to_the_same_leader(
+def test_copies_of_heartbeats_prove_nothing_to_the_same_leader(
     harness: LeaderHarness, age_s: float, alive: bool, copies: str
 ) -> None:
     """Late copies must not renew, settle, or bring back what is gone."""
@@ -144,7 +146,7 @@
     assert machine.handshaken
 
 
-def test_a_held_back_report_newer_than_any_does_not_bring_back_a_machine(
+def test_a_held_back_heartbeat_newer_than_any_does_not_bring_back_a_machine(
     harness: LeaderHarness,
 ) -> None:
     """The last heartbeat of a machine that is gone, delivered well after its lease."""
@@ -255,7 +257,7 @@
     assert list(harness.assignments().values()) == [TaskPhase.PLANNED, TaskPhase.PLANNED]
 
 
-def test_a_direct_answer_overtaken_by_a_report_is_no_restart(harness: LeaderHarness) -> None:
+def test_a_direct_answer_overtaken_by_a_heartbeat_is_no_restart(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.begin(worker, task_count=2)
     harness.exchange(worker)
@@ -278,7 +280,7 @@
     ("cut_s", "starts_work", "answers"),
     [(1.0, True, True), (3.5, False, True), (16.0, False, True), (18.0, False, False)],
 )
-def test_a_controller_with_workers_only_loses_its_authority_in_two_steps(
+def test_a_controller_that_reaches_workers_only_loses_its_rights_in_two_steps(
     harness: LeaderHarness, cut_s: float, starts_work: bool, answers: bool
 ) -> None:
     """Without store and peers: no starts after its lease, no answers after the hold."""
@@ -460,7 +462,7 @@
     assert harness.finals == {name: "cancelled" if cancelled else "done"}
 
 
-def test_a_report_that_comes_after_the_end_leaves_nothing_to_write(harness: LeaderHarness) -> None:
+def test_a_heartbeat_after_the_final_state_leaves_nothing_to_write(harness: LeaderHarness) -> None:
     """The other machine of the two is found empty when the job is gone: the term ended by that."""
     was, runs = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(was, runs)
