--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -51,11 +51,11 @@
     """
 
     def __init__(
-        self, term: TermContext, on_news: Callable[[Machine, MonotonicTime], None]
+        self, term: TermContext, on_newer_heartbeat: Callable[[Machine, MonotonicTime], None]
     ) -> None:
-        """Take what to call when a worker's answer changes what is known of its machine."""
+        """Take what to call when a worker's answer holds a newer heartbeat than was known."""
         self._term = term
-        self._on_news = on_news
+        self._on_newer_heartbeat = on_newer_heartbeat
         sockets = int(term.scope.share * term.settings.params.resources.fd_limit)
         self.workers = Workers(sockets)
         self.senders = Group()
@@ -138,7 +138,7 @@
         if HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence) < known_version:
             self._term.cluster.restarted(machine, now)
         if self._term.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=False):
-            self._on_news(machine, now)
+            self._on_newer_heartbeat(machine, now)
 
     def probe(self, now: MonotonicTime) -> None:
         """Queue a message to machines whose heartbeat is late or that this term has not heard.
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -60,7 +60,7 @@
         self._image_locality = image_locality
         self.term = term
         self.writer = StateWriter(self.term, on_final, self._on_record)
-        self.direct_messages = DirectMessages(self.term, self._on_news)
+        self.direct_messages = DirectMessages(self.term, self._on_newer_heartbeat)
         self.terminator = TaskTerminator(self.term, self.direct_messages)
         self.heartbeat_effects = HeartbeatEffects(self.term, self.terminator)
         self.heartbeats = HeartbeatHandler(self.term, self.writer, self.heartbeat_effects)
@@ -117,7 +117,7 @@
     def _on_record(self, key: str, data: msgspec.Raw, key_version: KeyVersion) -> None:
         self.job_watcher.apply_record(key, data, key_version)
 
-    def _on_news(self, machine: Machine, now: MonotonicTime) -> None:
+    def _on_newer_heartbeat(self, machine: Machine, now: MonotonicTime) -> None:
         self.heartbeat_effects.apply(machine, now)
 
     # -- life -------------------------------------------------------------------------------
