--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""Renting and returning machines, and those that fall silent."""
+"""Renting and releasing machines, probing silent ones, and a leader cut from its workers."""
 
 from __future__ import annotations
 
@@ -8,30 +8,32 @@
 from support.fakes import policy, settings
 from support.harness import LeaderHarness
 
+from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.cloud import CloudUnavailableError
-from ryewing.leader.autoscaler import REQUEST_PREFIX
+from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.leader.leader import CUT, CUT_PROBE_S
+from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.state_writer import MACHINE_PREFIX
-from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
 
 
 def rent(harness: LeaderHarness) -> None:
+    """Run a scheduling cycle, then rent for what found no room."""
     harness.place()
     harness.leader.autoscaler.scale_out()
 
 
-def test_a_successor_repeats_a_recorded_wish_under_its_name(harness: LeaderHarness) -> None:
+def test_a_successor_repeats_a_recorded_request_under_its_id(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    harness.leader.autoscaler.send_request = lambda request: None  # type: ignore[method-assign]  # dies before asking
+    harness.leader.autoscaler.rentals.send = lambda request: None  # type: ignore[method-assign]  # dies before asking
     rent(harness)
     assert len(harness.store.listing(REQUEST_PREFIX)[0]) == 1
     assert not harness.cloud.requests
     harness.new_leader(6)
-    for request in list(harness.leader.autoscaler.pending_requests.values()):
-        harness.leader.autoscaler.send_request(request)
+    for request in list(harness.leader.autoscaler.rentals.pending.values()):
+        harness.leader.autoscaler.rentals.send(request)
     rent(harness)  # what is booting counts
     assert len(harness.cloud.requests) == 1
     harness.write()
@@ -39,43 +41,43 @@
     assert len(harness.store.listing(MACHINE_PREFIX)[0]) == 1
 
 
-def test_names_of_requests_differ_between_terms(harness: LeaderHarness) -> None:
+def test_ids_of_requests_differ_between_terms(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
     rent(harness)
     harness.new_leader(6)
     harness.accept("run-2", task_count=50)
     rent(harness)
-    names = [request.id for request in harness.cloud.requests]
-    assert len(names) == len(set(names)) >= 2
+    ids = [request.id for request in harness.cloud.requests]
+    assert len(ids) == len(set(ids)) >= 2
 
 
 def test_an_unanswered_request_is_repeated_not_renewed(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
 
-    def no_answer(_hire: Any) -> Any:
+    def no_answer(_request: Any) -> Any:
         raise CloudUnavailableError("timeout")
 
     real, harness.cloud.rent = harness.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
         rent(harness)
     harness.cloud.rent = real  # type: ignore[method-assign]
-    [pending] = harness.leader.autoscaler.pending_requests.values()
-    harness.leader.autoscaler.send_request(pending)
+    [pending] = harness.leader.autoscaler.rentals.pending.values()
+    harness.leader.autoscaler.rentals.send(pending)
     assert [request.id for request in harness.cloud.requests] == [pending.id]
 
 
 def test_nothing_is_rented_without_the_lease(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    rent_wish = harness.leader.autoscaler.pending_requests
+    pending = harness.leader.autoscaler.rentals.pending
     harness.place()
     harness.later(3.1, renewed=False)
     harness.leader.autoscaler.scale_out()
     assert not harness.cloud.requests
-    assert len(rent_wish) == 1  # recorded, to be asked for once the lease is confirmed
+    assert len(pending) == 1  # recorded, to be asked for once the lease is confirmed
 
 
 def test_a_booting_machine_keeps_a_successor_from_nothing(harness: LeaderHarness) -> None:
-    """Found on a rolling restart: each new leader waited for machines that had never reported."""
+    """Found on a rolling restart: each new leader waited for machines never heard."""
     harness.accept(task_count=8)
     rent(harness)
     harness.write()
@@ -94,7 +96,7 @@
 
     harness.cloud.release = refused  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
-        harness.leader.autoscaler.release([(machine, "idle")])
+        harness.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
     assert machine.usable()
 
 
@@ -109,7 +111,7 @@
         ([True, False, False, True], False, True),
     ],
 )
-def test_what_a_predecessor_returned_is_not_waited_for(
+def test_what_a_predecessor_released_is_not_waited_for(
     harness: LeaderHarness, lists: list[bool], heard: bool, known: bool
 ) -> None:
     """Lists are old: a new leader took up machines that were gone, and counted them as booting."""
@@ -117,7 +119,7 @@
     for shown in lists:
         host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
         harness.cloud.listed = [host] if shown else []
-        harness.leader.autoscaler.read_list()
+        harness.leader.autoscaler.inventory.read_page()
         if heard:
             harness.exchange(worker)
     assert (MachineId(worker.name) in harness.leader.term.cluster.machines) is known
@@ -127,16 +129,16 @@
     assert bool(harness.cloud.requests) is not known
 
 
-@pytest.mark.parametrize(("machines", "silent", "given_up"), [(9, 2, 2), (9, 6, 0)])
+@pytest.mark.parametrize(("machines", "silent", "released"), [(9, 2, 2), (9, 6, 0)])
 def test_silent_machines_are_released_unless_they_are_many(
-    harness: LeaderHarness, machines: int, silent: int, given_up: int
+    harness: LeaderHarness, machines: int, silent: int, released: int
 ) -> None:
     """Many silent at once may mean that the fault is here: nothing is released in haste."""
     workers = harness.ready_workers(machines)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == given_up
+    assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == released
     harness.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
         harness.exchange(worker)
@@ -144,10 +146,10 @@
     assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == silent
 
 
-def test_machines_of_an_earlier_term_are_given_up_once_their_lease_is_over(
+def test_machines_of_an_earlier_term_are_released_once_their_lease_has_expired(
     harness: LeaderHarness,
 ) -> None:
-    """Found in inc-08d3: those never heard since a take-over were waited for like booting ones."""
+    """Found in inc-08d3: those not heard since a failover were waited for like booting ones."""
     workers = harness.ready_workers(6)
     harness.new_leader(6)
     for worker in workers[4:] * 2:
@@ -174,26 +176,26 @@
     assert harness.leader.autoscaler.unhealthy_machines(harness.clock()) == []
 
 
-def noted_messages(harness: LeaderHarness) -> list[MachineId]:
-    """Let direct messages wait in line as they do, and note to which machines they go."""
-    del harness.leader.worker_commands.schedule_direct_message
-    asked: list[MachineId] = []
-    harness.leader.worker_commands.send = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
-    return asked
+def record_messages(harness: LeaderHarness) -> list[MachineId]:
+    """Let direct messages queue as in production, and record to which machines they are sent."""
+    del harness.leader.direct_messages.schedule
+    contacted: list[MachineId] = []
+    harness.leader.direct_messages.send = lambda machine: contacted.append(machine.id)  # type: ignore[method-assign]
+    return contacted
 
 
-def test_asking_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
+def test_probing_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
     """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
     harness.ready_workers(100)
-    worker_commands = harness.leader.worker_commands
-    asked = noted_messages(harness)
+    direct_messages = harness.leader.direct_messages
+    contacted = record_messages(harness)
     harness.later(policy().silence_s)
-    worker_commands.probe(harness.clock())
-    worker_commands.probe(harness.clock())
-    assert not asked  # nothing was done while the machines were gone through
-    assert len(worker_commands._senders) == MAX_SENDS_IN_FLIGHT
-    worker_commands._senders.join()
-    assert sorted(asked) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
+    direct_messages.probe(harness.clock())
+    direct_messages.probe(harness.clock())
+    assert not contacted  # nothing was sent during the loop over the machines
+    assert len(direct_messages.senders) == MAX_SENDS_IN_FLIGHT
+    direct_messages.senders.join()
+    assert sorted(contacted) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
 
 
 def test_tasks_to_stop_do_not_wait_behind_silent_machines(harness: LeaderHarness) -> None:
@@ -203,23 +205,23 @@
     harness.place()
     for worker in workers:
         harness.exchange(worker)
-    worker_commands = harness.leader.worker_commands
-    asked = noted_messages(harness)
+    direct_messages = harness.leader.direct_messages
+    contacted = record_messages(harness)
     harness.later(policy().silence_s)
-    worker_commands.probe(harness.clock())
+    direct_messages.probe(harness.clock())
     [machine] = [m for m in harness.leader.term.cluster.machines.values() if m.assignments]
     harness.leader.apply_cancel(JobId("run-1"))
-    assert machine.id not in worker_commands._others_waiting
-    worker_commands._senders.join()
-    assert asked[0] == machine.id
-    assert len(asked) == 100
+    assert machine.id not in direct_messages.other_queue
+    direct_messages.senders.join()
+    assert contacted[0] == machine.id
+    assert len(contacted) == 100
 
 
-def test_neither_line_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
+def test_neither_queue_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
     """Stops are sent again each second: to silent machines they would have kept all senders."""
     harness.ready_workers(100)
-    worker_commands = harness.leader.worker_commands
-    asked = noted_messages(harness)
+    direct_messages = harness.leader.direct_messages
+    contacted = record_messages(harness)
     machines = list(harness.leader.term.cluster.machines.values())
     stopping = {machine.id for machine in machines[:60]}
     for name in sorted(stopping):
@@ -228,10 +230,10 @@
             name, task, Attempt(1), 0.0, TerminationReason.CANCELLED, harness.clock()
         )
     for machine in machines:
-        worker_commands.schedule_direct_message(machine)
-    worker_commands._senders.join()
-    assert len(asked) == len(set(asked)) == 100
-    assert [name in stopping for name in asked[:80]] == [True, False] * 40
+        direct_messages.schedule(machine)
+    direct_messages.senders.join()
+    assert len(contacted) == len(set(contacted)) == 100
+    assert [name in stopping for name in contacted[:80]] == [True, False] * 40
 
 
 @pytest.mark.parametrize(("silent", "cut"), [(2, False), (6, False), (7, True), (9, True)])
@@ -259,7 +261,7 @@
     harness.leader.run_maintenance()
 
 
-def test_a_cut_leader_resigns_once_a_report_and_a_direct_question_were_missed(
+def test_a_cut_leader_resigns_once_a_heartbeat_and_a_probe_were_missed(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Measured on days with such a cut: 7.1 s from the cut to the resignation."""
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -37,6 +37,7 @@
 from ryewing.wire.jobs import GANG, JobSpec
 from ryewing.wire.workers import Heartbeat
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
+from support.harness import use_cloud
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
 from support.timed_workers import NAMES, STEP_S, DirectLink, TimedWorker
@@ -185,7 +186,7 @@
             self.after_load()
         for machine in leader.term.cluster.machines.values():
             if machine.address:
-                leader.worker_commands.schedule_direct_message(machine)
+                leader.direct_messages.schedule(machine)
         return True
 
     def _writing(self, leader: Leader) -> Callable[[], None]:
@@ -217,13 +218,13 @@
             return
         leader = elector.leader
         if leader is not None:
-            leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
+            use_cloud(leader, self.cloud)
             leader.writer._bucket = self._bucket(leader.writer._bucket)
-            early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
-            leader.worker_commands._early_heartbeat_bucket = early
+            early = self._bucket(leader.early_heartbeats.bucket)
+            leader.early_heartbeats.bucket = early
             leader.scheduler._rng = random.Random(int(leader.term.number))
-            leader.worker_commands.workers = DirectLink(self, node.name)  # type: ignore[assignment]
-            leader.worker_commands.schedule_direct_message = leader.worker_commands.send  # type: ignore[method-assign]
+            leader.direct_messages.workers = DirectLink(self, node.name)  # type: ignore[assignment]
+            leader.direct_messages.schedule = leader.direct_messages.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
         """Give a token bucket that goes by the clock of the test: one verdict whatever the
@@ -240,7 +241,7 @@
         def give_up() -> None:
             gone = leader.autoscaler.unhealthy_machines(self.clock())
             if gone and leader.term.may_begin():
-                leader.autoscaler.release(gone)
+                leader.autoscaler.releaser.release(gone)
 
         return give_up
 
