--- /dev/null
+++ b/src/ryewing/clients/store/__init__.py
@@ -0,0 +1,35 @@
+"""The client of the store: the only place that outlives a controller.
+
+The package owns the requests to the consensus-backed key-value store: reads, compare-and-swap
+transactions, leases and watches. Importers take the names from here, not from the modules below.
+"""
+
+from __future__ import annotations
+
+from ryewing.clients.store.client import Store
+from ryewing.clients.store.decoding import decode_stored
+from ryewing.clients.store.errors import (
+    LeaseLostError,
+    RejectedError,
+    StoreError,
+    StoreUnavailableError,
+    ThrottledError,
+    WatchExpiredError,
+)
+from ryewing.clients.store.protocol import KeyValueStore, TxnResult
+from ryewing.wire.store import Put, Remove
+
+__all__ = [
+    "KeyValueStore",
+    "LeaseLostError",
+    "Put",
+    "RejectedError",
+    "Remove",
+    "Store",
+    "StoreError",
+    "StoreUnavailableError",
+    "ThrottledError",
+    "TxnResult",
+    "WatchExpiredError",
+    "decode_stored",
+]
--- a/src/ryewing/election/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from ryewing.clients.store import (
+    KeyValueStore,
     LeaseLostError,
     Put,
     StoreUnavailableError,
-    TermStore,
     ThrottledError,
     TxnResult,
     decode_stored,
@@ -117,7 +117,7 @@
     revision: Revision
 
 
-def read_election_record(store: TermStore) -> ElectionRecord:
+def read_election_record(store: KeyValueStore) -> ElectionRecord:
     """Read who leads."""
     entries, revision = store.listing(PREFIX)
     election = ElectionRecord(None, KeyVersion(0), TermNumber(0), KeyVersion(0), revision)
@@ -177,7 +177,7 @@
 
 
 def campaign(
-    store: TermStore,
+    store: KeyValueStore,
     election: ElectionRecord,
     node: NodeName,
     boot_id: str,
--- a/src/ryewing/leader/division.py
+++ b/src/ryewing/leader/division.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from ryewing.clients.peers import ShardLoadAnswer
-from ryewing.clients.store import Store, TermStore
+from ryewing.clients.store import KeyValueStore, Store
 from ryewing.leader.scope import WHOLE_FLEET, TermScope
 from ryewing.units import ShardName
 from ryewing.wire.cloud import MachineType
@@ -27,7 +27,7 @@
     def scopes(self) -> Sequence[TermScope]:
         """Give the terms' scopes."""
 
-    def store_for(self, scope: TermScope, store: Store) -> TermStore:
+    def store_for(self, scope: TermScope, store: Store) -> KeyValueStore:
         """Give the part of the store that a term keeps its records in."""
 
     def choose(
@@ -47,7 +47,7 @@
         """Give the one scope."""
         return [WHOLE_FLEET]
 
-    def store_for(self, _scope: TermScope, store: Store) -> TermStore:
+    def store_for(self, _scope: TermScope, store: Store) -> KeyValueStore:
         """Give the store itself."""
         return store
 
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -12,7 +12,7 @@
 
 from gevent.event import Event
 
-from ryewing.clients.store import TermStore
+from ryewing.clients.store import KeyValueStore
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings, Team
 from ryewing.election.leadership import Leadership
@@ -49,7 +49,7 @@
         self,
         settings: Settings,
         policy: Policy,
-        store: TermStore,
+        store: KeyValueStore,
         leadership: Leadership,
         on_lost: Callable[[str], None],
         on_machine_types: Callable[[list[MachineType]], None],
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -23,7 +23,12 @@
     Response,
     ShardLoadAnswer,
 )
-from ryewing.clients.store import StoreUnavailableError, TermStore, WatchExpiredError, decode_stored
+from ryewing.clients.store import (
+    KeyValueStore,
+    StoreUnavailableError,
+    WatchExpiredError,
+    decode_stored,
+)
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings
 from ryewing.election.leadership import (
@@ -84,7 +89,7 @@
 class LeaderElector:
     """One lease, as this process follows it."""
 
-    def __init__(self, process: ProcessParts, store: TermStore, scope: TermScope) -> None:
+    def __init__(self, process: ProcessParts, store: KeyValueStore, scope: TermScope) -> None:
         self._process = process
         self.store = store
         self.scope = scope
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -287,7 +287,7 @@
         if not self._relay_bucket.take():
             return RelayResponse(0)
         try:
-            reply = self.store.raw(request.method, request.path, request.body, 0.5)
+            reply = self.store.request_direct(request.method, request.path, request.body, 0.5)
         except StoreUnavailableError:
             return RelayResponse(0)
         return RelayResponse(reply.status, reply.body)
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 
 from ryewing.clients.peers import ShardLoadAnswer
-from ryewing.clients.store import Store, TermStore
+from ryewing.clients.store import KeyValueStore, Store
 from ryewing.leader.division import NoShardError, NotReadyError
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.settings import ShardSettings
@@ -40,7 +40,7 @@
         """Give the shards' scopes."""
         return self._scopes
 
-    def store_for(self, scope: TermScope, store: Store) -> TermStore:
+    def store_for(self, scope: TermScope, store: Store) -> KeyValueStore:
         """Give a shard's part of the store."""
         if scope.shard is None:
             return store
--- a/src/ryewing/state/machine_type_catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ryewing.clients.store import Put, RejectedError, Remove, TermStore, decode_stored
+from ryewing.clients.store import KeyValueStore, Put, RejectedError, Remove, decode_stored
 from ryewing.units import KeyVersion
 from ryewing.wire.cloud import MachineType, MachineTypeList
 
@@ -21,7 +21,7 @@
 KEY = "flavours"
 
 
-def read(store: TermStore) -> list[MachineType]:
+def read(store: KeyValueStore) -> list[MachineType]:
     """Read all types; none if nobody has written them yet."""
     entries, _ = store.listing(KEY)
     found: dict[str, MachineType] = {}
@@ -32,7 +32,9 @@
     return list(found.values())
 
 
-def write(store: TermStore, fence: dict[str, KeyVersion], machine_types: list[MachineType]) -> None:
+def write(
+    store: KeyValueStore, fence: dict[str, KeyVersion], machine_types: list[MachineType]
+) -> None:
     """Keep the types: in one value if the store takes it, else in as many as it needs."""
     try:
         store.txn(fence, [Put(KEY, MachineTypeList(machine_types))])
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -139,7 +139,9 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Nested deep enough, it ended the process that followed who leads."""
-    monkeypatch.setattr("ryewing.clients.store.HttpClient.request", lambda *_args: Reply(200, body))
+    monkeypatch.setattr(
+        "ryewing.clients.store.client.HttpClient.request", lambda *_args: Reply(200, body)
+    )
     store = Store(("127.0.0.1", 1), settings().params.state)
     with caplog.at_level(logging.WARNING), pytest.raises(StoreUnavailableError):
         ask(store)
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -298,8 +298,8 @@
 ) -> None:
     """Found on a day with controllers apart: every two seconds one submission waited a second."""
     spawned: list[Callable[[], None]] = []
-    monkeypatch.setattr("ryewing.clients.store.gevent.spawn", spawned.append)
-    monkeypatch.setattr("ryewing.clients.store.gevent.sleep", lambda _seconds: None)
+    monkeypatch.setattr("ryewing.clients.store.peer_fallback.gevent.spawn", spawned.append)
+    monkeypatch.setattr("ryewing.clients.store.peer_fallback.gevent.sleep", lambda _seconds: None)
     store = Store(("127.0.0.1", 1), settings().params.state)
     direct: list[bool] = []
     answers = [False] * 4 + [True] * 9
@@ -310,7 +310,7 @@
             raise StoreUnavailableError("cut")
         return Reply(404, b"{}")
 
-    monkeypatch.setattr(store, "raw", raw)
+    monkeypatch.setattr(store, "request_direct", raw)
     store.relay = lambda _method, _path, _body: Reply(404, b"{}")
     for _ in range(20):
         assert store.get("f/run-1") is None
@@ -331,7 +331,7 @@
             raise StoreUnavailableError("deadline")
         return Reply(404, b"{}")
 
-    monkeypatch.setattr(store, "raw", raw)
+    monkeypatch.setattr(store, "request_direct", raw)
     store.relay = lambda _method, _path, _body: None  # peers wait no longer
     with pytest.raises(StoreUnavailableError):
         store.get("f/run-1")
