--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -71,11 +71,11 @@
 def test_a_peer_that_is_back_is_asked_over_a_new_connection() -> None:
     """Every kept connection would cost one more deadline."""
     server = answering()
-    address: Address = server._server.address
+    address: Address = server.address
     peer = PeerClient(address)
     together = [gevent.spawn(peer.request, JobStatusQuery("run-1"), PATIENT_S) for _ in range(4)]
     gevent.joinall(together, raise_error=True)
-    assert len(peer._idle) == 4
+    assert peer.idle_connections == 4
     server.stop()  # as a process that ends
     server = answering(address)
     with pytest.raises(PeerUnavailableError):
@@ -89,7 +89,7 @@
     with pytest.raises(PeerUnavailableError):
         peer.request(JobStatusQuery("run-1"), SHORT_WAIT_S)
     assert peer.in_flight == 0
-    assert not peer._idle
+    assert peer.idle_connections == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -203,7 +203,7 @@
 ) -> None:
     server = PeerServer(("127.0.0.1", 0), lambda _request: Ack(True), 10)
     server.start()
-    address = server._server.address
+    address = server.address
     with gevent.Timeout(PATIENT_S):
         connection = socket.create_connection(address)
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
