--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -1,4 +1,4 @@
-"""What the interface for users and workers needs of the process that it belongs to."""
+"""What the HTTP interface needs of the controller process that it belongs to."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class Controller(Protocol):
-    """A controller's process, as its interface sees it."""
+    """A controller process as its HTTP interface uses it.
+
+    The attributes are read at each use and not copied: they may be replaced.
+    """
 
     policy: Policy
     store: Store
@@ -25,31 +28,34 @@
     user_limiter: UserRequestLimiter
 
     def healthy(self) -> bool:
-        """Tell whether requests can be taken."""
+        """Return whether requests can be accepted."""
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Answer a worker, or None if this node must not answer 200 now."""
+        """Apply a heartbeat and return the commands; None if this node must not answer 200 now."""
 
     def foreign_leader(self, zone: Zone) -> str | None:
-        """Name the leader to whom a zone's workers should be sent, if it is another node."""
+        """Return the leader to which a zone's workers should be redirected, if another node is."""
 
     def known_machine_types(self) -> dict[str, MachineType]:
-        """Give the machine types; none if they are not known yet."""
+        """Return the machine types by name; empty if they are not known yet."""
 
     def choose_shard(self, spec: JobSpec) -> ShardName | None:
-        """Choose a new job's shard; raise NoShardError if none could ever run it."""
+        """Return a new job's shard; None if the fleet is undivided.
+
+        Raise NoShardError if no shard could ever run it, NotReadyError if that is not known yet.
+        """
 
     def full(self, shard: ShardName | None) -> bool:
-        """Tell whether a shard's leader holds as many jobs as its memory allows."""
+        """Return whether a shard's leader holds as many jobs as its memory allows."""
 
     def local_status(self, job: JobId) -> JobStatus | None:
-        """Tell a job's state from the memory of a leader here, if it may answer."""
+        """Return a job's status from the memory of a leader here, if it may answer."""
 
     def query_leader(self, job: JobId) -> JobStatus | None:
-        """Ask the leader for a job's state; None if only the store can tell."""
+        """Ask the leader for a job's status; None if the store must be read instead."""
 
     def remember_shard(self, job: JobId, shard: ShardName) -> None:
-        """Keep in mind to which shard a job belongs."""
+        """Note the shard that a job belongs to."""
 
     def announce_cancel(self, job: JobId, shard: ShardName | None) -> bool:
-        """Make the leader know of a cancel that is in the store; False if it may not know."""
+        """Make sure that the leader knows of a cancel in the store; False if it may not know."""
--- a/src/ryewing/api/final_states.py
+++ b/src/ryewing/api/final_states.py
@@ -1,4 +1,4 @@
-"""The final states of jobs that this process has seen: they never change."""
+"""The final states of jobs that this process has seen, in a bounded cache."""
 
 from __future__ import annotations
 
@@ -7,22 +7,27 @@
 from ryewing.units import JobId
 
 FINAL_STATES_KEPT = 20_000
+"""Jobs whose final states are kept, the most recently seen ones."""
 
 
 class FinalStateCache:
-    """Final states that were seen, which never change; bounded."""
+    """The final states (`done`, `cancelled`) of jobs. A final state never changes.
+
+    What a user is told after a look-up elsewhere is checked against this cache, so that no status
+    older than one reported before is sent (docs/design.md, safety argument 9).
+    """
 
     def __init__(self, kept: int = FINAL_STATES_KEPT) -> None:
         self._kept = kept
         self._states: OrderedDict[JobId, str] = OrderedDict()
 
     def put(self, job: JobId, status: str) -> None:
-        """Remember a final state."""
+        """Add a final state; the one added longest ago is dropped if there are too many."""
         self._states[job] = status
         self._states.move_to_end(job)
         if len(self._states) > self._kept:
             self._states.popitem(last=False)
 
     def get(self, job: JobId) -> str | None:
-        """Recall a final state."""
+        """Return a job's final state; None if it is not known here."""
         return self._states.get(job)
--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -1,6 +1,6 @@
-"""The HTTP server: bounded connections, cheap headers, large bodies refused unread.
+"""The HTTP server: bounded connections, cheap parsing of headers, large bodies refused unread.
 
-It knows nothing of jobs or workers; `api` has the handlers.
+It knows nothing about jobs or workers: `router` is the application.
 """
 
 from __future__ import annotations
@@ -10,10 +10,12 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+import msgspec
 from gevent import socket
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
 from ryewing.wire.codec import BODY_LIMIT
+from ryewing.wire.responses import ErrorBody
 
 log = logging.getLogger(__name__)
 
@@ -23,6 +25,9 @@
 
 MAX_HEADERS = 100
 MAX_HEADER_BYTES = 16 * 1024
+"""The most bytes that one line of the headers may have."""
+BODY_TOO_LARGE = "body above 64 KiB"
+"""The error in the 413 to a body above BODY_LIMIT."""
 _HEADERS_IN_ENVIRON = ("expect", "transfer-encoding", "connection", "upgrade")
 """The request headers that the WSGI server itself reads."""
 STATUS_LINES = {
@@ -39,22 +44,22 @@
 
 
 class _BodyTooLargeError(ValueError):
-    """The request says that its body is above the limit."""
+    """The Content-Length of a request is above BODY_LIMIT."""
 
 
 class RequestHeaders(dict[str, str]):
     """A request's headers by lower-case name, as `WSGIHandler` asks for them.
 
-    The parser for mail that it comes with took a third of what a heartbeat costs, and a leader of
-    hundreds of machines gets hundreds a second.
+    The mail parser that `WSGIHandler` uses by default took a third of the time of a heartbeat, and
+    the leader of hundreds of machines gets hundreds a second.
     """
 
     status = ""
-    """What is wrong with them; `WSGIHandler` answers 400."""
+    """What is malformed, or empty; `WSGIHandler` responds with 400 if it is not empty."""
 
     @classmethod
     def read(cls, stream: Any) -> RequestHeaders:
-        """Read header lines up to the empty one."""
+        """Read header lines up to the empty line."""
         found = cls()
         for _ in range(MAX_HEADERS):
             line = stream.readline(MAX_HEADER_BYTES + 1)
@@ -76,26 +81,27 @@
         return found
 
     def get(self, name: str, default: Any = None) -> Any:
-        """Look a header up, in whatever case it is asked for."""
+        """Return a header by its name in any case."""
         return super().get(name.lower(), default)
 
     getheader = get
 
     @property
     def typeheader(self) -> str | None:
-        """The content type."""
+        """The content type; None if there is none."""
         return super().get("content-type")
 
     @property
     def headers(self) -> Iterable[str]:
-        """The lines from which the WSGI environment is made: those that the server reads."""
+        """The lines that go into the WSGI environment: those that the server itself reads."""
         return [f"{name}: {self[name]}" for name in _HEADERS_IN_ENVIRON if name in self]
 
 
 class _Handler(WSGIHandler):  # type: ignore[misc]
-    """One connection: knows whether it is idle, and refuses large bodies unread."""
+    """Serves one connection: tells the server when it is idle, and refuses large bodies unread."""
 
-    _gathered: bytearray | None = None
+    _buffer: bytearray | None = None
+    """What is to be sent in one piece, while headers and body are written."""
 
     def MessageClass(  # noqa: N802  the name by which WSGIHandler calls it
         self, stream: Any, *_args: Any
@@ -104,9 +110,9 @@
         return RequestHeaders.read(stream)
 
     def read_requestline(self) -> Any:
-        self.server.idle(self)
+        self.server.mark_idle(self)
         line = super().read_requestline()
-        self.server.busy(self)
+        self.server.mark_busy(self)
         return line
 
     def read_request(self, raw_requestline: str) -> Any:
@@ -116,23 +122,24 @@
         return result
 
     def _write_with_headers(self, data: bytes) -> None:
-        """Send head and body in one piece: a packet and a system call less for each answer."""
-        self._gathered = bytearray()
+        """Send headers and body in one piece: one packet and one system call fewer."""
+        self._buffer = bytearray()
         super()._write_with_headers(data)
-        gathered, self._gathered = bytes(self._gathered), None
-        self._sendall(gathered)
+        buffered, self._buffer = bytes(self._buffer), None
+        self._sendall(buffered)
 
     def _sendall(self, data: bytes) -> None:
-        if self._gathered is None:
+        if self._buffer is None:
             super()._sendall(data)
         else:
-            self._gathered += data
+            self._buffer += data
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
         if isinstance(ex, _BodyTooLargeError):
-            status, body = STATUS_LINES[413], b'{"error":"body above 64 KiB"}'
+            status, error = STATUS_LINES[413], BODY_TOO_LARGE
         else:
-            status, body = STATUS_LINES[400], b'{"error":"malformed request"}'
+            status, error = STATUS_LINES[400], "malformed request"
+        body = msgspec.json.encode(ErrorBody(error))
         head = (
             f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
@@ -140,14 +147,14 @@
         return status[:3], head.encode("ascii") + body
 
     def log_request(self) -> None:
-        """Requests are logged by what they do, not by line."""
+        """Log nothing: the handlers log what requests do."""
 
 
 class HttpServer(WSGIServer):  # type: ignore[misc]
-    """A WSGI server that keeps its connections within bounds.
+    """A WSGI server with at most `connections` connections, one greenlet for each.
 
-    When there are too many, the one that has been idle longest goes, so that a crowd of idle
-    users can't keep workers out.
+    When there are too many, the one that has been idle longest is closed, so that many idle users
+    can't keep workers out. If none is idle, the new one is closed.
     """
 
     def __init__(
@@ -165,12 +172,12 @@
         self._open = 0
         self._idle: OrderedDict[_Handler, None] = OrderedDict()
 
-    def idle(self, handler: _Handler) -> None:
-        """A connection waits for its next request."""
+    def mark_idle(self, handler: _Handler) -> None:
+        """Note that a connection waits for its next request."""
         self._idle[handler] = None
 
-    def busy(self, handler: _Handler) -> None:
-        """A connection has a request."""
+    def mark_busy(self, handler: _Handler) -> None:
+        """Note that a connection has a request."""
         self._idle.pop(handler, None)
 
     def handle(self, sock: Any, address: Any) -> None:
@@ -179,13 +186,7 @@
             if not self._idle:
                 sock.close()
                 return
-            oldest, _ = self._idle.popitem(last=False)
-            stale = getattr(oldest, "socket", None)
-            if stale is not None:
-                try:
-                    stale.shutdown(socket.SHUT_RDWR)
-                except OSError:
-                    pass
+            self._shut_down_longest_idle()
         self._open += 1
         handler = _Handler(sock, address, self)
         try:
@@ -194,3 +195,12 @@
         finally:
             self._open -= 1
             self._idle.pop(handler, None)
+
+    def _shut_down_longest_idle(self) -> None:
+        oldest, _ = self._idle.popitem(last=False)
+        stale = getattr(oldest, "socket", None)
+        if stale is not None:
+            try:
+                stale.shutdown(socket.SHUT_RDWR)
+            except OSError:
+                pass
--- /dev/null
+++ b/src/ryewing/api/submissions.py
@@ -0,0 +1,194 @@
+"""Submissions of jobs (POST /v2/runs): checked, written to the store, and only then confirmed."""
+
+from __future__ import annotations
+
+import logging
+
+import gevent
+
+from ryewing.api.controller import Controller
+from ryewing.api.job_queries import QUEUED, JobQueries
+from ryewing.api.responses import (
+    CHANGED_MEANWHILE,
+    STORE_UNREACHABLE,
+    RefusedError,
+    Response,
+    error_response,
+    unavailable,
+)
+from ryewing.api.store_access import StoreAccess
+from ryewing.clients.store import (
+    Put,
+    RejectedError,
+    StoreUnavailableError,
+    ThrottledError,
+    TxnResult,
+)
+from ryewing.clients.user_request_limiter import UserRequest
+from ryewing.leader.division import NoShardError, NotReadyError
+from ryewing.state.job_records import JobRecord, final_key, live_key, stored_size_bytes
+from ryewing.state.resources import infeasibility_reason
+from ryewing.units import (
+    JobId,
+    KeyVersion,
+    MonotonicTime,
+    ShardName,
+    is_job_id,
+    monotonic_now,
+    wall_now,
+)
+from ryewing.wire.cloud import MachineType
+from ryewing.wire.codec import MalformedError, read_object
+from ryewing.wire.jobs import JobSpec, JobStatus, read_job_spec
+
+log = logging.getLogger(__name__)
+
+MAX_SUBMISSIONS_IN_FLIGHT = 64
+"""Submissions that may be written at any time."""
+FULL_RETRY_S = 30.0
+"""When to retry a submission that is refused because there are too many unfinished jobs."""
+THROTTLED_S = 0.6
+"""How long a submission is retried while the store refuses it by its rate limit."""
+THROTTLED_RETRY_S = 0.08
+"""The interval of these retries."""
+TOO_LARGE = "too large to be kept"
+
+
+class Submissions:
+    """Accepts jobs. Whatever a user is told about a job is in the store first."""
+
+    def __init__(self, node: Controller, store: StoreAccess, queries: JobQueries) -> None:
+        self._node = node
+        self._store = store
+        self._queries = queries
+        self.in_flight = 0
+        """Submissions that are being written."""
+
+    def submit(self, body: bytes) -> Response:
+        """Answer a submission: 201 if it is accepted, 200 if the job is known already."""
+        job = _read_job_id(body)
+        known = self._queries.from_memory(job)
+        if known is not None:
+            return Response(200, known)
+        try:
+            spec = read_job_spec(body)
+        except MalformedError as error:
+            log.info("event=refused job=%s status=400 reason=%r", job, str(error))
+            return self._unless_known(job, error_response(400, str(error)))
+        machine_types = self._node.known_machine_types()
+        if not machine_types:
+            return unavailable(self._node.policy, "the machine types are not known yet")
+        if spec.machine_types is not None:
+            spec.machine_types = [name for name in spec.machine_types if name in machine_types]
+        try:
+            record = self._new_record(spec, machine_types)
+        except RefusedError as refused:
+            return self._unless_known(job, refused.response)
+        if self.in_flight >= MAX_SUBMISSIONS_IN_FLIGHT:
+            return unavailable(self._node.policy, "too many submissions at once")
+        self.in_flight += 1
+        try:
+            return self._accept(job, record)
+        finally:
+            self.in_flight -= 1
+
+    def _new_record(self, spec: JobSpec, machine_types: dict[str, MachineType]) -> JobRecord:
+        """Return the record of a new job.
+
+        Raise RefusedError with the reason if the job can't be accepted, now or ever.
+        """
+        reason = infeasibility_reason(spec, machine_types, self._node.teams)
+        if reason is not None:
+            raise RefusedError(error_response(422, reason))
+        shard = self._choose_shard(spec)
+        if self._node.full(shard):
+            full = unavailable(self._node.policy, "too many unfinished jobs", FULL_RETRY_S)
+            raise RefusedError(full)
+        record = JobRecord(spec, wall_now(), shard=shard)
+        if stored_size_bytes(record) > self._node.store.limits.value_kb * 1024:
+            raise RefusedError(error_response(400, TOO_LARGE))
+        return record
+
+    def _choose_shard(self, spec: JobSpec) -> ShardName | None:
+        """Return a new job's shard; raise RefusedError if there is none, now or ever."""
+        try:
+            return self._node.choose_shard(spec)
+        except NoShardError as error:
+            raise RefusedError(error_response(422, str(error))) from None
+        except NotReadyError as error:
+            raise RefusedError(unavailable(self._node.policy, str(error))) from None
+
+    def _unless_known(self, job: JobId, refusal: Response) -> Response:
+        """Refuse a submission, unless the job was accepted before.
+
+        A known job stays known whatever a repetition of its submission looks like, also if it would
+        be too large today: it was kept under the limits of its day.
+        """
+        status = self._queries.from_store(job)
+        return refusal if status is None else self._queries.with_final_state(status)
+
+    def _accept(self, job: JobId, record: JobRecord) -> Response:
+        """Write the job if it is new, and respond with its status."""
+        try:
+            result = self._write_new_job(job, record)
+        except ThrottledError:
+            return unavailable(self._node.policy, "the state service is busy")
+        except RejectedError as error:
+            # The limits of the store are lower than in the settings: a retry won't help.
+            log.error("event=accept-rejected job=%s error=%s", job, error)
+            return self._unless_known(job, error_response(400, TOO_LARGE))
+        except StoreUnavailableError as error:
+            log.debug("event=accept-failed job=%s error=%s", job, error)
+            return unavailable(self._node.policy, STORE_UNREACHABLE)
+        if result.ok:
+            self._queries.remember_shard(job, record)
+            _log_accepted(job, record.spec)
+            if self._node.final_states.get(job) is None:
+                return Response(201, JobStatus(job, QUEUED))
+        status = self._queries.read_status(job)
+        if status is None:
+            return unavailable(self._node.policy, CHANGED_MEANWHILE)
+        return self._queries.with_final_state(status)
+
+    def _write_new_job(self, job: JobId, record: JobRecord) -> TxnResult:
+        """Write the record if the job has neither a live nor a final one.
+
+        A transaction refused by the store's rate limit is retried for THROTTLED_S seconds. Raise
+        StoreUnavailableError, or RateLimitExceededError, if it can't be written.
+        """
+        conditions = {live_key(job): KeyVersion(0), final_key(job): KeyVersion(0)}
+        writes = [Put(live_key(job), record)]
+        retry_until = MonotonicTime(monotonic_now() + THROTTLED_S)
+        while True:
+            self._node.user_limiter.admit(UserRequest.WRITE)
+            try:
+                return self._store.txn(conditions, writes)
+            except ThrottledError:
+                if monotonic_now() >= retry_until:
+                    raise
+                gevent.sleep(THROTTLED_RETRY_S)
+
+
+def _read_job_id(body: bytes) -> JobId:
+    """Return the id in a submission; raise RefusedError with a 400 if there is none."""
+    try:
+        job = read_object(body).get("ref")
+    except MalformedError as error:
+        raise RefusedError(error_response(400, str(error))) from None
+    if not is_job_id(job):
+        raise RefusedError(error_response(400, "ref: not a job id"))
+    return JobId(str(job))
+
+
+def _log_accepted(job: JobId, spec: JobSpec) -> None:
+    log.info(
+        "event=accepted job=%s class=%s team=%s tasks=%d zone=%s image=%s/%gGB estimated_s=%g",
+        job,
+        spec.job_class,
+        spec.team,
+        spec.task_count,
+        spec.zone or "any",
+        spec.image,
+        spec.image_gb,
+        spec.estimated_s,
+    )
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from ryewing import __version__
-from ryewing.api.api import Api
 from ryewing.api.final_states import FinalStateCache
 from ryewing.api.http_server import HttpServer
+from ryewing.api.router import Api
 from ryewing.clients.http_client import Reply
 from ryewing.clients.peers import (
     Ack,
--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -84,4 +84,7 @@
     status, answer = cluster.send_heartbeat(NAMES[0], worker.heartbeat())
     assert status == 200
     assert "orders" in answer
-    assert all(not api._submits and not api._reads for api in cluster.apis.values())
+    assert all(
+        not api.submissions.in_flight and not api.store_access.reads_in_flight
+        for api in cluster.apis.values()
+    )
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -11,7 +11,8 @@
 from support.harness import LeaderHarness
 
 from ryewing import scheduling
-from ryewing.api.api import MAX_STORE_READS_IN_FLIGHT, MAX_SUBMISSIONS_IN_FLIGHT
+from ryewing.api.store_access import MAX_STORE_READS_IN_FLIGHT
+from ryewing.api.submissions import MAX_SUBMISSIONS_IN_FLIGHT
 from ryewing.clients.cloud import RELEASE_MAX
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ryewing.api.api import Api
 from ryewing.api.final_states import FinalStateCache
+from ryewing.api.router import Api
 from ryewing.clients.store import Put
 from ryewing.clients.user_request_limiter import UserRequestLimiter
 from ryewing.state.job_records import JobRecord, final_key, live_key
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -25,7 +25,7 @@
     "leader.term_context",
     "leader.worker_commands",
 )
-NODE_PARTS = ("api.api", "process.leader_elector", "process.node")
+NODE_PARTS = ("api.submissions", "process.leader_elector", "process.node")
 SHARDING_PARTS = (
     "sharding.coordinator",
     "sharding.health",
@@ -33,7 +33,7 @@
     "sharding.team_demand",
     "sharding.team_limits",
 )
-WALL_CLOCK_PARTS = ("api.api", "leader.scheduler", "sharding.registry")
+WALL_CLOCK_PARTS = ("api.cancellation", "api.submissions", "leader.scheduler", "sharding.registry")
 
 
 def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ryewing.api.api import Api
+from ryewing.api.router import Api
 from ryewing.clients.cloud import CloudUnavailableError
 from ryewing.clients.peers import PeerUnavailableError, Request, Response
 from ryewing.clients.store import Put, StoreUnavailableError
