--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -20,8 +20,11 @@
 log = logging.getLogger(__name__)
 
 Headers = list[tuple[str, str]]
+"""Names and values of a response's headers."""
 StartResponse = Callable[[str, Headers], object]
+"""WSGI's `start_response`."""
 Application = Callable[[dict[str, Any], StartResponse], Iterable[bytes]]
+"""A WSGI application."""
 
 MAX_HEADERS = 100
 MAX_HEADER_BYTES = 16 * 1024
@@ -30,7 +33,7 @@
 """The error in the 413 to a body above BODY_LIMIT."""
 _HEADERS_IN_ENVIRON = ("expect", "transfer-encoding", "connection", "upgrade")
 """The request headers that the WSGI server itself reads."""
-STATUS_LINES = {
+STATUS_LINES: dict[int, str] = {
     200: "200 OK",
     201: "201 Created",
     400: "400 Bad Request",
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -170,7 +170,12 @@
 
 
 def _read_job_id(body: bytes) -> JobId:
-    """Return the id in a submission; raise RefusedError with a 400 if there is none."""
+    """Return the id in a submission; raise RefusedError with a 400 if there is none.
+
+    `read_job_spec` decodes the body again: a job that is known by its id gets its status whatever
+    else the body has, and decoding the spec from the object read here would change the texts of
+    some refusals (`4.0` in place of a string is a float to one decoder and an int to the other).
+    """
     try:
         job = read_object(body).get("ref")
     except MalformedError as error:
--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -23,6 +23,7 @@
 DEADLINE_S = 4.0
 """The deadline of a request to the cloud."""
 KEPT_CONNECTIONS = 2
+"""Idle connections that are kept."""
 RATE_SHARE = 0.8
 """The share of the cloud's rate that one controller uses. Only the leader sends requests, but two
 leaders can overlap for a moment."""
--- a/src/ryewing/clients/peers/messages.py
+++ b/src/ryewing/clients/peers/messages.py
@@ -102,3 +102,4 @@
 ]
 Response = Union[JobStatusReply, Ack, ShardLoadAnswer, RelayResponse]
 Handler = Callable[[Request], Response]
+"""Answers a request. It may wait: each connection has a greenlet of its own."""
--- a/src/ryewing/clients/store/client.py
+++ b/src/ryewing/clients/store/client.py
@@ -38,9 +38,12 @@
 )
 
 TXN_PATH = "/txn"
+LEASE_GONE = b"lease"
+"""Part of the error in the 400 to a write that hangs on an expired lease (PROTOCOL)."""
 PAGE_SIZE = 1000
 """Entries in one page of a listing: the most that the store returns."""
 KEPT_CONNECTIONS = 6
+"""Idle connections that are kept for requests other than watches."""
 WATCHES_PER_TERM = 2
 """Watches that each term has open: of its lease and of the jobs."""
 WATCH_MARGIN_S = 2.0
@@ -137,7 +140,7 @@
             list(writes),
         )
         reply = self._request("POST", TXN_PATH, msgspec.json.encode(transaction))
-        if reply.status == 400 and b"lease" in reply.body:
+        if reply.status == 400 and LEASE_GONE in reply.body:
             raise LeaseLostError(reply.body.decode("utf-8", "replace"))
         if reply.status == 400:
             raise RejectedError(f"400: {reply.body[:200]!r}")
--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -1,4 +1,4 @@
-"""What questions cost: users ask many times as often as before, at every controller."""
+"""What polls cost: users poll many times as often as before, at every controller."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class Costs:
-    """Counts the requests to the store and the asks between controllers."""
+    """Counts the reads of the store and the requests between controllers."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.reads = self.asks = 0
-        get, ask = StoreLink.get, FakePeer.request
+        self.reads = self.peer_requests = 0
+        get, request = StoreLink.get, FakePeer.request
 
         def counted_get(link: StoreLink, key: str) -> Any:
             self.reads += 1
             return get(link, key)
 
-        def counted_ask(peer: FakePeer, what: Any, deadline_s: float) -> Any:
-            self.asks += 1
-            return ask(peer, what, deadline_s)
+        def counted_request(peer: FakePeer, message: Any, deadline_s: float) -> Any:
+            self.peer_requests += 1
+            return request(peer, message, deadline_s)
 
         monkeypatch.setattr(StoreLink, "get", counted_get)
-        monkeypatch.setattr(FakePeer, "request", counted_ask)
+        monkeypatch.setattr(FakePeer, "request", counted_request)
 
 
 def poll_all(cluster: Cluster, refs: list[str], node: str | None = None) -> None:
-    """Ask as a thousand users do, at one controller or at all of them by turns."""
+    """Poll as a thousand users do, at one controller or at all of them in turn."""
     for number in range(POLLS):
         status = cluster.poll(node or NAMES[number % len(NAMES)], refs[number % len(refs)])
         assert status == 200
@@ -51,18 +51,18 @@
     return refs
 
 
-@pytest.mark.parametrize(("node", "asks"), [(NAMES[0], 0), (NAMES[1], POLLS)])
-def test_live_jobs_are_told_from_the_leaders_memory(
-    cluster: Cluster, monkeypatch: pytest.MonkeyPatch, node: str, asks: int
+@pytest.mark.parametrize(("node", "peer_requests"), [(NAMES[0], 0), (NAMES[1], POLLS)])
+def test_the_status_of_live_jobs_is_in_the_leaders_memory(
+    cluster: Cluster, monkeypatch: pytest.MonkeyPatch, node: str, peer_requests: int
 ) -> None:
-    """The leader asks nobody; another controller asks it, and never the store."""
+    """The leader asks nobody; another controller asks the leader, and never the store."""
     refs = jobs(cluster)
     costs = Costs(monkeypatch)
     poll_all(cluster, refs, node)
-    assert (costs.reads, costs.asks) == (0, asks)
+    assert (costs.reads, costs.peer_requests) == (0, peer_requests)
 
 
-def test_jobs_that_have_ended_are_asked_for_once_at_each_controller(
+def test_jobs_that_have_ended_are_looked_up_once_at_each_controller(
     cluster: Cluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     refs = jobs(cluster)
@@ -71,13 +71,13 @@
     cluster.run(4.0)
     costs = Costs(monkeypatch)
     poll_all(cluster, refs)
-    assert costs.asks <= 2 * len(refs)
+    assert costs.peer_requests <= 2 * len(refs)
     assert costs.reads <= 2 * 2 * len(refs)
     assert set(cluster.rules.final.values()) == {"done"}
 
 
-def test_reports_are_answered_between_polls(cluster: Cluster) -> None:
-    """No question leaves anything behind that a heartbeat would have to wait for."""
+def test_heartbeats_are_answered_between_polls(cluster: Cluster) -> None:
+    """No poll leaves anything behind that a heartbeat would have to wait for."""
     refs = jobs(cluster)
     worker = cluster.workers["i-000001"]
     poll_all(cluster, refs)
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -1,4 +1,4 @@
-"""The connections between controllers: a peer that is silent, and one that is back."""
+"""The connections between controllers: a silent peer, and one that was restarted."""
 
 from __future__ import annotations
 
@@ -36,45 +36,45 @@
 
 
 def answering(address: Address = ("127.0.0.1", 0)) -> PeerServer:
-    """A controller that answers every poll."""
+    """Start the server of a controller that answers every `JobStatusQuery`."""
 
-    def handle(ask: Request) -> JobStatusReply | Ack:
-        return JobStatusReply("running") if isinstance(ask, JobStatusQuery) else Ack(True)
+    def handle(request: Request) -> JobStatusReply | Ack:
+        return JobStatusReply("running") if isinstance(request, JobStatusQuery) else Ack(True)
 
     server = PeerServer(address, handle, 100)
     server.start()
     return server
 
 
-def test_asks_to_a_silent_peer_are_bounded(silent: Address) -> None:
+def test_requests_to_a_silent_peer_are_bounded(silent: Address) -> None:
     """Each takes a socket and a greenlet until its deadline."""
     peer = PeerClient(silent)
     outcomes: list[str] = []
 
-    def ask() -> None:
+    def send() -> None:
         try:
             peer.request(JobStatusQuery("run-1"), PATIENT_S)
         except PeerUnavailableError as error:
             outcomes.append(str(error))
 
-    asks = [gevent.spawn(ask) for _ in range(10 * MAX_REQUESTS_IN_FLIGHT)]
+    senders = [gevent.spawn(send) for _ in range(10 * MAX_REQUESTS_IN_FLIGHT)]
     for _ in range(5):
         gevent.sleep(0)
     assert peer.in_flight == MAX_REQUESTS_IN_FLIGHT
     assert (
         len(outcomes) == 9 * MAX_REQUESTS_IN_FLIGHT
     )  # told at once, so that the store can be read
-    gevent.killall(asks)
+    gevent.killall(senders)
     assert peer.in_flight == 0
 
 
-def test_a_peer_that_is_back_is_asked_over_a_new_connection() -> None:
+def test_a_peer_that_is_back_is_reached_over_a_new_connection() -> None:
     """Every kept connection would cost one more deadline."""
     server = answering()
     address: Address = server.address
     peer = PeerClient(address)
-    together = [gevent.spawn(peer.request, JobStatusQuery("run-1"), PATIENT_S) for _ in range(4)]
-    gevent.joinall(together, raise_error=True)
+    concurrent = [gevent.spawn(peer.request, JobStatusQuery("run-1"), PATIENT_S) for _ in range(4)]
+    gevent.joinall(concurrent, raise_error=True)
     assert peer.idle_connections == 4
     server.stop()  # as a process that ends
     server = answering(address)
--- a/tests/clients/test_token_bucket.py
+++ b/tests/clients/test_token_bucket.py
@@ -12,7 +12,7 @@
 from ryewing.units import MonotonicTime
 
 
-def test_budget_refills_and_tells_the_wait() -> None:
+def test_a_bucket_refills_and_returns_the_wait() -> None:
     now = [T0]
     bucket = TokenBucket(10.0, 5.0, lambda: now[0])
     assert [bucket.take() for _ in range(6)] == [True] * 5 + [False]
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -1,4 +1,4 @@
-"""What can't be read, from whomever: a documented status or a closed connection, and a log line."""
+"""Unreadable bodies and frames get a documented status or a closed connection, and are logged."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from ryewing.wire.workers import read_heartbeat
 
 PATIENT_S = 10.0
-GOOD_REPORT = {
+GOOD_HEARTBEAT = {
     "host": "i-000001",
     "tenure": 1,
     "tick": 1,
@@ -107,13 +107,13 @@
         ("pieces", [{"piece": "run-1/0", "try": "1", "status": "running"}]),
     ],
 )
-def test_reports_of_wrong_types_are_refused(field: str, value: object) -> None:
-    body = msgspec.json.encode({**GOOD_REPORT, field: value})
+def test_heartbeats_of_wrong_types_are_refused(field: str, value: object) -> None:
+    body = msgspec.json.encode({**GOOD_HEARTBEAT, field: value})
     assert Client()("POST", "/v1/report", body)[0] == 400
 
 
 @pytest.mark.parametrize("body", GARBAGE)
-def test_reports_that_cannot_be_read_are_refused(body: bytes) -> None:
+def test_heartbeats_that_cannot_be_read_are_refused(body: bytes) -> None:
     assert Client()("POST", "/v1/report", body)[0] == 400
     with pytest.raises(MalformedError):
         read_heartbeat(body)
@@ -121,7 +121,7 @@
 
 # -- store and cloud ------------------------------------------------------------------------------
 
-ASKED_OF_THE_STORE: list[Callable[[Store], Any]] = [
+STORE_REQUESTS: list[Callable[[Store], Any]] = [
     lambda store: store.get("j/run-1"),
     lambda store: store.listing("j/"),
     lambda store: store.txn({}, []),
@@ -130,10 +130,10 @@
 ]
 
 
-@pytest.mark.parametrize("ask", ASKED_OF_THE_STORE)
+@pytest.mark.parametrize("request_store", STORE_REQUESTS)
 @pytest.mark.parametrize("body", GARBAGE)
-def test_an_answer_of_the_store_that_cannot_be_read_is_as_good_as_none(
-    ask: Callable[[Store], Any],
+def test_an_unreadable_response_of_the_store_counts_as_none(
+    request_store: Callable[[Store], Any],
     body: bytes,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
@@ -144,21 +144,21 @@
     )
     store = Store(("127.0.0.1", 1), settings().params.state)
     with caplog.at_level(logging.WARNING), pytest.raises(StoreUnavailableError):
-        ask(store)
+        request_store(store)
     assert [record.getMessage().split()[0] for record in caplog.records] == [
         "event=unreadable-answer"
     ]
 
 
 @pytest.mark.parametrize("body", GARBAGE)
-def test_an_answer_of_the_cloud_that_cannot_be_read_is_as_good_as_none(
+def test_an_unreadable_response_of_the_cloud_counts_as_none(
     body: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ryewing.clients.cloud.HttpClient.request", lambda *_args: Reply(200, body))
     cloud = Cloud(("127.0.0.1", 1), CloudLimits(1000.0, 10.0))
-    for ask in (cloud.machine_types, lambda: cloud.machine_page("")):
+    for request in (cloud.machine_types, lambda: cloud.machine_page("")):
         with pytest.raises(CloudUnavailableError):
-            ask()
+            request()
 
 
 def test_a_fault_in_following_who_leads_ends_no_process(
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("frame", FRAMES)
-def test_an_answer_of_a_peer_that_cannot_be_read_is_as_good_as_none(frame: bytes) -> None:
+def test_an_unreadable_response_of_a_peer_counts_as_none(frame: bytes) -> None:
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(1)
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -1,4 +1,4 @@
-"""Users' requests and the state service's rate: what they cause leaves room for everything else."""
+"""Users' requests and the store's rate: what they cause leaves room for everything else."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
     cluster.store.tend = tend_after  # type: ignore[method-assign]
 
 
-def test_questions_leave_room_for_the_next_leader(
+def test_polls_leave_room_for_the_next_leader(
     cluster: Cluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Found on a day whose leader froze: 54,588 of 80,362 requests to the store were refused."""
@@ -116,7 +116,7 @@
 def test_the_share_shrinks_while_the_store_refuses_and_comes_back() -> None:
     """The store may take less than the settings say."""
     now = [T0]
-    quota = UserRequestLimiter(120.0, 3, lambda: now[0])
+    limiter = UserRequestLimiter(120.0, 3, lambda: now[0])
     full = USER_SHARE * 120.0 / 3
 
     def admitted(seconds: float) -> int:
@@ -125,38 +125,38 @@
         for _ in range(round(seconds / 0.01)):
             now[0] = MonotonicTime(now[0] + 0.01)
             try:
-                quota.admit(UserRequest.READ)
+                limiter.admit(UserRequest.READ)
             except RateLimitExceededError:
                 continue
-            quota.charge()
+            limiter.charge()
             count += 1
         return count
 
     admitted(2.0)
     assert admitted(1.0) == pytest.approx(full, abs=1)
     for _ in range(10):
-        quota.shrink()  # one sign, however many refusals
+        limiter.shrink()  # one sign, however many refusals
     assert admitted(0.25) <= 0.25 * full * (0.5 + 0.25 * RECOVERY_PER_S) + 1
     for _ in range(10):
         now[0] = MonotonicTime(now[0] + 0.5)
-        quota.shrink()
+        limiter.shrink()
     assert admitted(0.5) >= MIN_FACTOR * full * 0.5 - 1
     admitted(1.0 / RECOVERY_PER_S)
     assert admitted(1.0) == pytest.approx(full, abs=1)
 
 
 @pytest.mark.parametrize(("request_kind", "passes"), [("read", False), ("write", True)])
-def test_changes_pass_where_questions_have_used_their_part(request_kind: str, passes: bool) -> None:
-    quota = UserRequestLimiter(120.0, 3, lambda: T0)
+def test_writes_pass_where_reads_have_used_their_share(request_kind: str, passes: bool) -> None:
+    limiter = UserRequestLimiter(120.0, 3, lambda: T0)
     used = round((1.0 - WRITE_RESERVE) * USER_SHARE * 120.0 / 3)
     for _ in range(used):
-        quota.admit(UserRequest.READ)
-        quota.charge()
+        limiter.admit(UserRequest.READ)
+        limiter.charge()
     if passes:
-        quota.admit(UserRequest(request_kind))
+        limiter.admit(UserRequest(request_kind))
     else:
         with pytest.raises(RateLimitExceededError) as refused:
-            quota.admit(UserRequest(request_kind))
+            limiter.admit(UserRequest(request_kind))
         assert refused.value.retry_s > 0
 
 
@@ -164,9 +164,9 @@
     cluster.run(2.0)
     cluster.frozen.add(NAMES[0])
     cluster.submit(NAMES[1], "run-1")
-    quota = cluster.nodes[NAMES[1]].user_limiter
+    limiter = cluster.nodes[NAMES[1]].user_limiter
     for _ in range(500):
-        quota.charge()  # a debt of half a minute
+        limiter.charge()  # a debt of half a minute
     headers: list[dict[str, str]] = []
     environ = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/run-1"}
     cluster.apis[NAMES[1]](environ, lambda _status, found: headers.append(dict(found)))
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -18,7 +18,7 @@
 from support.fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 UNBOUNDED_RPS = 1e9
-"""The rate of the store has tests of its own (`test_user_quota.py`)."""
+"""The rate of the store has tests of its own (`test_user_request_limiter.py`)."""
 
 
 class FakeLeader:
@@ -30,12 +30,12 @@
     def poll(self, job: JobId) -> JobStatus | None:
         return self.states.get(job)
 
-    def on_heartbeat(self, _report: Any) -> HeartbeatResponse | None:
+    def on_heartbeat(self, _heartbeat: Any) -> HeartbeatResponse | None:
         return None
 
 
 class FakeNode:
-    """What the interface needs of a node."""
+    """The `Controller` protocol of the interface, without a process."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
