--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from ryewing import __version__
-from ryewing.api.api import Api
 from ryewing.api.final_states import FinalStateCache
 from ryewing.api.http_server import HttpServer
+from ryewing.api.router import Api
 from ryewing.clients.http_client import Reply
 from ryewing.clients.peers import (
     Ack,
@@ -287,7 +287,7 @@
         if not self._relay_bucket.take():
             return RelayResponse(0)
         try:
-            reply = self.store.raw(request.method, request.path, request.body, 0.5)
+            reply = self.store.request_direct(request.method, request.path, request.body, 0.5)
         except StoreUnavailableError:
             return RelayResponse(0)
         return RelayResponse(reply.status, reply.body)
