--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -219,7 +219,7 @@
     """A late write of an earlier process takes it away: others take over, and the owner, whose
     lease goes on, gives way; then its key comes back."""
     keep = ControllerHealth.keep
-    health = cluster.coordinators["n-0"]._health
+    health = cluster.coordinators["n-0"].health
     health.keep = lambda: None  # type: ignore[method-assign]
     cluster.store.txn({}, [Remove(NODE_PREFIX + "n-0")])
     cluster.run(1.0)
@@ -349,8 +349,8 @@
     assert seen.healthy == set(NAMES)
     for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
-        planner._planned_at = MonotonicTime(0.0)
-        planner._act(seen._replace(healthy=healthy))
+        planner.rebalancer.planned_at = MonotonicTime(0.0)
+        planner.take_due_steps(seen._replace(healthy=healthy))
     cluster.run(20.0)
     assert all_owned(cluster)
     all_done(cluster)
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -30,6 +30,8 @@
     "sharding.coordinator",
     "sharding.health",
     "sharding.owner_choice",
+    "sharding.ownership_steps",
+    "sharding.rebalancer",
     "sharding.team_demand",
     "sharding.team_limits",
 )
