--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -1,9 +1,13 @@
-"""Team limits divided among shards: the parts never add up to more than the limit.
+"""The parts of team limits that shards may use: the stored record, and the rules that divide it.
 
-Pure. All parts of one team stand in one record, so each change is one conditional write. A part is
-lowered by its shard's owner alone, which knows what it uses, and never below that; it is raised by
-anybody, and only by what no shard has. So at every moment, whatever is lost or late, what the
-shards may use together is within the limit.
+Pure functions on records; amounts are in processors and in GPUs. All parts of one team's limit
+stand in one record, so each change is one conditional write on the version that was read.
+
+The invariant: the parts of a record add up to the team's limit at most, and no part is below what
+may run on it (docs/design.md, argument 16). It holds whatever is lost, late or disagreed on: only
+its shard's leader lowers a part, which knows what is in use, and never below that (`lowered`); a
+part is raised only by what no shard has (`raised`). What a shard's part *should* be (`target_of`)
+decides when a part changes, and the invariant does not rest on it.
 """
 
 from __future__ import annotations
@@ -18,33 +22,33 @@
 
 UNLIMITED = math.inf
 LEAST_CHANGE = 1e-6
-"""Less is the rounding of earlier changes."""
+"""A smaller difference is the rounding of earlier changes."""
 
 
 class Amount(msgspec.Struct, frozen=True):
-    """So many processors and GPUs."""
+    """Resources that a team limit counts: processors and GPUs, possibly fractions of them."""
 
     cpus: float = 0.0
     gpus: float = 0.0
 
     def __add__(self, other: Amount) -> Amount:
-        """Add both."""
+        """Return the sum, resource by resource."""
         return Amount(self.cpus + other.cpus, self.gpus + other.gpus)
 
     def __sub__(self, other: Amount) -> Amount:
-        """Take away, down to nothing."""
+        """Return the difference, resource by resource, and 0 where it would be negative."""
         return Amount(max(0.0, self.cpus - other.cpus), max(0.0, self.gpus - other.gpus))
 
     def at_most(self, other: Amount) -> Amount:
-        """Give the smaller of each."""
+        """Return the smaller amount of each resource."""
         return Amount(min(self.cpus, other.cpus), min(self.gpus, other.gpus))
 
     def at_least(self, other: Amount) -> Amount:
-        """Give the larger of each."""
+        """Return the larger amount of each resource."""
         return Amount(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
     def scaled(self, cpus: float, gpus: float) -> Amount:
-        """Take a part of each."""
+        """Return the amount with each resource multiplied by its own factor."""
         return Amount(self.cpus * cpus, self.gpus * gpus)
 
 
@@ -52,99 +56,132 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """What a shard needs at once for its oldest job that can't be begun with less."""
+    """What a shard needs at once for its oldest job that can't start with less."""
 
     amount: Amount
     since: float
-    """The time of day at which the job was accepted."""
+    """The wall time at which the job was accepted."""
 
 
 class Allowances(msgspec.Struct, frozen=True):
     """The stored record of one team: what each shard may use, and what it asks for."""
 
     parts: dict[str, Amount] = {}
+    """What each shard may use of the team's limit."""
     demand: dict[str, Amount] = {}
-    """What each shard's running and waiting work would use."""
+    """What each shard's running and waiting tasks would use, as its leader last wrote it."""
     claims: dict[str, Claim] = {}
 
     def of(self, shard: ShardName) -> Amount:
-        """Tell what a shard may use."""
+        """Return the part of one shard."""
         return self.parts.get(shard, NOTHING)
 
     def total(self) -> Amount:
-        """Tell what all shards may use together."""
+        """Return the sum of all parts."""
         return sum(self.parts.values(), start=NOTHING)
 
-    def _with(self, shard: ShardName, amount: Amount) -> Allowances:
+    def with_part(self, shard: ShardName, amount: Amount) -> Allowances:
+        """Return the record with another part for one shard."""
         return msgspec.structs.replace(self, parts={**self.parts, shard: amount})
 
     def asking(self, shard: ShardName, demand: Amount, claim: Claim | None) -> Allowances:
-        """Give the record with what a shard asks for now."""
+        """Return the record with another demand and claim of one shard."""
         claims = {name: other for name, other in self.claims.items() if name != shard}
         if claim is not None:
             claims[shard] = claim
         return msgspec.structs.replace(self, demand={**self.demand, shard: demand}, claims=claims)
 
     def someone_lacks(self, shard: ShardName) -> bool:
-        """Tell whether another shard asks for more than it may use."""
+        """Return whether any shard but this one demands more than its part."""
         return any(
-            name != shard and asked - self.of(ShardName(name)) != NOTHING
-            for name, asked in self.demand.items()
+            name != shard and demand - self.of(ShardName(name)) != NOTHING
+            for name, demand in self.demand.items()
         )
 
 
 def limit_of(team: Team) -> Amount:
-    """Give a team's limit; 0 in the settings means that there is none."""
+    """Return a team's limit over all shards; 0 in the settings means that there is none."""
     return Amount(team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED)
 
 
 def lowered(
-    record: Allowances, shard: ShardName, wanted: Amount, in_use: Amount
+    record: Allowances, shard: ShardName, requested: Amount, in_use: Amount
 ) -> Allowances | None:
-    """The shard's owner gives back what it neither wants nor uses; None if there is nothing.
+    """Return the record without what a shard neither requests nor uses; None if that is nothing.
 
-    `in_use` counts what machines that can't be reached may hold: their tasks may go on.
+    To be called by the shard's leader alone. `in_use` includes what machines that can't be reached
+    may hold, since their tasks may go on.
     """
     present = record.of(shard)
-    kept = present.at_most(wanted.at_least(in_use))
-    return None if kept == present else record._with(shard, kept)
+    kept = present.at_most(requested.at_least(in_use))
+    return None if kept == present else record.with_part(shard, kept)
 
 
 def raised(
-    record: Allowances, shard: ShardName, wanted: Amount, limit: Amount
+    record: Allowances, shard: ShardName, requested: Amount, limit: Amount
 ) -> Allowances | None:
-    """Give a shard more, of what no shard has; None if there is nothing."""
+    """Return the record with more for a shard, of what no shard has; None if that is nothing."""
     present = record.of(shard)
-    rest = limit - record.total()
-    missing = wanted - present
-    more = Amount(min(rest.cpus, missing.cpus), min(rest.gpus, missing.gpus))
-    return None if max(more.cpus, more.gpus) < LEAST_CHANGE else record._with(shard, present + more)
+    unassigned = limit - record.total()
+    missing = requested - present
+    more = Amount(min(unassigned.cpus, missing.cpus), min(unassigned.gpus, missing.gpus))
+    if max(more.cpus, more.gpus) < LEAST_CHANGE:
+        return None
+    return record.with_part(shard, present + more)
 
 
 def target_of(
     record: Allowances, shard: ShardName, shards: Sequence[ShardName], limit: Amount
 ) -> Amount:
-    """Tell what a shard's part should be, by what all of them ask for.
+    """Return a shard's fair share of a limit, by the demand and claims of all shards.
 
-    The oldest claim comes first: a gang that needs nearly all of a limit would never start beside
-    a steady demand elsewhere if the limit were divided by demand alone. What nobody asks for is
-    divided evenly, so that small work need not wait for a change of the record.
+    Every leader comes to the same shares from the same record. The oldest claim comes first: a gang
+    that needs nearly all of a limit would never start beside a steady demand elsewhere if the limit
+    were divided by demand alone. What nobody asks for is divided evenly, so that small jobs need
+    not wait for a change of the record.
     """
     demand = {name: record.demand.get(name, NOTHING).at_most(limit) for name in shards}
+    shares = wanted_parts(limit, demand, _oldest_claim(record, shards, limit))
+    spare = limit - sum(shares.values(), start=NOTHING)
+    even_share = Amount(
+        _zero_if_unlimited(spare.cpus / len(shards)), _zero_if_unlimited(spare.gpus / len(shards))
+    )
+    return shares[shard] + even_share
+
+
+def _oldest_claim(
+    record: Allowances, shards: Sequence[ShardName], limit: Amount
+) -> dict[ShardName, Amount]:
+    """Return the oldest claim's amount under its shard's name; empty if there is no claim."""
     claims = {name: record.claims[name] for name in shards if name in record.claims}
-    first = min(claims, key=lambda name: (claims[name].since, name), default=None)
-    reserved = {first: claims[first].amount.at_most(limit)} if first is not None else {}
-    parts = wanted_parts(limit, demand, reserved)
-    spare = limit - sum(parts.values(), start=NOTHING)
-    even = Amount(*(_finite(part / len(shards)) for part in (spare.cpus, spare.gpus)))
-    return parts[shard] + even
+    oldest = min(claims, key=lambda name: (claims[name].since, name), default=None)
+    if oldest is None:
+        return {}
+    return {oldest: claims[oldest].amount.at_most(limit)}
+
+
+def wanted_parts(
+    limit: Amount, demand: Mapping[ShardName, Amount], in_use: Mapping[ShardName, Amount]
+) -> dict[ShardName, Amount]:
+    """Divide a limit among shards in proportion to their demand.
+
+    What is in use (or reserved for a claim) comes first; only the rest is divided, in proportion to
+    each shard's demand beyond that.
+    """
+    used = {shard: in_use.get(shard, NOTHING) for shard in demand}
+    rest = limit - sum(used.values(), start=NOTHING)
+    unmet = {shard: asked - used[shard] for shard, asked in demand.items()}
+    total_unmet = sum(unmet.values(), start=NOTHING)
+    cpus = _satisfiable_fraction(rest.cpus, total_unmet.cpus)
+    gpus = _satisfiable_fraction(rest.gpus, total_unmet.gpus)
+    return {shard: used[shard] + unmet[shard].scaled(cpus, gpus) for shard in demand}
 
 
-def whole_units(target: Amount, used: Amount, unit: Amount, up: bool) -> Amount:
-    """Round what a part has beyond what is used to whole tasks.
+def whole_tasks(target: Amount, used: Amount, unit: Amount, round_up: bool) -> Amount:
+    """Round what a part has beyond what is used to whole tasks, or gangs, of `unit` each.
 
-    A part that ends in a piece of a task keeps that piece from others: two shards with 4.3 and 3.7
-    of 8 GPUs use 7.
+    A part that ends in a fraction of a task keeps that fraction from others: two shards with 4.3
+    and 3.7 of 8 GPUs use 7.
     """
     needs = [
         (amount, room)
@@ -157,31 +194,15 @@
     if not needs:
         return target
     count = min(room / amount for amount, room in needs)
-    rounded = math.ceil(count - LEAST_CHANGE) if up else math.floor(count + LEAST_CHANGE)
+    rounded = math.ceil(count - LEAST_CHANGE) if round_up else math.floor(count + LEAST_CHANGE)
     return used + unit.scaled(max(0, rounded), max(0, rounded))
 
 
-def _finite(amount: float) -> float:
-    """Leave out what has no limit: it is never counted against anything."""
+def _zero_if_unlimited(amount: float) -> float:
+    """Leave out a resource without a limit: it is never counted against anything."""
     return amount if math.isfinite(amount) else 0.0
 
 
-def wanted_parts(
-    limit: Amount, demand: Mapping[ShardName, Amount], in_use: Mapping[ShardName, Amount]
-) -> dict[ShardName, Amount]:
-    """Divide a limit by what each shard's waiting and running work asks for.
-
-    What is in use comes first, since it can't be taken down; the rest goes by demand beyond that.
-    """
-    used = {shard: in_use.get(shard, NOTHING) for shard in demand}
-    rest = limit - sum(used.values(), start=NOTHING)
-    beyond = {shard: asked - used[shard] for shard, asked in demand.items()}
-    total = sum(beyond.values(), start=NOTHING)
-    cpus = _part(rest.cpus, total.cpus)
-    gpus = _part(rest.gpus, total.gpus)
-    return {shard: used[shard] + beyond[shard].scaled(cpus, gpus) for shard in demand}
-
-
-def _part(there: float, wanted: float) -> float:
-    """Tell which part of what is wanted is there."""
-    return 1.0 if wanted <= there else there / wanted
+def _satisfiable_fraction(available: float, requested: float) -> float:
+    """Return which fraction of a request, 1 at most, what is available satisfies."""
+    return 1.0 if requested <= available else available / requested
--- /dev/null
+++ b/src/ryewing/sharding/allowance_change.py
@@ -0,0 +1,82 @@
+"""How one shard's leader changes a team's record: what it asks for, gives back and takes.
+
+No requests are sent here; `team_limits` writes the result. The invariant that the parts add up to
+the limit at most is kept by `lowered` and `raised` (`allowance`; docs/design.md, argument 16).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from ryewing.sharding.allowance import NOTHING, Allowances, Amount, lowered, raised, target_of
+from ryewing.sharding.team_demand import TeamDemand
+from ryewing.units import ShardName
+
+SMALL_FRACTION = 0.05
+"""A demand, or a part that no waiting task needs, is not written again while it differs by no more
+than this fraction of the limit."""
+
+
+class AllowanceChange:
+    """The changes that one shard's leader makes to the records of teams."""
+
+    def __init__(self, shard: ShardName, shards: Sequence[ShardName]) -> None:
+        self._shard = shard
+        self._shards = shards
+
+    def next_record(self, record: Allowances, demand: TeamDemand) -> Allowances:
+        """Return a team's record as it should be, which may be the same one."""
+        requested = demand.requested()
+        record = self._with_demand(record, demand, requested)
+        target = target_of(record, self._shard, self._shards, demand.limit)
+        rounded = demand.in_whole_tasks(target, requested)
+        if record.someone_lacks(self._shard):
+            record = lowered(record, self._shard, rounded.down, demand.in_use()) or record
+        if self._is_raise_worthwhile(record, rounded.up, requested, demand.limit):
+            record = self._raised(record, (rounded.up, rounded.down), demand.limit)
+        return record
+
+    def _with_demand(self, record: Allowances, demand: TeamDemand, requested: Amount) -> Allowances:
+        """Return the record with the present demand and claim, if they are worth writing."""
+        part = record.of(self._shard)
+        lacks = requested - part != NOTHING
+        claim = demand.claim() if lacks else None
+        recorded = record.demand.get(self._shard, NOTHING)
+        recorded_lacks = recorded - part != NOTHING
+        if not lacks and not recorded_lacks and not record.someone_lacks(self._shard):
+            return record  # no shard's share depends on it
+        is_same_claim = claim == record.claims.get(self._shard)
+        if is_same_claim and _are_similar(recorded, requested, demand.limit):
+            return record
+        return record.asking(self._shard, requested, claim)
+
+    def _is_raise_worthwhile(
+        self, record: Allowances, target: Amount, requested: Amount, limit: Amount
+    ) -> bool:
+        """Return whether a raise is worth a write: for waiting tasks, or for much of the limit."""
+        part = record.of(self._shard)
+        return requested - part != NOTHING or not _are_similar(part, target, limit)
+
+    def _raised(
+        self, record: Allowances, amounts: tuple[Amount, Amount], limit: Amount
+    ) -> Allowances:
+        """Raise the part to the first of the amounts for which the limit has room."""
+        for amount in amounts:
+            more = raised(record, self._shard, amount, limit)
+            if more is not None and more.of(self._shard).at_least(amount) == amount:
+                return more
+        return record
+
+
+def _are_similar(one: Amount, other: Amount, limit: Amount) -> bool:
+    """Return whether two amounts differ by SMALL_FRACTION of a limit at most.
+
+    An amount of 0 is similar to no other.
+    """
+    return all(
+        abs(a - b) <= SMALL_FRACTION * most and (a > 0) == (b > 0)
+        for a, b, most in (
+            (one.cpus, other.cpus, limit.cpus),
+            (one.gpus, other.gpus, limit.gpus),
+        )
+    )
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -1,33 +1,45 @@
-"""What one team's work in one shard uses, and what it should ask for of the team's limit."""
+"""What one team's work in one shard uses, and what it should ask for of the team's limit.
+
+Amounts are in processors and GPUs; a resource that the team may use without a limit is left out.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from ryewing.config.settings import Team
 from ryewing.leader.term_context import TermContext
-from ryewing.sharding.allowance import NOTHING, Amount, Claim, limit_of, whole_units
+from ryewing.sharding.allowance import NOTHING, Amount, Claim, limit_of, whole_tasks
 from ryewing.state.jobs import Job
 from ryewing.units import MonotonicTime, TeamName, monotonic_now
 
 RESERVATION_S = 60.0
-"""How long room is asked for in vain, and for how long after that it is not."""
+"""For how long room is asked for without any start, and then for how long it is not asked for."""
+
+
+class RoundedTarget(NamedTuple):
+    """A part rounded to whole tasks."""
+
+    down: Amount
+    up: Amount
 
 
 class TeamDemand:
-    """One team in one term.
+    """The demand of one team in one term.
 
     Room that is kept for a gang lies idle until there is enough of it, and room that no machine has
     lies idle as well, while another shard may have work and machines for it. So what was asked for
     and brought no start in a minute is not asked for in the next one: without any such room a large
-    gang would never start beside a steady demand, without an end small work elsewhere would wait
-    for ever.
+    gang would never start beside a steady demand; without an end of it small work elsewhere would
+    wait for ever.
     """
 
     def __init__(self, term: TermContext, team: Team) -> None:
         self._term = term
         self._team = team
-        self._ran = NOTHING
+        self._last_running = NOTHING
         self._progress_at = monotonic_now()
-        """When something was last started, or nothing waited."""
+        """When a task was last started, or nothing waited."""
 
     @property
     def limit(self) -> Amount:
@@ -35,37 +47,44 @@
         return limit_of(self._team)
 
     def note_progress(self, now: MonotonicTime) -> None:
-        """Take note of whether the team's work gets on."""
+        """Record whether the team's work makes progress; to be called at each step of the limits.
+
+        A minute after the demand was given up for lack of progress, it is asked for again.
+        """
         running = self.running()
-        started = running - self._ran != NOTHING
+        started = running - self._last_running != NOTHING
         if started or not self._waiting() or now - self._progress_at >= 2 * RESERVATION_S:
             self._progress_at = now
-        self._ran = running
+        self._last_running = running
 
     def running(self) -> Amount:
-        """Tell what the team's tasks use."""
+        """Return what the team's assigned tasks use."""
         cluster, name = self._term.cluster, TeamName(self._team.name)
         return self._limited_only(
             max(0.0, cluster.team_cpus.get(name, 0.0)), max(0.0, cluster.team_gpus.get(name, 0.0))
         )
 
     def in_use(self) -> Amount:
-        """Tell what the team may be using: machines that were not heard may hold anything."""
+        """Return what the team may be using: unreconciled machines may be full of its tasks."""
         unreconciled = [machine.machine_type for machine in self._term.cluster.unreconciled()]
         return self.running() + self._limited_only(
             sum(machine_type.cpus for machine_type in unreconciled),
             sum(machine_type.gpus for machine_type in unreconciled),
         )
 
-    def wanted(self) -> Amount:
-        """Tell what running and waiting work would use, of what may be used at all."""
-        stuck = self._stuck()
-        waiting = [self._needed(job, 1 if stuck else job.shortfall) for job in self._asking()]
+    def requested(self) -> Amount:
+        """Return what running and waiting tasks would use, the team's limit at most."""
+        stalled = self._is_stalled()
+        waiting = [
+            self._needed(job, 1 if stalled else job.shortfall) for job in self._jobs_asked_for()
+        ]
         return sum(waiting, start=self.running()).at_most(self.limit)
 
     def claim(self) -> Claim | None:
-        """Claim room for the oldest job that can't be begun with less than it needs."""
-        oldest = min(self._asking(), key=lambda job: (job.accepted_at, job.id), default=None)
+        """Return what the oldest waiting job needs at once to start; None if no job waits."""
+        oldest = min(
+            self._jobs_asked_for(), key=lambda job: (job.accepted_at, job.id), default=None
+        )
         if oldest is None:
             return None
         if oldest.is_gang:
@@ -74,27 +93,33 @@
             amount = self._needed(oldest, 1)
         return Claim(amount.at_most(self.limit), oldest.accepted_at)
 
-    def in_whole_tasks(self, target: Amount, wanted: Amount) -> tuple[Amount, Amount]:
-        """Round a part down and up to whole tasks, where not all that is wanted fits into it."""
+    def in_whole_tasks(self, target: Amount, requested: Amount) -> RoundedTarget:
+        """Round a part down and up to whole tasks of the smallest waiting job.
+
+        A part that satisfies all that is requested stays as it is.
+        """
         waiting = self._waiting()
-        if wanted - target == NOTHING or not waiting:
-            return target, target
-        smallest = min(waiting, key=_size)
+        if requested - target == NOTHING or not waiting:
+            return RoundedTarget(target, target)
+        smallest = min(waiting, key=_task_size)
         unit = self._needed(smallest, smallest.shortfall if smallest.is_gang else 1)
         used = self.running()
-        return whole_units(target, used, unit, up=False), whole_units(target, used, unit, up=True)
+        return RoundedTarget(
+            down=whole_tasks(target, used, unit, round_up=False),
+            up=whole_tasks(target, used, unit, round_up=True),
+        )
 
-    def _stuck(self) -> bool:
-        """Tell whether nothing has been started for too long."""
+    def _is_stalled(self) -> bool:
+        """Return whether no task was started for RESERVATION_S while some waited."""
         return monotonic_now() - self._progress_at >= RESERVATION_S
 
-    def _asking(self) -> list[Job]:
-        """List the jobs that room is asked for: while nothing gets on, one small one."""
+    def _jobs_asked_for(self) -> list[Job]:
+        """List the jobs to ask for: while stalled, only the smallest one that is not a gang."""
         waiting = self._waiting()
-        if not self._stuck():
+        if not self._is_stalled():
             return waiting
         small = [job for job in waiting if not job.is_gang]
-        return [min(small, key=_size)] if small else []
+        return [min(small, key=_task_size)] if small else []
 
     def _waiting(self) -> list[Job]:
         table = self._term.job_table
@@ -105,11 +130,11 @@
         return self._limited_only(job.spec.cpus * tasks, job.spec.gpus * tasks)
 
     def _limited_only(self, cpus: float, gpus: float) -> Amount:
-        """Leave out what the team may use without a limit."""
+        """Leave out a resource that the team may use without a limit."""
         team = self._team
         return Amount(cpus if team.cpus_max else 0.0, gpus if team.gpus_max else 0.0)
 
 
-def _size(job: Job) -> tuple[float, float, str]:
-    """Order jobs by what a task takes."""
+def _task_size(job: Job) -> tuple[float, float, str]:
+    """Sort key: jobs by what one task takes, GPUs first."""
     return job.spec.gpus, job.spec.cpus, job.id
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -1,9 +1,11 @@
-"""What one shard's leader may let each team use: its parts of the teams' limits, kept in the store.
-
-Only this leader changes its shard's parts. A part counts as raised once the store has confirmed it,
-and as lowered from before the change is sent. A change that gets no answer may be carried out
-later, when work was begun again on the higher part; so until another write of the same record is
-confirmed, which makes the lost one fail, the lower of both counts.
+"""The team limits that one shard's leader enforces: its parts of the teams' limits, in the store.
+
+Only this leader changes its shard's parts, under its term. A part counts as raised once the store
+has confirmed it, and as lowered from before the change is sent. A change that gets no answer may be
+carried out later, when tasks were started again on the higher part; so the lower of both counts
+until another write of the same record is confirmed, which makes the lost one fail. With that, tasks
+are started by no more than what the store has confirmed and no write on its way may still lower
+(docs/design.md, argument 16).
 """
 
 from __future__ import annotations
@@ -18,7 +20,8 @@
 from ryewing.clients.store import Put, StoreUnavailableError, decode_stored
 from ryewing.config.settings import Team
 from ryewing.leader.leader import Leader
-from ryewing.sharding.allowance import NOTHING, Allowances, Amount, lowered, raised, target_of
+from ryewing.sharding.allowance import NOTHING, Allowances, Amount
+from ryewing.sharding.allowance_change import AllowanceChange
 from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
 from ryewing.sharding.team_demand import TeamDemand
 from ryewing.state.resources import EPSILON
@@ -29,58 +32,63 @@
 
 STEP_S = 0.5
 FIRST_STEP_S = 0.1
-"""How often a new term looks whether it may read the records: until then nothing may be used."""
+"""How often a new term checks whether it may read the records: until then no team may use any
+limited resource."""
 READ_EVERY_S = 2.0
-"""How often the records are read while nothing is wanted of them."""
-SMALL_PART = 0.05
-"""A change of what is asked for that is no larger than this part of the limit is not told."""
+"""How often the records are read while no more is requested than the parts allow."""
+NEVER = MonotonicTime(-1e9)
 NO_ROOM = EPSILON / 2
-"""Stands for a part of nothing: a limit of 0 would say that there is none."""
+"""Stands for a part of 0: a team's limit of 0 would mean that there is none."""
+FENCED = "fenced"
+"""The term ends since another leader's term has superseded it."""
 
 
-class _TeamRecord:
-    """A team's record as the store was last seen to have it, and what of it may be relied on."""
+class TeamRecord:
+    """A team's record as it was last read or written, and how much of it may be relied on."""
 
-    __slots__ = ("ceiling", "record", "version")
+    __slots__ = ("record", "unconfirmed_part", "version")
 
-    def __init__(self, record: Allowances, version: KeyVersion, ceiling: Amount | None) -> None:
+    def __init__(
+        self, record: Allowances, version: KeyVersion, unconfirmed_part: Amount | None
+    ) -> None:
         self.record = record
         self.version = version
-        self.ceiling = ceiling
-        """What a change without an answer may have lowered the part to."""
+        self.unconfirmed_part = unconfirmed_part
+        """What changes without an answer may have lowered the part to; None if there are none."""
 
     def usable(self, shard: ShardName) -> Amount:
-        """Tell what may be used for certain."""
+        """Return how much of its part a shard may use for certain."""
         part = self.record.of(shard)
-        return part if self.ceiling is None else part.at_most(self.ceiling)
+        return part if self.unconfirmed_part is None else part.at_most(self.unconfirmed_part)
 
 
 class ShardTeamLimits:
-    """The parts of one term; ends with it."""
+    """The limits of all teams in one term; its greenlet is `run`, one of the leader's loops."""
 
     def __init__(self, leader: Leader, shard: ShardName, shards: Sequence[ShardName]) -> None:
         self._leader = leader
         self._term = leader.term
         self._shard = shard
-        self._shards = shards
+        self._change = AllowanceChange(shard, shards)
         self._demands = {
             team.name: TeamDemand(self._term, team)
             for team in self._term.teams.values()
             if team.cpus_max or team.gpus_max
         }
-        self._records: dict[str, _TeamRecord] = {}
-        self._read_at = MonotonicTime(-1e9)
+        self.records: dict[str, TeamRecord] = {}
+        """The newest known record of each team; none of a team whose record can't be read."""
+        self._read_at = NEVER
 
     def teams(self) -> dict[str, Team]:
-        """Give the teams with what this shard may use as their limits."""
+        """Return the teams with what this shard may use as their limits."""
         return {
             name: self._with_part(team) if name in self._demands else team
             for name, team in self._term.teams.items()
         }
 
     def _with_part(self, team: Team) -> Team:
-        known = self._records.get(team.name)
-        part = known.usable(self._shard) if known is not None else NOTHING
+        stored = self.records.get(team.name)
+        part = stored.usable(self._shard) if stored is not None else NOTHING
         return msgspec.structs.replace(
             team,
             cpus_max=max(part.cpus, NO_ROOM) if team.cpus_max else 0.0,
@@ -88,135 +96,101 @@
         )
 
     def run(self) -> None:
-        """Keep the parts to what is wanted, until the term ends."""
+        """Adapt the parts to the demand until the term ends."""
         while self._demands:
-            gevent.sleep(STEP_S if self._records else FIRST_STEP_S)
+            gevent.sleep(STEP_S if self.records else FIRST_STEP_S)
             try:
                 self.step()
             except StoreUnavailableError as error:
                 log.debug("event=allowances-failed error=%s", error)
 
     def step(self) -> None:
-        """Read the records if they may have changed, and write what has to change."""
-        if not self._demands or not self._term.may_begin() or not self._leader.scheduler.reconciled:
+        """Read the records if they may have changed, and write those that have to change.
+
+        Raises StoreUnavailableError if the store does not answer.
+        """
+        if not self._may_change_records():
             return
         now = monotonic_now()
         for demand in self._demands.values():
             demand.note_progress(now)
-        if now - self._read_at >= READ_EVERY_S or self._wants_more():
-            self._read()
+        if now - self._read_at >= READ_EVERY_S or self._is_read_needed():
+            self.read_records()
             self._read_at = now
-        changes = {name: wanted for name in self._demands if (wanted := self._change(name))}
+        changes = self._due_changes()
         if changes and self._leader.writer.may_write(len(changes)):
             self._write(dict(list(changes.items())[: self._term.store.limits.txn_ops]))
 
-    def _wants_more(self) -> bool:
-        """Tell whether a team's demand is above its part, or a record is in doubt."""
+    def _may_change_records(self) -> bool:
+        """Return whether this leader is past reconciliation and may start tasks now."""
+        return bool(self._demands) and self._term.may_begin() and self._leader.scheduler.reconciled
+
+    # -- reading ----------------------------------------------------------------------------
+
+    def _is_read_needed(self) -> bool:
+        """Return whether a team requests more than its part, or a record is uncertain."""
         for name, demand in self._demands.items():
-            known = self._records.get(name)
-            if known is None or known.ceiling is not None:
+            stored = self.records.get(name)
+            if stored is None or stored.unconfirmed_part is not None:
                 return True
-            if demand.wanted() - known.record.of(self._shard) != NOTHING:
+            if demand.requested() - stored.record.of(self._shard) != NOTHING:
                 return True
         return False
 
-    def _read(self) -> None:
+    def read_records(self) -> None:
+        """Read the records of all teams; raises StoreUnavailableError."""
         entries = {entry.key: entry for entry in self._term.store.listing(ALLOWANCE_PREFIX)[0]}
         for name in self._demands:
-            self._take_in(name, entries.get(_key(name)))
+            self._keep_record(name, entries.get(_key(name)))
 
-    def _take_in(self, name: str, entry: Entry | None) -> None:
-        """Note a record; it may not be newer than the write that it is in doubt about."""
-        known = self._records.get(name)
-        ceiling = known.ceiling if known is not None else None
+    def _keep_record(self, name: str, entry: Entry | None) -> None:
+        """Keep what was read; an unconfirmed write may still be carried out after the reading."""
+        stored = self.records.get(name)
+        unconfirmed_part = stored.unconfirmed_part if stored is not None else None
         if entry is None:
-            self._records[name] = _TeamRecord(Allowances(), KeyVersion(0), ceiling)
+            self.records[name] = TeamRecord(Allowances(), KeyVersion(0), unconfirmed_part)
             return
         record = decode_stored(entry.data, Allowances, entry.key)
         if record is None:
-            self._records.pop(name, None)  # nothing may be used until an operator has seen to it
+            self.records.pop(name, None)  # the team may use nothing until an operator mends it
             return
-        self._records[name] = _TeamRecord(record, KeyVersion(entry.key_version), ceiling)
-
-    # -- what is wanted ---------------------------------------------------------------------
-
-    def _change(self, name: str) -> Allowances | None:
-        """Give a team's record as it should be, or None if it can stay."""
-        known = self._records.get(name)
-        if known is None:
-            return None
-        demand = self._demands[name]
-        wanted = demand.wanted()
-        record = self._with_demand(known.record, demand, wanted)
-        target = target_of(record, self._shard, self._shards, demand.limit)
-        least, most = demand.in_whole_tasks(target, wanted)
-        if record.someone_lacks(self._shard):
-            record = lowered(record, self._shard, least, demand.in_use()) or record
-        if self._pays(record.of(self._shard), most, wanted, demand.limit):
-            record = self._raised(record, (most, least), demand.limit)
-        if record == known.record and known.ceiling is None:
-            return None
-        return record
-
-    def _raised(
-        self, record: Allowances, amounts: tuple[Amount, Amount], limit: Amount
-    ) -> Allowances:
-        """Raise the part to the first of the amounts for which there is room."""
-        for amount in amounts:
-            more = raised(record, self._shard, amount, limit)
-            if more is not None and more.of(self._shard).at_least(amount) == amount:
-                return more
-        return record
-
-    def _with_demand(self, record: Allowances, demand: TeamDemand, wanted: Amount) -> Allowances:
-        """Give the record with what is asked for now, if that is worth telling."""
-        part = record.of(self._shard)
-        lacks = wanted - part != NOTHING
-        claim = demand.claim() if lacks else None
-        told = record.demand.get(self._shard, NOTHING)
-        told_lacks = told - part != NOTHING
-        if not lacks and not told_lacks and not record.someone_lacks(self._shard):
-            return record  # nobody goes by it
-        if claim == record.claims.get(self._shard) and _similar(told, wanted, demand.limit):
-            return record
-        return record.asking(self._shard, wanted, claim)
-
-    def _pays(self, part: Amount, target: Amount, wanted: Amount, limit: Amount) -> bool:
-        """Tell whether a raise is worth a write: for work that waits, or for much of the limit."""
-        return wanted - part != NOTHING or not _similar(part, target, limit)
+        self.records[name] = TeamRecord(record, KeyVersion(entry.key_version), unconfirmed_part)
 
     # -- writing ----------------------------------------------------------------------------
 
+    def _due_changes(self) -> dict[str, Allowances]:
+        """Return the new records of the teams whose records have to be written, by team name."""
+        changes = {}
+        for name, demand in self._demands.items():
+            stored = self.records.get(name)
+            if stored is None:
+                continue
+            record = self._change.next_record(stored.record, demand)
+            # An unchanged record is written as well if that makes an unconfirmed write fail.
+            if record != stored.record or stored.unconfirmed_part is not None:
+                changes[name] = record
+        return changes
+
     def _write(self, changes: dict[str, Allowances]) -> None:
-        conditions = {_key(name): self._records[name].version for name in changes}
-        for name, wanted in changes.items():
-            known = self._records[name]
-            known.ceiling = known.usable(self._shard).at_most(wanted.of(self._shard))
+        """Write records in one transaction, fenced by this term."""
+        conditions = {_key(name): self.records[name].version for name in changes}
+        for name, record in changes.items():
+            stored = self.records[name]
+            stored.unconfirmed_part = stored.usable(self._shard).at_most(record.of(self._shard))
         result = self._term.store.txn(
             self._term.leadership.fencing_conditions(conditions),
-            [Put(_key(name), wanted) for name, wanted in changes.items()],
+            [Put(_key(name), record) for name, record in changes.items()],
         )
         if self._term.leadership.is_superseded(result):
-            self._term.end("fenced")
+            self._term.end(FENCED)
             return
-        self._read_at = MonotonicTime(-1e9)
+        self._read_at = NEVER
         if not result.ok:
             return  # another shard changed one of them: all are read again
-        for name, wanted in changes.items():
-            self._records[name] = _TeamRecord(wanted, KeyVersion(result.revision), None)
+        for name, record in changes.items():
+            self.records[name] = TeamRecord(record, KeyVersion(result.revision), None)
         self._term.scheduling_needed.set()
 
 
-def _similar(one: Amount, other: Amount, limit: Amount) -> bool:
-    """Tell whether two amounts differ by a small part of a limit at most."""
-    return all(
-        abs(a - b) <= SMALL_PART * most and (a > 0) == (b > 0)
-        for a, b, most in (
-            (one.cpus, other.cpus, limit.cpus),
-            (one.gpus, other.gpus, limit.gpus),
-        )
-    )
-
-
 def _key(name: str) -> str:
     return ALLOWANCE_PREFIX + quote(name, safe="")
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -187,8 +187,8 @@
     low = part()
     assert low < LIMIT / 2
     cluster.links["n-0"].late = False
-    limits._read()
-    assert limits._records["red"].record.of(ShardName(EAST)).gpus > low  # as the store has it
+    limits.read_records()
+    assert limits.records["red"].record.of(ShardName(EAST)).gpus > low  # as the store has it
     assert part() == low
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
