--- a/src/ryewing/sharding/check.py
+++ b/src/ryewing/sharding/check.py
@@ -1,4 +1,4 @@
-"""What an operator is told of a division before it is used."""
+"""The output of `check --shards`: what a division of the fleet means before it is used."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def describe(text: str, settings: Settings) -> Iterator[str]:
-    """Check a division and say what it means; raise SettingsError with the first problem."""
+    """Check a division and yield the lines to print; raise SettingsError with the first problem."""
     shards = shards_from(text, settings)
     yield f"{text}: good, shards {', '.join(shards.names())}"
     narrow = [spec.name for spec in shards.shards if len(spec.zones) < SPREAD_ZONES]
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -1,4 +1,7 @@
-"""The fleet divided into shards, as the rest of a controller needs to know it."""
+"""The fleet divided into shards: the `leader.division.Division` of a divided controller.
+
+Which shard a job belongs to, and why, is in docs/sharding.md.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +20,14 @@
 from ryewing.wire.cloud import MachineType
 from ryewing.wire.jobs import JobSpec
 
-CHOICES = 2
-"""Shards that are drawn for a new job; the one with the least waiting work gets it."""
+DRAWN_SHARDS = 2
+"""How many shards are drawn at random for a new job; the one with the smallest backlog gets it."""
 SPREAD_ZONES = 2
-"""Zones that a job needs at the least whose tasks may not all be in one."""
+"""How many zones a job needs at least whose tasks are spread over zones."""
 
 
 class ShardDivision:
-    """One term for each shard."""
+    """A division with one term for each shard, which has an even share of each rate."""
 
     def __init__(self, shards: ShardSettings, rng: random.Random | None = None) -> None:
         share = 1.0 / len(shards.shards)
@@ -34,14 +37,14 @@
         ]
         self._rng = rng or random.Random()
         self.in_force = False
-        """Whether the store is known to hold this division's records."""
+        """Whether the store has confirmed that this division is the one in force."""
 
     def scopes(self) -> Sequence[TermScope]:
-        """Give the shards' scopes."""
+        """Return the shards' scopes, in the order of the settings."""
         return self._scopes
 
     def store_for(self, scope: TermScope, store: Store) -> TermStore:
-        """Give a shard's part of the store."""
+        """Return a shard's part of the store."""
         if scope.shard is None:
             return store
         return ShardStore(store, scope.shard)
@@ -54,29 +57,32 @@
     ) -> ShardName | None:
         """Choose a new job's shard among those that could ever run it.
 
-        Two are drawn, and the one with the least waiting work gets it. While not all have said how
-        much that is, the job's name decides, so that a few controllers that begin don't all choose
-        the same.
+        Two are drawn at random, and the one with the smaller backlog gets the job. While the load
+        of any of them is unknown, the job's id decides, so that controllers that have just started
+        don't all choose the same shard.
+
+        Raises NotReadyError while the division is not confirmed, and NoShardError if no single
+        shard could ever run the job.
         """
         if not self.in_force:
             raise NotReadyError("the division of the fleet is not confirmed by the store")
-        able = [
+        eligible = [
             scope.shard
             for scope in self._scopes
             if scope.shard is not None and could_run(spec, scope, machine_types)
         ]
-        if not able:
+        if not eligible:
             raise NoShardError("no single shard has the zones and machine types that it needs")
-        if any(loads.get(name) is None for name in able):
-            return able[_stable_hash(JobId(spec.id)) % len(able)]
-        news = {name: load for name, load in loads.items() if load is not None}
-        open_ones = [name for name in able if not news[name].full] or able
-        drawn = self._rng.sample(open_ones, min(CHOICES, len(open_ones)))
-        return min(drawn, key=lambda name: news[name].backlog)
+        if any(loads.get(name) is None for name in eligible):
+            return eligible[_stable_hash(JobId(spec.id)) % len(eligible)]
+        known_loads = {name: load for name, load in loads.items() if load is not None}
+        candidates = [name for name in eligible if not known_loads[name].full] or eligible
+        drawn = self._rng.sample(candidates, min(DRAWN_SHARDS, len(candidates)))
+        return min(drawn, key=lambda name: known_loads[name].backlog)
 
 
 def could_run(spec: JobSpec, scope: TermScope, machine_types: Mapping[str, MachineType]) -> bool:
-    """Tell whether a shard's zones and machine types could ever run a job."""
+    """Return whether a shard's zones and machine types could ever run a job."""
     zones: set[str] = set()
     for machine_type in scope.machine_types(list(machine_types.values())):
         allowed = spec.machine_types is None or machine_type.name in spec.machine_types
@@ -90,5 +96,5 @@
 
 
 def _stable_hash(job: JobId) -> int:
-    """Give a number that is the same on every controller and in every process."""
+    """Return a number that is the same on every controller and in every process."""
     return zlib.crc32(job.encode())
--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -1,13 +1,17 @@
-"""Owners by an integer program, solved by HiGHS within a time.
+"""Assigns shards to controllers by an integer program, solved by HiGHS within a time limit.
 
-One binary variable for each shard and controller that may own it; the fullest controller's share of
-its room is a variable that bounds them all, and its part above one is another.
+No controller uses this module: controllers plan greedily (`greedy`). It is used by `planner.plan`
+and tools/measure_planner.py, and needs requirements-sharding.txt.
+
+There is one binary variable for each shard and controller that may own it. The utilization of the
+most utilized controller is a variable that bounds that of all, and its excess over 1 is another.
 """
 
 from __future__ import annotations
 
 import highspy
 
+from ryewing.sharding.errors import ShardingError
 from ryewing.sharding.load import (
     MOVE_COST,
     OVERLOAD_COST,
@@ -18,12 +22,15 @@
 )
 
 
-class NoSolutionError(Exception):
-    """The solver found nothing in its time."""
+class NoSolutionError(ShardingError):
+    """The solver found no assignment within its time limit; the message is the solver's status."""
 
 
 def assign(inputs: PlanInputs, limit_s: float) -> Assignment:
-    """Assign every shard at the least cost, as far as that is found in time."""
+    """Return the assignment of the least cost that is found within `limit_s` seconds.
+
+    Raises NoSolutionError if none is found. `inputs` names at least one controller.
+    """
     model = highspy.Highs()
     model.setOptionValue("output_flag", False)
     model.setOptionValue("time_limit", limit_s)
--- a/src/ryewing/sharding/greedy.py
+++ b/src/ryewing/sharding/greedy.py
@@ -1,17 +1,36 @@
-"""Owners without a solver: what nobody owns goes to the emptiest, then single moves that pay."""
+"""Assigns shards to controllers without a solver; this is what controllers use.
+
+Shards that nobody owns go to the least utilized controller; then single moves off the most utilized
+one are made while they lower the cost (`load.cost`). Pure functions; the same inputs give the same
+assignment on every controller. docs/sharding.md compares the costs with those of `exact`.
+"""
 
 from __future__ import annotations
 
-from ryewing.sharding.load import Assignment, PlanInputs, ShardLoad, cost, fullness
+from typing import NamedTuple
+
+from ryewing.sharding.load import Assignment, PlanInputs, ShardLoad, cost, utilization
 from ryewing.units import NodeName, ShardName
 
 IMPROVEMENT_MIN = 1e-9
+"""A smaller saving is a rounding error."""
+
+
+class _CandidateMove(NamedTuple):
+    """A single move, and the cost of the assignment that it leads to."""
+
+    cost: float
+    shard: ShardName
+    target: NodeName
 
 
 def assign(inputs: PlanInputs) -> Assignment:
-    """Assign every shard; the present owners are kept unless a move pays."""
+    """Return an owner for every shard: the present one, unless a move lowers the cost.
+
+    `inputs` names at least one controller.
+    """
     owners: dict[ShardName, NodeName] = {}
-    homeless: list[ShardLoad] = []
+    unowned: list[ShardLoad] = []
     for shard in inputs.shards:
         choices = inputs.choices(shard)
         if len(choices) == 1:
@@ -19,42 +38,47 @@
         elif shard.owner in choices:
             owners[shard.name] = shard.owner
         else:
-            homeless.append(shard)
-    _place(inputs, owners, homeless)
-    while _move_one(inputs, owners):
+            unowned.append(shard)
+    _assign_unowned(inputs, owners, unowned)
+    while _make_best_move(inputs, owners):
         pass
     return owners
 
 
-def _place(
-    inputs: PlanInputs, owners: dict[ShardName, NodeName], homeless: list[ShardLoad]
+def _assign_unowned(
+    inputs: PlanInputs, owners: dict[ShardName, NodeName], unowned: list[ShardLoad]
 ) -> None:
-    """Give the largest first to whoever is emptiest with it."""
+    """Assign the largest shard first, each to the controller that is least utilized with it."""
     room = {node.name: node.room for node in inputs.nodes}
     loads = dict.fromkeys(room, 0.0)
     for shard in inputs.shards:
         if shard.name in owners:
             loads[owners[shard.name]] += shard.load
-    for shard in sorted(homeless, key=lambda shard: (-shard.load, shard.name)):
+    for shard in sorted(unowned, key=lambda shard: (-shard.load, shard.name)):
         chosen = min(room, key=lambda name: ((loads[name] + shard.load) / room[name], name))
         owners[shard.name] = chosen
         loads[chosen] += shard.load
 
 
-def _move_one(inputs: PlanInputs, owners: dict[ShardName, NodeName]) -> bool:
-    """Make the single move off the fullest controller that saves most, if any does."""
-    full = fullness(inputs, owners)
-    fullest = max(full, key=lambda name: (full[name], name))
-    present = cost(inputs, owners)
-    best: tuple[float, ShardName, NodeName] | None = None
+def _make_best_move(inputs: PlanInputs, owners: dict[ShardName, NodeName]) -> bool:
+    """Make the single move off the most utilized controller that lowers the cost most.
+
+    Return whether there was one.
+    """
+    utilizations = utilization(inputs, owners)
+    most_utilized = max(utilizations, key=lambda name: (utilizations[name], name))
+    present_cost = cost(inputs, owners)
+    best: _CandidateMove | None = None
     for shard in inputs.shards:
-        if owners[shard.name] != fullest:
+        if owners[shard.name] != most_utilized:
             continue
         for target in inputs.choices(shard):
-            found = cost(inputs, {**owners, shard.name: target})
-            if found < present - IMPROVEMENT_MIN and (best is None or found < best[0]):
-                best = found, shard.name, target
+            new_cost = cost(inputs, {**owners, shard.name: target})
+            if new_cost >= present_cost - IMPROVEMENT_MIN:
+                continue
+            if best is None or new_cost < best.cost:
+                best = _CandidateMove(new_cost, shard.name, target)
     if best is None:
         return False
-    owners[best[1]] = best[2]
+    owners[best.shard] = best.target
     return True
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -1,7 +1,7 @@
 """Which controllers are healthy: each keeps a key in the store, on a lease of its own.
 
-A controller that is silent to another one may be cut off from that one alone; whose lease has ended
-has been out of the store's reach, or has stood still, for as long as the lease lasts.
+A controller that is silent towards another one may be cut off from that one alone; one whose lease
+has expired has not reached the store, or has stood still, for as long as the lease lasts.
 """
 
 from __future__ import annotations
@@ -16,6 +16,8 @@
 
 NODE_PREFIX = "shards/node/"
 RENEWALS_PER_LEASE = 3
+"""How many times the lease is renewed in the time that it lasts."""
+NEVER = MonotonicTime(-1e9)
 
 
 class NodeRecord(msgspec.Struct, frozen=True, rename={"boot_id": "boot"}):
@@ -25,7 +27,7 @@
 
 
 class ControllerHealth:
-    """This controller's key, and the reading of all of them."""
+    """This controller's key; used by the coordinator's greenlet alone."""
 
     def __init__(self, store: Store, node: NodeName, boot_id: str, lease_s: float) -> None:
         self._store = store
@@ -33,10 +35,13 @@
         self._boot_id = boot_id
         self._lease_s = lease_s
         self._lease: int | None = None
-        self._renewed_at = MonotonicTime(-1e9)
+        self._renewed_at = NEVER
 
     def keep(self) -> None:
-        """Keep this controller's key; raise StoreUnavailableError if that is not possible now."""
+        """Renew the lease if that is due; set the key anew, on a new lease, if it is lost.
+
+        Raises StoreUnavailableError if the store does not answer.
+        """
         now = monotonic_now()
         if self._lease is not None:
             if now - self._renewed_at < self._lease_s / RENEWALS_PER_LEASE:
@@ -57,12 +62,12 @@
         self._renewed_at = now
 
     def forget(self) -> None:
-        """The key is not there: it is set anew the next time."""
+        """Give up the lease, since the key is missing: `keep` sets it anew the next time."""
         self._lease = None
 
 
 def healthy_nodes(entries: Iterable[Entry]) -> set[NodeName]:
-    """Name the controllers whose keys are there."""
+    """Return the controllers whose keys are among the entries."""
     return {
         NodeName(entry.key.removeprefix(NODE_PREFIX))
         for entry in entries
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -1,6 +1,7 @@
-"""What a planner goes by: the load of each shard, the room of each controller, and what it costs.
+"""The input of the planners, and the cost by which they compare assignments of shards.
 
-Pure. Loads and rooms are in the same unit, whatever the caller measures: a share of a core, say.
+Pure functions. Loads and rooms are in the same unit, which the caller chooses: a fraction of a
+core, for example. A controller's utilization is its load as a fraction of its room.
 """
 
 from __future__ import annotations
@@ -12,42 +13,50 @@
 from ryewing.units import MonotonicTime, NodeName, ShardName
 
 OVERLOAD_COST = 100.0
-"""What it costs that the fullest controller has no room for a part of its load."""
+"""The cost of each unit of the most utilized controller's utilization above 1."""
 PEAK_COST = 10.0
-"""What it costs that the fullest controller is full: others are to be as full as it is."""
+"""The cost of each unit of the most utilized controller's utilization: it makes the planner even
+out the load."""
 MOVE_COST = 1.0
-"""What a move costs, whatever the shard: a move is worth a tenth less on the fullest."""
+"""The cost of one move, whatever the shard: a move has to lower the highest utilization by a
+tenth."""
 
 
 class ShardLoad(msgspec.Struct, frozen=True):
-    """One shard, as a planner sees it."""
+    """One shard."""
 
     name: ShardName
     load: float
     owner: NodeName | None = None
     """Its present owner, or the next one if it is moving; None if nobody healthy owns it."""
     pinned_to: NodeName | None = None
+    """The only controller that may own it while that one is healthy."""
     moved_at: MonotonicTime | None = None
+    """When it last changed hands, if that is known."""
 
 
 class NodeRoom(msgspec.Struct, frozen=True):
-    """One healthy controller."""
+    """One healthy controller, and how much load it has room for."""
 
     name: NodeName
     room: float
 
 
 class PlanInputs(msgspec.Struct, frozen=True):
-    """All that decides who should own what."""
+    """All that decides which controller should own which shard."""
 
     shards: Sequence[ShardLoad]
     nodes: Sequence[NodeRoom]
     now: MonotonicTime
     settle_s: float
+    """For how many seconds a shard that has moved stays where it is."""
     moves_allowed: bool = True
 
     def choices(self, shard: ShardLoad) -> list[NodeName]:
-        """List who may own a shard: all, unless it is pinned, has just moved, or may not move."""
+        """List the controllers that may own a shard.
+
+        That is all of them, unless it is pinned, has moved within `settle_s`, or may not move.
+        """
         names = [node.name for node in self.nodes]
         if shard.pinned_to in names:
             return [name for name in names if name == shard.pinned_to]
@@ -58,10 +67,11 @@
 
 
 Assignment = Mapping[ShardName, NodeName]
+"""The owner of each shard."""
 
 
-def fullness(inputs: PlanInputs, owners: Assignment) -> dict[NodeName, float]:
-    """Tell which part of its room each controller would need."""
+def utilization(inputs: PlanInputs, owners: Assignment) -> dict[NodeName, float]:
+    """Return the load of each controller under an assignment, as a fraction of its room."""
     loads = {node.name: 0.0 for node in inputs.nodes}
     for shard in inputs.shards:
         loads[owners[shard.name]] += shard.load
@@ -69,7 +79,7 @@
 
 
 def moves(inputs: PlanInputs, owners: Assignment) -> list[ShardName]:
-    """List the shards that would change hands; one that nobody owns costs no move."""
+    """List the shards that would change hands; taking one that nobody owns is no move."""
     return [
         shard.name
         for shard in inputs.shards
@@ -78,7 +88,7 @@
 
 
 def cost(inputs: PlanInputs, owners: Assignment) -> float:
-    """Weigh an assignment: the lower the better."""
-    peak = max(fullness(inputs, owners).values(), default=0.0)
+    """Return the cost of an assignment; the lowest is the best."""
+    peak = max(utilization(inputs, owners).values(), default=0.0)
     overload = max(0.0, peak - 1.0)
     return OVERLOAD_COST * overload + PEAK_COST * peak + MOVE_COST * len(moves(inputs, owners))
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -1,6 +1,7 @@
-"""Which controller should own which shard, by the records, health and settings alone.
+"""Chooses which controller should own which shard, by the records, health and settings.
 
-Shards count alike. Loads are left to a planner that has them (`planner.plan`).
+Every shard counts as the same load and every controller as the same room: planning by measured load
+is not implemented (docs/sharding.md). The assignments are greedy (`greedy`).
 """
 
 from __future__ import annotations
@@ -17,6 +18,7 @@
 from ryewing.units import MonotonicTime, NodeName, ShardName, monotonic_now
 
 EQUAL_LOAD = 1.0
+"""The load of every shard, and the room of every controller."""
 
 
 class Move(NamedTuple):
@@ -26,15 +28,15 @@
     target: NodeName
 
 
-class _Owned(NamedTuple):
-    """A shard's owner, and since when, if that was seen."""
+class _ObservedOwner(NamedTuple):
+    """A shard's owner, and since when it owns the shard, if the change was observed."""
 
     owner: str
     since: MonotonicTime | None
 
 
 class OwnerChoice:
-    """Remembers since when shards are where they are, and chooses owners."""
+    """Remembers since when shards have their owners, and chooses owners."""
 
     def __init__(self, settings: ShardSettings) -> None:
         self._settings = settings
@@ -43,50 +45,56 @@
             for spec in settings.shards
             if spec.pinned_to is not None
         }
-        self._owned: dict[ShardName, _Owned] = {}
+        self._observed_owners: dict[ShardName, _ObservedOwner] = {}
 
-    def note(self, found: Registration) -> None:
-        """Take note of who owns what."""
-        for name, seen in found.shards.items():
-            if seen.record is None:
+    def note(self, registration: Registration) -> None:
+        """Remember the owners that were read."""
+        for name, stored in registration.shards.items():
+            if stored.record is None:
                 continue
-            known = self._owned.get(name)
-            if known is None or known.owner != seen.record.owner:
-                since = monotonic_now() if known is not None else None
-                self._owned[name] = _Owned(seen.record.owner, since)
-
-    def assignment(self, found: Registration, nodes: Set[NodeName]) -> Assignment:
-        """Choose owners for shards without one, so that every controller chooses the same: by the
-        records alone, and without moves."""
-        return greedy.assign(self._inputs(found, nodes, moves_allowed=False))
-
-    def move(self, found: Registration) -> Move | None:
-        """Choose the move that evens out the shards most; one at a time, and none that is not
-        worth it."""
-        for seen in found.shards.values():
-            record = seen.record
+            observed = self._observed_owners.get(name)
+            if observed is None or observed.owner != stored.record.owner:
+                since = monotonic_now() if observed is not None else None
+                self._observed_owners[name] = _ObservedOwner(stored.record.owner, since)
+
+    def assignment(self, registration: Registration, nodes: Set[NodeName]) -> Assignment:
+        """Return an owner for every shard; only a pinned one leaves an owner that is in `nodes`.
+
+        Every controller chooses the same from the same records and controllers.
+        """
+        return greedy.assign(self._inputs(registration, nodes, moves_allowed=False))
+
+    def move(self, registration: Registration) -> Move | None:
+        """Return the move that evens out the shards most; None if none is worth its cost.
+
+        One move at a time: None as well while any shard is moving or has no healthy owner.
+        """
+        for stored in registration.shards.values():
+            record = stored.record
             if record is None or record.phase is not Phase.OWNED:
                 return None
-            if record.owner not in found.healthy:
+            if record.owner not in registration.healthy:
                 return None
-        inputs = self._inputs(found, found.healthy, self._settings.moves_allowed)
+        inputs = self._inputs(registration, registration.healthy, self._settings.moves_allowed)
         owners = greedy.assign(inputs)
         name = next_move(inputs, owners)
         return Move(name, owners[name]) if name is not None else None
 
-    def _inputs(self, found: Registration, nodes: Set[NodeName], moves_allowed: bool) -> PlanInputs:
+    def _inputs(
+        self, registration: Registration, nodes: Set[NodeName], moves_allowed: bool
+    ) -> PlanInputs:
         loads = []
-        for name, seen in found.shards.items():
-            record = seen.record
+        for name, stored in registration.shards.items():
+            record = stored.record
             next_owner = NodeName(record.target or record.owner) if record is not None else None
-            owned = self._owned.get(name)
+            observed = self._observed_owners.get(name)
             loads.append(
                 ShardLoad(
                     name,
                     EQUAL_LOAD,
                     next_owner if next_owner in nodes else None,
                     self._pins.get(name),
-                    owned.since if owned is not None else None,
+                    observed.since if observed is not None else None,
                 )
             )
         rooms = [NodeRoom(node, EQUAL_LOAD) for node in sorted(nodes)]
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -1,4 +1,8 @@
-"""The ownership records in the state service: one key a shard, each step one conditional write."""
+"""The ownership records in the store: one key for each shard, each step one conditional write.
+
+The division of the fleet stands there as well. Keys: `shards/division`, `shards/owner/<shard>`, and
+`shards/node/<controller>` (see `health`).
+"""
 
 from __future__ import annotations
 
@@ -10,6 +14,7 @@
 
 from ryewing.clients.store import Put, Store, decode_stored
 from ryewing.election.leadership import TERM_KEY
+from ryewing.sharding.errors import ShardingError
 from ryewing.sharding.health import healthy_nodes
 from ryewing.sharding.ownership import Ownership
 from ryewing.sharding.settings import ShardSettings
@@ -22,15 +27,15 @@
 DIVISION_KEY = SHARDS_PREFIX + "division"
 
 Step = Callable[[Ownership | None], Ownership | None]
-"""Returns the next record, or None to leave things as they are."""
+"""Returns the next record, or None to leave the present one as it is."""
 
 
-class DivisionDiffersError(Exception):
+class DivisionDiffersError(ShardingError):
     """The stored division of the fleet is not the one in this controller's settings."""
 
 
-class Zones(msgspec.Struct, frozen=True):
-    """What of a shard's settings has to be the same on every controller."""
+class ShardZones(msgspec.Struct, frozen=True):
+    """The part of a shard's settings that has to be the same on every controller."""
 
     name: str
     zones: tuple[str, ...]
@@ -45,33 +50,38 @@
 
 
 class Registration(NamedTuple):
-    """What one reading of the store has found."""
+    """What one reading of the store returned."""
 
     shards: dict[ShardName, StoredOwnership]
     healthy: set[NodeName]
-    """The controllers whose health keys are there."""
+    """The controllers whose health keys exist."""
     revision: Revision
 
 
 class ShardRegistry:
-    """Reads the records of all shards and takes steps."""
+    """Reads the records of all shards and writes the steps.
+
+    Every method raises StoreUnavailableError if the store does not answer.
+    """
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     def agree_on(self, shards: ShardSettings) -> None:
-        """Store the division of the fleet, or raise if another one, or none, is in force.
+        """Store the division of the fleet; raise DivisionDiffersError if another, or none, holds.
 
-        Controllers that divide the fleet in different ways could each count a machine as theirs.
-        Those that do not divide it at all, of whatever version, read `lead/term` before they lead:
-        it is set here to what none of them can read, in one transaction that fails if any of them
-        has ever led.
+        Controllers that divide the fleet in different ways could each count a machine as theirs
+        (docs/design.md, argument 13). Those that do not divide it at all, of whatever version, read
+        `lead/term` before they lead: it is set here to a value that none of them can read, in one
+        transaction that fails if any of them has ever led.
         """
-        wanted = msgspec.json.encode([Zones(spec.name, spec.zones) for spec in shards.shards])
+        division = msgspec.json.encode(
+            [ShardZones(spec.name, spec.zones) for spec in shards.shards]
+        )
         entry = self._store.get(DIVISION_KEY)
         if entry is None:
             writes = [
-                Put(DIVISION_KEY, msgspec.Raw(wanted)),
+                Put(DIVISION_KEY, msgspec.Raw(division)),
                 Put(TERM_KEY, {"divided": True}),
             ]
             conditions = {DIVISION_KEY: KeyVersion(0), TERM_KEY: KeyVersion(0)}
@@ -80,60 +90,64 @@
             entry = self._store.get(DIVISION_KEY)
         if entry is None:
             raise DivisionDiffersError("the store holds the records of an undivided fleet")
-        if _canonical(entry.data) != _canonical(wanted):
+        if _decoded(entry.data) != _decoded(division):
             raise DivisionDiffersError("the store holds the records of another division")
 
     def read(self, names: Iterable[ShardName]) -> Registration:
-        """Read the shards' records; one that can't be read is its own shard's trouble only."""
+        """Read the shards' records and the controllers' health.
+
+        A record that can't be read concerns its own shard only.
+        """
         listed, revision = self._store.listing(SHARDS_PREFIX)
         entries = {entry.key: entry for entry in listed}
-        found: dict[ShardName, StoredOwnership] = {}
+        shards: dict[ShardName, StoredOwnership] = {}
         for name in names:
             entry = entries.get(OWNER_PREFIX + name)
             if entry is None:
-                found[name] = StoredOwnership(None, KeyVersion(0))
+                shards[name] = StoredOwnership(None, KeyVersion(0))
                 continue
             record = decode_stored(entry.data, Ownership, entry.key)
             version = KeyVersion(entry.key_version)
-            found[name] = StoredOwnership(record, version, record is not None)
-        return Registration(found, healthy_nodes(listed), revision)
+            shards[name] = StoredOwnership(record, version, record is not None)
+        return Registration(shards, healthy_nodes(listed), revision)
 
     def advance(
         self,
         name: ShardName,
-        seen: StoredOwnership,
+        stored: StoredOwnership,
         step: Callable[[Ownership], Ownership | None],
     ) -> Ownership | None:
         """Take a step of a shard that has a record; one without is left alone (see `take`)."""
-        return self.take(name, seen, lambda old: step(old) if old is not None else None)
+        return self.take(name, stored, lambda old: step(old) if old is not None else None)
 
-    def take(self, name: ShardName, seen: StoredOwnership, step: Step) -> Ownership | None:
-        """Take a step from the record that was seen.
+    def take(self, name: ShardName, stored: StoredOwnership, step: Step) -> Ownership | None:
+        """Take a step from a record as it was read.
 
         Return the new record, or None if the step wasn't taken.
 
         A write that got no answer may be carried out late: it names the version it replaces, so it
         can't undo a step that came after it, and the next reading shows whether it was.
         """
-        if not seen.readable:
+        if not stored.readable:
             return None  # an operator has to look at it
-        wanted = step(seen.record)
-        if wanted is None:
+        next_record = step(stored.record)
+        if next_record is None:
             return None
-        wanted = msgspec.structs.replace(wanted, changed_at=wall_now())
+        next_record = msgspec.structs.replace(next_record, changed_at=wall_now())
         key = OWNER_PREFIX + name
-        if not self._store.txn({key: seen.key_version}, [Put(key, wanted)]).ok:
+        if not self._store.txn({key: stored.key_version}, [Put(key, next_record)]).ok:
             return None
         log.info(
             "event=shard-step shard=%s phase=%s owner=%s target=%s epoch=%d",
             name,
-            wanted.phase.value,
-            wanted.owner,
-            wanted.target or "-",
-            wanted.epoch,
+            next_record.phase.value,
+            next_record.owner,
+            next_record.target or "-",
+            next_record.epoch,
         )
-        return wanted
+        return next_record
 
 
-def _canonical(data: bytes | msgspec.Raw) -> object:
+def _decoded(data: bytes | msgspec.Raw) -> object:
+    """Return a JSON value, so that two are compared whatever their spacing."""
     return msgspec.json.decode(bytes(data))
--- a/src/ryewing/sharding/serve.py
+++ b/src/ryewing/sharding/serve.py
@@ -1,4 +1,4 @@
-"""Puts a controller of a divided fleet together."""
+"""Builds and runs a controller of a divided fleet."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def sharded_node(settings: Settings, policy: Policy, shards: ShardSettings) -> Node:
-    """Make a controller that may lead each shard."""
+    """Return a controller that may lead any shard."""
     return Node(settings, policy, ShardDivision(shards))
 
 
 def coordinator(node: Node, shards: ShardSettings) -> Coordinator:
-    """Make the loop that says which shards a controller leads."""
+    """Return the loop that decides which shards a controller leads."""
     division = node.division
     if not isinstance(division, ShardDivision):
         raise TypeError("the controller's fleet is not divided")
@@ -34,7 +34,7 @@
 
 
 def serve(settings: Settings, policy: Policy, shards: ShardSettings) -> None:
-    """Run a controller of a divided fleet until the process is killed."""
+    """Run a controller of a divided fleet, its coordinator in a greenlet, until it is killed."""
     node = sharded_node(settings, policy, shards)
     gevent.spawn(coordinator(node, shards).run)
     node.serve()
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -1,4 +1,8 @@
-"""Which machines belong to which shard, checked: no machine in two shards, none without one."""
+"""The settings of shards: which zones belong to which shard, read from a file and checked.
+
+Each zone belongs to exactly one shard. The form of the file is in docs/sharding.md. Errors are
+`config.settings.SettingsError`, with the first problem.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 NAME_LENGTH_MAX = 32
 BY_ZONES = "zones:"
-"""Begins an option that divides the fleet without a file."""
+"""The prefix of an option that divides the fleet without a file."""
 
 
 class ShardSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -30,21 +34,21 @@
 
 
 class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the fleet is divided; the same on every controller."""
+    """How the fleet is divided; names and zones are the same on every controller."""
 
     shards: tuple[ShardSpec, ...]
     moves_allowed: bool = True
-    """Whether the planner may move shards by itself."""
+    """Whether controllers may move shards without an operator's command."""
     settle_s: float = 60.0
-    """How long a shard that has moved stays where it is."""
+    """For how many seconds a shard that has moved stays where it is."""
 
     def names(self) -> list[ShardName]:
-        """Name the shards, in the order of the file."""
+        """Return the shards' names, in the order of the file."""
         return [ShardName(spec.name) for spec in self.shards]
 
 
 def shards_from(text: str, settings: Settings) -> ShardSettings:
-    """Give the division that an option names: `zones:N`, or else a file."""
+    """Return the division that an option names, `zones:N` or a file; raise SettingsError."""
     if not text.startswith(BY_ZONES):
         return load_shards(Path(text), settings)
     count = text.removeprefix(BY_ZONES)
@@ -53,12 +57,13 @@
     return by_zones(int(count), settings.params.zones)
 
 
-def by_zones(most: int, zones: Sequence[str]) -> ShardSettings:
-    """Divide the zones in their order into shards as even as they come, one zone each at the least.
+def by_zones(count_max: int, zones: Sequence[str]) -> ShardSettings:
+    """Divide the zones, in alphabetical order, into `count_max` shards at most of similar size.
 
-    It follows from the settings alone, so every controller comes to the same.
+    Each shard has at least one zone. The result depends on the settings alone, so it is the same on
+    every controller.
     """
-    count = min(most, len(zones))
+    count = min(count_max, len(zones))
     ordered = sorted(zones)
     bounds = [len(ordered) * number // count for number in range(count + 1)]
     return ShardSettings(
@@ -72,19 +77,19 @@
 def load_shards(path: Path, settings: Settings) -> ShardSettings:
     """Read and check a file of shard settings; raise SettingsError with the first problem."""
     try:
-        found = msgspec.json.decode(path.read_bytes(), type=ShardSettings)
+        shards = msgspec.json.decode(path.read_bytes(), type=ShardSettings)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
     except (msgspec.ValidationError, *UNREADABLE) as error:
         raise SettingsError(f"{path}: {error}") from None
-    problem = next(problems(found, settings), None)
+    problem = next(problems(shards, settings), None)
     if problem is not None:
         raise SettingsError(f"{path}: {problem}")
-    return found
+    return shards
 
 
 def problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
-    """Say what is wrong with a division of the fleet."""
+    """Yield a line for each thing that is wrong with a division of the fleet."""
     if not shards.shards:
         yield "shards: there is none"
     if not shards.settle_s >= 0:
@@ -100,32 +105,32 @@
 
 
 def known_nodes(settings: Settings) -> set[NodeName]:
-    """Name all controllers."""
+    """Return the names of all controllers in the settings."""
     return {NodeName(settings.node), *(NodeName(member.node) for member in settings.members)}
 
 
 def _name_problems(specs: Sequence[ShardSpec]) -> Iterator[str]:
-    seen: set[str] = set()
+    earlier: set[str] = set()
     for number, spec in enumerate(specs):
         name = spec.name
         # The name is a part of keys in the store.
         if not name or len(name) > NAME_LENGTH_MAX or not name.replace("-", "").isalnum():
             yield f"shards[{number}].name: letters, digits and hyphens, at most {NAME_LENGTH_MAX}"
-        if name in seen:
+        if name in earlier:
             yield f"shards[{number}].name: {name!r} is there twice"
-        seen.add(name)
+        earlier.add(name)
 
 
 def _zone_problems(specs: Sequence[ShardSpec], known: Sequence[str]) -> Iterator[str]:
-    """Find zones that aren't known, are in two shards, or in none."""
-    first: dict[str, str] = {}
+    """Yield the zones that are unknown, in two shards, or in none."""
+    shard_of: dict[str, str] = {}
     for spec in specs:
         for zone in spec.zones:
             if zone not in known:
                 yield f"shards.{spec.name}.zones: unknown zone {zone!r}"
-            if zone in first:
-                yield f"shards.{spec.name}.zones: {zone!r} is in {first[zone]!r} already"
-            first.setdefault(zone, spec.name)
+            if zone in shard_of:
+                yield f"shards.{spec.name}.zones: {zone!r} is in {shard_of[zone]!r} already"
+            shard_of.setdefault(zone, spec.name)
     for zone in known:
-        if zone not in first:
+        if zone not in shard_of:
             yield f"shards: no shard has zone {zone!r}"
