--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -226,11 +226,10 @@
             self.term.cluster.remove(machine, now)
             if machine.address:
                 self.worker_commands.workers.forget(machine.address)
-            self.writer.to_record.discard(machine.id)
+            self.writer.forget_machine(machine.id)
             self.term.released[machine.id] = None
             if len(self.term.released) > RELEASED_NAMES_KEPT:
                 self.term.released.popitem(last=False)
-            self.writer.machines.drop(machine.id)
         self.term.scheduling_needed.set()
         self.term.writes_needed.set()
 
@@ -373,9 +372,9 @@
                 now,
             )
             machine.rented_at = now
-            self.writer.to_record.add(name)
+            self.writer.record_machine(name)
         self.pending_requests.pop(request.id, None)
         # The records of the machines are wanted before the request is forgotten: writes are made
         # in this order.
-        self.writer.to_forget[REQUEST_PREFIX + request.id] = None
+        self.writer.remove_key(REQUEST_PREFIX + request.id)
         self.term.writes_needed.set()
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -48,7 +48,7 @@
         if (
             not self.term.state_loaded.is_set()
             or not self.term.may_start()
-            or job_id in self.writer.final_pending
+            or job_id in self.writer.final_states.pending
         ):
             return None
         job = self.term.job_table.get(job_id)
@@ -136,7 +136,7 @@
         self._cancelled_early.discard(job_id)
         job = self.term.job_table.get(job_id)
         if job is not None and not job.live:
-            self.writer.settled(job)
+            self.writer.final_states.settle(job)
 
     def _reread(self) -> None:
         while True:
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -13,7 +13,8 @@
 from ryewing.clients.store import decode_stored
 from ryewing.leader.autoscaler import REQUEST_PREFIX, Autoscaler
 from ryewing.leader.job_watcher import JobWatcher
-from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord, StateWriter
+from ryewing.leader.machine_records import MACHINE_PREFIX, MachineRecord
+from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.job_records import FINISHED_PREFIX, LIVE_PREFIX, read_record
@@ -77,7 +78,7 @@
 
     def _load_finishes(self) -> None:
         entries, _ = self._term.store.listing(FINISHED_PREFIX)
-        finishes = self._writer.finishes
+        finishes = self._writer.finished_tasks.pages
         records, twice = finishes.load(entries)
         for name, bits in records:
             chunk = _parse_chunk(name)
@@ -105,7 +106,7 @@
         lease_s = self._term.settings.params.workers.lease_s
         longest_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
-        records, twice = self._writer.machines.load(entries)
+        records, twice = self._writer.machine_records.pages.load(entries)
         for name, raw in records:
             record = decode_stored(raw, MachineRecord, MACHINE_PREFIX + name)
             if record is None:
@@ -121,7 +122,7 @@
             if record.heard:
                 machine.recorded = True
                 machine.may_hold_until = MonotonicTime(now + longest_s)
-        self._writer.to_record.update(MachineId(name) for name in twice)
+        self._writer.machine_records.wanted.update(MachineId(name) for name in twice)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
         self._term.cluster.restore_images(image_locality.images, image_locality.machines)
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -130,7 +130,7 @@
             # A copy of something old: nobody waits for the answer, and no lease is renewed by it.
             return None
         if not machine.recorded or new_address:
-            self.writer.to_record.add(name)
+            self.writer.record_machine(name)
             self.term.writes_needed.set()
         if fresh:
             self._handle_news(machine, now)
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -11,7 +11,7 @@
 from ryewing.clients.cloud import CloudUnavailableError
 from ryewing.leader.autoscaler import REQUEST_PREFIX
 from ryewing.leader.leader import CUT, CUT_PROBE_S
-from ryewing.leader.state_writer import MACHINE_PREFIX
+from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -14,7 +14,8 @@
 from ryewing.clients.store import Put, RejectedError, StoreUnavailableError
 from ryewing.config.settings import SettingsError, load
 from ryewing.leader.autoscaler import REQUEST_PREFIX
-from ryewing.leader.state_writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
+from ryewing.leader.machine_records import MACHINE_PREFIX, MachineRecord
+from ryewing.leader.state_writer import SET_ASIDE_S
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, final_key, live_key
 from ryewing.state.paged_records import PagedRecords
@@ -287,7 +288,7 @@
     for _ in range(5):
         harness.leader.writer.write_once()
     assert len(harness.store.rejected) == refused  # left alone for a while
-    harness.later(ASIDE_S + 1)
+    harness.later(SET_ASIDE_S + 1)
     harness.narrow(value_kb=8.0)
     harness.write()
     assert not harness.leader.term.job_table.jobs[large].unwritten
@@ -305,7 +306,7 @@
     for n, worker in enumerate(workers):
         worker.machine_type = worker.machine_type
         harness.leader.term.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
-        harness.leader.writer.to_record.add(MachineId(worker.name))
+        harness.leader.writer.record_machine(MachineId(worker.name))
         harness.end(worker)
     harness.write()
     assert harness.finals == dict.fromkeys(jobs, "done")
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -16,7 +16,7 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
-from ryewing.leader.state_writer import MACHINE_PREFIX
+from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.leader.worker_commands import max_sends_in_flight
 from ryewing.process.node import API_SHARE, PEER_SHARE
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -117,7 +117,7 @@
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
     rates = {
-        "writes": (leader.writer._bucket.rate, 0.65 * params.state.write_rps),
+        "writes": (leader.writer.bucket.rate, 0.65 * params.state.write_rps),
         "cloud": (autoscaler.cloud.bucket.rate, 0.8 * params.cloud.rps),
         "list": (leader.autoscaler.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -210,7 +210,7 @@
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=1)
     late = worker.heartbeat()
-    harness.leader.writer.machines.drop(MachineId(worker.name))
+    harness.leader.writer.machine_records.pages.drop(MachineId(worker.name))
     harness.write()
     harness.new_leader(6)
     for _ in range(4):
@@ -221,7 +221,7 @@
         assert found is not None
         assert found.shortfall == 1
         harness.write()
-        assert not harness.leader.writer.to_record
+        assert not harness.leader.writer.machine_records.wanted
         harness.later(6.0)
     harness.exchange(worker)
     harness.exchange(worker)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -218,7 +218,7 @@
         leader = elector.leader
         if leader is not None:
             leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
-            leader.writer._bucket = self._bucket(leader.writer._bucket)
+            leader.writer.bucket = self._bucket(leader.writer.bucket)
             early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
             leader.worker_commands._early_heartbeat_bucket = early
             leader.scheduler._rng = random.Random(int(leader.term.number))
