--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -25,6 +25,7 @@
 from ryewing.leader.scheduler import Scheduler
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.machine import Machine
@@ -335,7 +336,7 @@
                 [Put(REQUEST_PREFIX + request.id, request)],
             )
             if not result.ok:
-                self.term.end("fenced")
+                self.term.end(TermEndReason.FENCED)
                 return
             self.send_request(request)
 
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -22,6 +22,7 @@
 from ryewing.leader.scheduler import Scheduler
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.worker_commands import PROBE_AFTER, WorkerCommands
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
@@ -31,8 +32,6 @@
 log = logging.getLogger(__name__)
 
 TELL_EVERY_S = 10.0
-CUT = "cut-from-workers"
-UNFOLLOWED = "jobs-not-followed"
 UNFOLLOWED_S = 15.0
 """A leader whose lease is renewed and that can't read the jobs for so long resigns."""
 CUT_MACHINES = 4
@@ -135,7 +134,7 @@
             pass
         except Exception:
             log.exception("event=loop-failed loop=%s", loop.__name__)
-            self.term.end("fault")
+            self.term.end(TermEndReason.FAULT)
 
     def _renew_loop(self) -> None:
         lease_s = self.term.policy.store_lease_s
@@ -150,7 +149,7 @@
         try:
             self.term.store.renew(self.term.leadership.lease, self.term.policy.store_lease_s / 3)
         except LeaseLostError:
-            self.term.end("lease")
+            self.term.end(TermEndReason.LEASE_LOST)
             return True
         except StoreUnavailableError as error:
             log.debug("event=renew-failed error=%s", error)
@@ -165,10 +164,10 @@
         )
         if self.term.settings.members and sent_at - since > UNFOLLOWED_S:
             # It keeps the lease and may do nothing with it: another node may be able to read.
-            self.resign(UNFOLLOWED)
+            self.resign(TermEndReason.JOBS_NOT_FOLLOWED)
         return True
 
-    def resign(self, reason: str) -> None:
+    def resign(self, reason: TermEndReason) -> None:
         """Leave leadership to another node. LeaseValidity ends before the lease does: the end of
         that may be made known late."""
         self.term.end(reason)
@@ -241,7 +240,7 @@
             and self.is_cut_from_workers(now)
         ):
             # Another node may reach them; waiting for it costs every machine its tasks.
-            self.resign(CUT)
+            self.resign(TermEndReason.CUT_FROM_WORKERS)
 
     def is_cut_from_workers(self, now: MonotonicTime) -> bool:
         """Tell whether most machines fell silent at once, so that the fault is likely here.
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -15,6 +15,7 @@
 
 from ryewing import scheduling
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.scheduling import preemption, queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota, allows
@@ -134,7 +135,7 @@
         """Turn the jobs' shortfalls into planned tasks and stops, once."""
         if self._attempts > MAX_ATTEMPTS - ATTEMPTS_LEFT:
             # Attempts never repeat, so those of a term are bounded; the next one has new ones.
-            self.term.end("attempts-used-up")
+            self.term.end(TermEndReason.ATTEMPTS_USED_UP)
             return
         now = monotonic_now()
         cluster = self.term.cluster
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -20,6 +20,7 @@
 from ryewing.leader.finished_task_records import FinishedTaskWriter, PagedFinishes
 from ryewing.leader.machine_records import MachineRecordWriter
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.write import KeyRemoval, Write, choose_writes
 from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, monotonic_now
 
@@ -138,7 +139,7 @@
             self.final_states.note_unanswered(finals)
             raise
         if not result.ok and self.term.leadership.is_superseded(result):
-            self.term.end("fenced")
+            self.term.end(TermEndReason.FENCED)
             return False
         self._take_result(chosen, result)
         self.final_states.note_answered(finals)
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -17,6 +17,7 @@
 from ryewing.config.settings import Settings, Team
 from ryewing.election.leadership import Leadership
 from ryewing.leader.scope import WHOLE_FLEET, TermScope
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_table import JobTable
 from ryewing.state.pending_terminations import PendingTerminations
@@ -51,7 +52,7 @@
         policy: Policy,
         store: TermStore,
         leadership: Leadership,
-        on_lost: Callable[[str], None],
+        on_lost: Callable[[TermEndReason], None],
         on_machine_types: Callable[[list[MachineType]], None],
         scope: TermScope = WHOLE_FLEET,
     ) -> None:
@@ -84,7 +85,7 @@
         self._on_lost = on_lost
         self._on_machine_types = on_machine_types
 
-    def end(self, reason: str) -> None:
+    def end(self, reason: TermEndReason) -> None:
         """End the term."""
         if not self.stopped:
             self._on_lost(reason)
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -16,6 +16,7 @@
 from ryewing.clients.workers import Workers, WorkerUnavailableError
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.state.machine import Assignment, Machine, TaskPhase
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import (
@@ -91,7 +92,7 @@
         if term_of_token(heartbeat.token) > self.term.number:
             # A worker has seen a later leader: a 200 from here would be dropped, and would
             # keep the worker here while its lease expires.
-            self.term.end("overruled")
+            self.term.end(TermEndReason.OVERRULED)
             return None
         if (
             self.term.stopped
@@ -296,7 +297,7 @@
                 if heartbeat.machine != machine.id:
                     return
                 if term_of_token(heartbeat.token) > self.term.number:
-                    self.term.end("overruled")
+                    self.term.end(TermEndReason.OVERRULED)
                     return
                 now = monotonic_now()
                 if HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence) < known:
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -35,9 +35,10 @@
     may_campaign,
     read_election_record,
 )
-from ryewing.leader.leader import CUT, UNFOLLOWED, Leader
+from ryewing.leader.leader import Leader
 from ryewing.leader.scope import TermScope
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.units import (
     JobId,
     MonotonicTime,
@@ -215,7 +216,7 @@
             self.leader_name = holder.node
             self._leader_term = TermNumber(holder.term)
 
-    def step_down(self, reason: str) -> None:
+    def step_down(self, reason: TermEndReason) -> None:
         """End this node's term, if it leads."""
         leader = self.leader
         if leader is None:
@@ -229,7 +230,7 @@
         )
         self.leader = None
         self.leader_name = None
-        if reason in (CUT, UNFOLLOWED):
+        if reason in (TermEndReason.CUT_FROM_WORKERS, TermEndReason.JOBS_NOT_FOLLOWED):
             self._abstain_until = MonotonicTime(monotonic_now() + ABSTAIN_S)
         leader.stop()
 
@@ -305,7 +306,7 @@
     def on_leader_announcement(self, notice: LeaderAnnouncement) -> None:
         """Take note of a new leader, and give way to it."""
         if self.leader is not None and notice.term > self.leader.term.number:
-            self.step_down("notice")
+            self.step_down(TermEndReason.LATER_LEADER)
         if notice.term >= self._leader_term and self.leader is None:
             self.leader_name = notice.node
             self._leader_term = TermNumber(notice.term)
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -16,6 +16,7 @@
 
 from ryewing.clients.store import Store, StoreUnavailableError, WatchExpiredError
 from ryewing.leader.leader import Leader
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.process.leader_elector import LeaderElector
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.health import ControllerHealth
@@ -59,8 +60,6 @@
 """How long a shard without a healthy owner is left to the controller that is chosen for it; after
 that any controller takes it."""
 PLAN_EVERY_S = 5.0
-MOVING, NOT_OWNER = "moving", "not-owner"
-"""Reasons for which a leader resigns."""
 
 
 class Coordinator:
@@ -228,7 +227,7 @@
         """Resign if the record names another owner, who waits for the lease."""
         leader = self._candidacies[name].leader
         if leader is not None and seen.record is not None and not seen.record.leads(self._node):
-            leader.resign(NOT_OWNER)
+            leader.resign(TermEndReason.NOT_OWNER)
 
     def _settle(self, name: ShardName, seen: StoredOwnership, leader: Leader | None) -> None:
         """Resign once nothing is under way, then say so."""
@@ -236,7 +235,7 @@
             waited_s = monotonic_now() - self._sealed_since[name]
             if not leader.drained() and waited_s < DRAIN_MAX_S:
                 return
-            leader.resign(MOVING)
+            leader.resign(TermEndReason.SHARD_MOVING)
         self._take(name, seen, lambda old: settle(old, self._node) if old else None)
 
     def _hand_off_if_unfit(
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -18,6 +18,7 @@
 from ryewing.clients.store import Put, StoreUnavailableError, decode_stored
 from ryewing.config.settings import Team
 from ryewing.leader.leader import Leader
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.sharding.allowance import NOTHING, Allowances, Amount, lowered, raised, target_of
 from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
 from ryewing.sharding.team_demand import TeamDemand
@@ -197,7 +198,7 @@
             [Put(_key(name), wanted) for name, wanted in changes.items()],
         )
         if self._term.leadership.is_superseded(result):
-            self._term.end("fenced")
+            self._term.end(TermEndReason.FENCED)
             return
         self._read_at = MonotonicTime(-1e9)
         if not result.ok:
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -10,8 +10,9 @@
 
 from ryewing.clients.cloud import CloudUnavailableError
 from ryewing.leader.autoscaler import REQUEST_PREFIX
-from ryewing.leader.leader import CUT, CUT_PROBE_S
+from ryewing.leader.leader import CUT_PROBE_S
 from ryewing.leader.machine_records import MACHINE_PREFIX
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
@@ -268,7 +269,7 @@
     tend(harness, longest_s)
     assert harness.lost == []
     tend(harness, 0.5)
-    assert harness.lost[:1] == [CUT]
+    assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
     assert longest_s < policy().silence_s
 
 
@@ -281,4 +282,4 @@
     tend(harness, 2.0)
     assert harness.lost == []
     tend(harness, 9.0)
-    assert harness.lost[:1] == [CUT]
+    assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
