--- /dev/null
+++ b/src/ryewing/leader/worker_reachability.py
@@ -0,0 +1,46 @@
+"""Whether the leader is cut off from its workers: safety argument 12 in docs/design.md."""
+
+from __future__ import annotations
+
+from ryewing.leader.worker_commands import PROBE_AFTER
+from ryewing.state.cluster_state import ClusterState
+from ryewing.units import MonotonicTime
+
+CUT_MACHINES_MIN = 4
+"""Of fewer machines nothing is concluded."""
+CUT_SHARE = 0.7
+"""A leader counts as cut off when more than this share of its machines is silent."""
+CUT_PROBE_S = 0.5
+"""How long a late machine has to answer when asked directly, before it counts as silent."""
+STALL_S = 2.0
+"""Rounds of maintenance that lie further apart show that this process stood still."""
+
+
+class WorkerReachability:
+    """Judges by their silence whether the workers can be reached."""
+
+    def __init__(self, cluster: ClusterState, report_s: float, began_at: MonotonicTime) -> None:
+        self._cluster = cluster
+        self._silent_after_s = PROBE_AFTER * report_s + CUT_PROBE_S
+        self._last_round_at = self._running_since = began_at
+
+    def note_round(self, now: MonotonicTime) -> None:
+        """Take note that the process runs, to notice when it stood still."""
+        if now - self._last_round_at > STALL_S:
+            self._running_since = now
+        self._last_round_at = now
+
+    def is_cut_from_workers(self, now: MonotonicTime) -> bool:
+        """Return whether most machines fell silent at once, so that the fault is likely here.
+
+        Each has missed a heartbeat and not answered when asked directly. Time in which this process
+        stood still does not count: found in replays, where a leader that was itself again resigned
+        for it, and left leadership alone for a while.
+        """
+        silent = known = 0
+        for machine in self._cluster.machines.values():
+            if machine.heard_at is None or machine.may_hold_until is None:
+                continue
+            known += 1
+            silent += now - max(machine.heard_at, self._running_since) > self._silent_after_s
+        return known >= CUT_MACHINES_MIN and silent > CUT_SHARE * known
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -10,10 +10,10 @@
 
 from ryewing.clients.cloud import CloudUnavailableError
 from ryewing.leader.autoscaler import REQUEST_PREFIX
-from ryewing.leader.leader import CUT_PROBE_S
 from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
+from ryewing.leader.worker_reachability import CUT_PROBE_S
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
@@ -243,21 +243,21 @@
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert harness.leader.is_cut_from_workers(harness.clock()) is cut
+    assert harness.leader.maintenance.reachability.is_cut_from_workers(harness.clock()) is cut
 
 
 def tend(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
     """Let time pass in which no worker is heard, and the leader look after things."""
     for _ in range(round(seconds / step_s)):
         harness.later(step_s)
-        harness.leader.run_maintenance()
+        harness.leader.maintenance.run_once()
 
 
 def silent_fleet(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """Nine machines that were heard, and a leader that watches over them."""
     monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
     harness.ready_workers(9)
-    harness.leader.run_maintenance()
+    harness.leader.maintenance.run_once()
 
 
 def test_a_cut_leader_resigns_once_a_report_and_a_direct_question_were_missed(
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -171,7 +171,7 @@
     for look in range(LOOKS):
         harness.later(3.0)
         fleet.all_send_heartbeats()
-        leader.run_maintenance()
+        leader.maintenance.run_once()
         harness.place()
         given_up = leader.autoscaler.unhealthy_machines(harness.clock())
         assert not any(machine.may_hold_until for machine, _reason in given_up)
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -19,6 +19,8 @@
     "leader.autoscaler",
     "leader.job_watcher",
     "leader.leader",
+    "leader.lease_keeper",
+    "leader.maintenance",
     "leader.recovery",
     "leader.scheduler",
     "leader.state_writer",
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -157,13 +157,13 @@
         if leader is None:
             return
         if not leader.term.state_loaded.is_set() and not self.load(leader):
-            leader.renew_once()
+            leader.lease_keeper.renew_once()
             return
         for act in (
-            leader.renew_once,
+            leader.lease_keeper.renew_once,
             leader.job_watcher.watch_once,
             self._writing(leader),
-            leader.run_maintenance,
+            leader.maintenance.run_once,
             self._dividing_limits(leader),
             self._placing(leader),
             self._giving_up(leader),
@@ -177,7 +177,7 @@
     def load(self, leader: Leader) -> bool:
         """Let a new leader read the store."""
         try:
-            leader._load()
+            leader.load()
         except StoreUnavailableError:
             return False
         leader.term.state_loaded.set()
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -84,7 +84,7 @@
         leader.worker_commands.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
         leader.term.set_machine_types(self.cloud.machine_types())
         leader.worker_commands.schedule_direct_message = lambda machine: None  # type: ignore[method-assign]
-        leader._load()
+        leader.load()
         leader.term.state_loaded.set()
         self.leader = leader
         return leader
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -76,7 +76,7 @@
             cluster.frozen.add(who)
         leader = cluster.leader(who)
         if leader is not None:
-            leader.renew_once()  # before any watch of its own is answered
+            leader.lease_keeper.renew_once()  # before any watch of its own is answered
         for _ in range(20):
             for ref in range(1, 7):
                 cluster.cancel("n-1", f"run-{ref}")
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -124,7 +124,7 @@
     sample.figures["short_jobs"] = len(leader.scheduler.unplaced)
     sample.time_ms("heartbeats_ms", heartbeats)
     sample.figures["heartbeat_us"] = round(1000 * sample.figures.pop("heartbeats_ms") / count, 1)
-    sample.time_ms("maintenance_ms", leader.run_maintenance)
+    sample.time_ms("maintenance_ms", leader.maintenance.run_once)
     sample.time_ms("unhealthy_ms", lambda: leader.autoscaler.unhealthy_machines(clock()))
     sample.time_ms("cordon_ms", leader.autoscaler.cordon)
     sample.time_ms(
