--- a/src/ryewing/leader/final_states.py
+++ b/src/ryewing/leader/final_states.py
@@ -55,12 +55,10 @@
         self,
         term: TermContext,
         finished_tasks: FinishedTaskWriter,
-        on_final: Callable[[JobId, str], None],
         on_record: Callable[[str, msgspec.Raw, KeyVersion], None],
     ) -> None:
         self._term = term
         self._finished_tasks = finished_tasks
-        self._on_final = on_final
         self._on_record = on_record
         self.pending: set[JobId] = set()
         """Jobs whose final state may or may not be written: only the store can tell."""
@@ -102,7 +100,7 @@
         """Forget a job whose final state is in the store, and pass that state on."""
         job.unwritten.clear()
         self._finished_tasks.forget(job)
-        self._on_final(job.id, status)
+        self._term.on_final(job.id, status)
         self.settle(job)
         log.info("event=final job=%s status=%s tasks=%d", job.id, status, job.spec.task_count)
 
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -42,16 +42,11 @@
 class Leader:
     """One term: what the process asks of it, and the start and end of its loops."""
 
-    def __init__(
-        self,
-        term: TermContext,
-        on_final: Callable[[JobId, str], None],
-        image_locality: ImageLocality | None = None,
-    ) -> None:
+    def __init__(self, term: TermContext, image_locality: ImageLocality | None = None) -> None:
         """Make the parts; `image_locality` is what the previous leader told of images, if any."""
         self._image_locality = image_locality
         self.term = term
-        self.writer = StateWriter(term, on_final, self._on_record)
+        self.writer = StateWriter(term, self._on_record)
         self.worker_commands = WorkerCommands(term, self.writer)
         self.job_watcher = JobWatcher(term, self.writer, self.worker_commands)
         self.scheduler = Scheduler(term, self.worker_commands)
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -22,7 +22,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.write import KeyRemoval, Write, choose_writes
-from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, monotonic_now
+from ryewing.units import KeyVersion, MachineId, MonotonicTime, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -44,10 +44,7 @@
     """Owns the write rate of a term, and the one transaction that may be under way."""
 
     def __init__(
-        self,
-        term: TermContext,
-        on_final: Callable[[JobId, str], None],
-        on_record: Callable[[str, msgspec.Raw, KeyVersion], None],
+        self, term: TermContext, on_record: Callable[[str, msgspec.Raw, KeyVersion], None]
     ) -> None:
         self.term = term
         # No notice comes of limits that fall: what is written keeps to the stricter ones.
@@ -58,7 +55,7 @@
         self.finished_tasks = FinishedTaskWriter(
             term.store, limits.value_kb, term.job_table, term.scheduling_needed
         )
-        self.final_states = FinalStates(term, self.finished_tasks, on_final, on_record)
+        self.final_states = FinalStates(term, self.finished_tasks, on_record)
         self._key_removals: OrderedDict[str, None] = OrderedDict()
         self._sending = False
         self._ops_max = self._ops_allowed = limits.txn_ops
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -1,6 +1,6 @@
 """What the parts of one leader's term share: its settings, clients, cluster state and signals.
 
-Nothing here decides anything. Each part owns its own state; what stands here is read by several
+Nothing here decides anything. Each part owns its own state; what is kept here is read by several
 of them, and ends with the term.
 """
 
@@ -8,98 +8,102 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import Protocol
+from typing import NamedTuple
 
 from gevent.event import Event
 
 from ryewing.clients.store import TermStore
 from ryewing.config.policy import Policy
-from ryewing.config.settings import Settings, Team
+from ryewing.config.settings import Settings
 from ryewing.election.leadership import Leadership
 from ryewing.leader.scope import WHOLE_FLEET, TermScope
+from ryewing.leader.team_limits import SettingsLimits, TeamLimits
 from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_table import JobTable
 from ryewing.state.pending_terminations import PendingTerminations
-from ryewing.units import MachineId, monotonic_now
+from ryewing.units import JobId, MachineId, monotonic_now
 from ryewing.wire.cloud import MachineType
 
 
-class TeamLimits(Protocol):
-    """What each team may use under this term."""
+class TermEnvironment(NamedTuple):
+    """What a process hands to each of its terms: they may differ in store and scope only."""
 
-    def teams(self) -> dict[str, Team]:
-        """Give the teams with their limits of now."""
+    settings: Settings
+    policy: Policy
+    store: TermStore
+    """The part of the store that the term keeps its records in."""
+    scope: TermScope = WHOLE_FLEET
 
 
-class SettingsLimits:
-    """The limits of the settings: one term leads the whole fleet."""
+class TermCallbacks(NamedTuple):
+    """What a term tells its process. None of them may wait."""
 
-    def __init__(self, teams: dict[str, Team]) -> None:
-        self._teams = teams
-
-    def teams(self) -> dict[str, Team]:
-        """Give the teams as the settings have them."""
-        return self._teams
+    on_lost: Callable[[TermEndReason], None]
+    """Called when the term has to end."""
+    on_machine_types: Callable[[list[MachineType]], None]
+    """Called with the machine types of the cloud, of all zones, when they were read."""
+    on_final: Callable[[JobId, str], None]
+    """Called with a job and its final state, once the store has it."""
 
 
 class TermContext:
     """One term, as its parts see it."""
 
     def __init__(
-        self,
-        settings: Settings,
-        policy: Policy,
-        store: TermStore,
-        leadership: Leadership,
-        on_lost: Callable[[TermEndReason], None],
-        on_machine_types: Callable[[list[MachineType]], None],
-        scope: TermScope = WHOLE_FLEET,
+        self, environment: TermEnvironment, leadership: Leadership, callbacks: TermCallbacks
     ) -> None:
-        self.scope = scope
-        self.settings = settings
-        self.policy = policy
-        self.store = store
+        # What the process and the election gave:
+        self.settings, self.policy, self.store, self.scope = environment
         self.leadership = leadership
         self.number = leadership.term
         self.lease_validity = leadership.lease_validity
+        self.on_final = callbacks.on_final
+        self._on_lost = callbacks.on_lost
+        self._on_machine_types = callbacks.on_machine_types
+        # What is known of the jobs and the fleet:
         self.job_table = JobTable()
         self.terminations = PendingTerminations()
         self.cluster = ClusterState(
-            self.number, settings.params.workers.lease_s, self.job_table, self.terminations
+            self.number, self.settings.params.workers.lease_s, self.job_table, self.terminations
         )
         self.machine_types: dict[str, MachineType] = {}
-        self.teams = {team.name: team for team in settings.params.teams}
+        """The machine types by name, each with those of its zones that are in the scope."""
         self.released: OrderedDict[MachineId, None] = OrderedDict()
         """Machines that are certainly gone: nothing that comes in their name counts."""
+        self.teams = {team.name: team for team in self.settings.params.teams}
+        """The teams as the settings have them."""
+        self.team_limits: TeamLimits = SettingsLimits(self.teams)
+        # How far the term has got, and what its loops wait for:
         self.began_at = monotonic_now()
         self.state_loaded = Event()
+        """Set once the store was read."""
         self.scheduling_needed = Event()
-        """Something has changed that placing may act on."""
+        """Set when something has changed that the scheduler may act on."""
         self.writes_needed = Event()
-        """The store lacks something."""
+        """Set when the store lacks something."""
         self.stopped = False
         self.sealed = False
-        """The shard is about to be led by another controller: nothing new is begun."""
-        self.team_limits: TeamLimits = SettingsLimits(self.teams)
-        self._on_lost = on_lost
-        self._on_machine_types = on_machine_types
+        """Whether the shard is about to be led by another controller: nothing new is begun."""
 
     def end(self, reason: TermEndReason) -> None:
-        """End the term."""
+        """End the term, unless it has ended."""
         if not self.stopped:
             self._on_lost(reason)
 
     def may_start(self) -> bool:
-        """Tell whether the lease surely holds now."""
+        """Return whether the lease certainly holds now, and the jobs are known.
+
+        See docs/design.md, safety argument 2.
+        """
         return not self.stopped and self.lease_validity.may_start(monotonic_now())
 
     def may_begin(self) -> bool:
-        """Tell whether tasks may be started, and machines rented or released, now."""
+        """Return whether tasks may be started, and machines rented or released, now."""
         return not self.sealed and self.may_start()
 
     def machine_type(self, name: str) -> MachineType:
-        """Find a machine type; one that isn't known has no room."""
+        """Return a machine type; one that isn't known has no room."""
         return self.machine_types.get(name) or MachineType(name, 0.0, 0.0, 0.0, ())
 
     def set_machine_types(self, machine_types: list[MachineType]) -> None:
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -37,7 +37,7 @@
 )
 from ryewing.leader.leader import Leader
 from ryewing.leader.scope import TermScope
-from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_context import TermCallbacks, TermContext, TermEnvironment
 from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.units import (
     JobId,
@@ -173,15 +173,11 @@
         if leadership is None:
             return False
         term = TermContext(
-            process.settings,
-            process.policy,
-            self.store,
+            TermEnvironment(process.settings, process.policy, self.store, self.scope),
             leadership,
-            self.step_down,
-            process.on_machine_types,
-            self.scope,
+            TermCallbacks(self.step_down, process.on_machine_types, process.on_final),
         )
-        leader = Leader(term, process.on_final, self._image_locality)
+        leader = Leader(term, self._image_locality)
         log.info(
             "event=leading node=%s term=%d version=%s%s",
             process.name,
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -12,7 +12,7 @@
 from ryewing.election.leadership import TERM_KEY, LeaseValidity
 from ryewing.leader.leader import Leader
 from ryewing.leader.scope import WHOLE_FLEET
-from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_context import TermCallbacks, TermContext, TermEnvironment
 from ryewing.state.job_records import JobRecord, live_key
 from ryewing.units import FencingToken, JobId, KeyVersion, MachineId
 from ryewing.wire.workers import Command, Heartbeat
@@ -71,15 +71,11 @@
         result = self.store.txn({}, [Put(TERM_KEY, {"term": term})])
         won.term_key_version = KeyVersion(result.revision)
         term_context = TermContext(
-            self.settings,
-            policy(),
-            self.store,  # type: ignore[arg-type]
+            TermEnvironment(self.settings, policy(), self.store, self.scope),  # type: ignore[arg-type]
             won,
-            self.lost.append,
-            lambda _machine_types: None,
-            self.scope,
+            TermCallbacks(self.lost.append, lambda _types: None, self.finals.__setitem__),
         )
-        leader = Leader(term_context, self.finals.__setitem__, image_locality)
+        leader = Leader(term_context, image_locality)
         leader.autoscaler.cloud = leader.autoscaler.listing.cloud = self.cloud  # type: ignore[assignment]
         leader.worker_commands.workers = DirectWorkers(self.workers)  # type: ignore[assignment]
         leader.term.set_machine_types(self.cloud.machine_types())
