--- a/src/ryewing/leader/division.py
+++ b/src/ryewing/leader/division.py
@@ -1,4 +1,7 @@
-"""How the fleet is divided among terms; undivided unless an operator asks for shards."""
+"""How the fleet is divided among terms: into one part, unless an operator asks for shards.
+
+`sharding.division` has the division into shards.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +16,26 @@
 from ryewing.wire.jobs import JobSpec
 
 
-class NoShardError(Exception):
-    """No single shard could ever run a job; the message says why."""
+class DivisionError(Exception):
+    """No shard can be chosen for a new job; the message says why."""
+
 
+class NoShardError(DivisionError):
+    """No single shard could ever run the job: repeating the submission won't help."""
 
-class NotReadyError(Exception):
-    """Jobs can't be taken yet; the message says why."""
+
+class NotReadyError(DivisionError):
+    """No job can be accepted yet: the submission may be repeated."""
 
 
 class Division(Protocol):
     """The terms among which the fleet is divided."""
 
     def scopes(self) -> Sequence[TermScope]:
-        """Give the terms' scopes."""
+        """Return the scope of each term."""
 
     def store_for(self, scope: TermScope, store: Store) -> TermStore:
-        """Give the part of the store that a term keeps its records in."""
+        """Return the part of the store that a term keeps its records in."""
 
     def choose(
         self,
@@ -36,19 +43,22 @@
         machine_types: Mapping[str, MachineType],
         loads: Mapping[ShardName, ShardLoadAnswer | None],
     ) -> ShardName | None:
-        """Choose a new job's shard; raise NoShardError if none could ever run it, or
-        NotReadyError."""
+        """Choose a new job's shard; None if the fleet is not divided.
+
+        `loads` has what each shard's leader last said of its load, None without news. Raise
+        NoShardError if no shard could ever run the job, NotReadyError if it's too early to choose.
+        """
 
 
 class WholeFleet:
-    """No division: one term leads everything."""
+    """No division: one term leads all machines and jobs."""
 
     def scopes(self) -> Sequence[TermScope]:
-        """Give the one scope."""
+        """Return the one scope."""
         return [WHOLE_FLEET]
 
     def store_for(self, _scope: TermScope, store: Store) -> TermStore:
-        """Give the store itself."""
+        """Return the store itself."""
         return store
 
     def choose(
@@ -57,5 +67,5 @@
         _machine_types: Mapping[str, MachineType],
         _loads: Mapping[ShardName, ShardLoadAnswer | None],
     ) -> ShardName | None:
-        """Choose nothing: there is no shard."""
+        """Return None: there is no shard."""
         return None
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -34,7 +34,7 @@
         self._worker_commands = worker_commands
         self._scheduler = scheduler
         self._lease_keeper = lease_keeper
-        self._state_log = StateLog(term, scheduler)
+        self._state_log = StateLog(term.job_table, term.cluster, scheduler)
         self.reachability = WorkerReachability(
             term.cluster, term.settings.params.workers.report_s, term.began_at
         )
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -1,8 +1,8 @@
 """What a new leader reads back: the store's records, and what its predecessor told of images.
 
 The workers hold the truth about tasks; they are asked by a handshake afterwards. Jobs are read
-before their finishes, and everything after the take-over, so that whatever an earlier leader wrote
-is known.
+before their finished tasks, and everything after the failover, so that whatever an earlier leader
+wrote is known.
 """
 
 from __future__ import annotations
@@ -23,23 +23,24 @@
 from ryewing.wire.cloud import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
-"""Added to the time for which workers may hold tasks of an earlier leader."""
+"""Added to the time for which machines may hold tasks of an earlier leader."""
 
 
-class _Chunk(NamedTuple):
-    """Names one record of finished tasks."""
+class _ChunkName(NamedTuple):
+    """The name of one record of finished tasks."""
 
     job: JobId
-    number: int | None
+    chunk: int | None
+    """None if the name has no number: the record can't be used."""
 
 
-def _parse_chunk(name: str) -> _Chunk:
-    job, _, number = name.rpartition("/")
-    return _Chunk(JobId(job), int(number) if number.isdecimal() else None)
+def _parse_chunk_name(name: str) -> _ChunkName:
+    job, _, chunk = name.rpartition("/")
+    return _ChunkName(JobId(job), int(chunk) if chunk.isdecimal() else None)
 
 
 class Recovery:
-    """Fills the parts of a new term from the store."""
+    """Fills the parts of a new term with what the store has."""
 
     def __init__(
         self,
@@ -50,63 +51,72 @@
         image_locality: ImageLocality | None,
     ) -> None:
         self._term = term
-        self._intake = job_watcher
+        self._job_watcher = job_watcher
         self._writer = writer
-        self._renter = autoscaler
+        self._autoscaler = autoscaler
         self._image_locality = image_locality
 
     def load(self) -> None:
-        """Read everything; raise StoreUnavailableError to be called again."""
+        """Read everything; may be repeated.
+
+        Raise StoreUnavailableError if the store did not answer: everything has to be read again.
+        """
         now = monotonic_now()
-        types = self._renter.load_machine_types()
-        if types:
-            self._term.set_machine_types(types)
+        machine_types = self._autoscaler.load_machine_types()
+        if machine_types:
+            self._term.set_machine_types(machine_types)
         self._load_jobs(now)
-        self._load_finishes()
+        self._load_finished_tasks()
         self._load_machines(now)
         if self._image_locality is not None:
             self._apply_image_locality(self._image_locality, now)
-        self._load_requests()
+        self._load_rental_requests()
 
     def _load_jobs(self, now: MonotonicTime) -> None:
-        entries, self._intake.revision = self._term.store.listing(LIVE_PREFIX)
+        """Take up the live jobs, as of the revision from which they are watched."""
+        entries, self._job_watcher.revision = self._term.store.listing(LIVE_PREFIX)
         for entry in entries:
             record = read_record(entry.data, entry.key)
             if record is not None:
-                self._intake.put(record, KeyVersion(entry.key_version), inherited=True)
+                self._job_watcher.put(record, KeyVersion(entry.key_version), inherited=True)
         self._term.lease_validity.confirm_jobs(now)
 
-    def _load_finishes(self) -> None:
+    def _load_finished_tasks(self) -> None:
+        """Take up the finished tasks; those found twice are put together and written anew."""
         entries, _ = self._term.store.listing(FINISHED_PREFIX)
-        finishes = self._writer.finished_tasks.pages
-        records, twice = finishes.load(entries)
+        pages = self._writer.finished_tasks.pages
+        records, found_twice = pages.load(entries)
         for name, bits in records:
-            chunk = _parse_chunk(name)
-            job = self._ending_job(chunk)
+            chunk_name = _parse_chunk_name(name)
+            job = self._finishing_job(chunk_name)
             text = decode_stored(bits, str, name)
-            if job is None or chunk.number is None or text is None:
-                finishes.drop(name)
+            if job is None or chunk_name.chunk is None or text is None:
+                pages.drop(name)
             else:
-                job.load_chunk(chunk.number, text)
+                job.load_chunk(chunk_name.chunk, text)
                 self._term.job_table.touch(job)
-        for name in twice:
-            chunk = _parse_chunk(name)
-            job = self._ending_job(chunk)
-            if job is not None and chunk.number is not None:
-                finishes.put(name, job.chunk_text(chunk.number))
-
-    def _ending_job(self, chunk: _Chunk) -> Job | None:
-        """Find the job of a record of finishes; replicas never finish."""
-        job = self._term.job_table.get(chunk.job)
+        for name in found_twice:
+            chunk_name = _parse_chunk_name(name)
+            job = self._finishing_job(chunk_name)
+            if job is not None and chunk_name.chunk is not None:
+                pages.put(name, job.chunk_text(chunk_name.chunk))
+
+    def _finishing_job(self, chunk_name: _ChunkName) -> Job | None:
+        """Return the live job of a record of finished tasks; None for a service.
+
+        Its replicas never finish, whatever a record says.
+        """
+        job = self._term.job_table.get(chunk_name.job)
         return None if job is None or job.is_service else job
 
     def _load_machines(self, now: MonotonicTime) -> None:
+        """Take up the machines; those that were heard count as occupied (safety argument 3)."""
         # Whoever led before may have answered workers until its hold ended, and the last of
-        # these answers is good for one lease.
+        # these answers keeps a worker's tasks for one lease.
         lease_s = self._term.settings.params.workers.lease_s
-        longest_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
+        may_hold_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
-        records, twice = self._writer.machine_records.pages.load(entries)
+        records, found_twice = self._writer.machine_records.pages.load(entries)
         for name, raw in records:
             record = decode_stored(raw, MachineRecord, MACHINE_PREFIX + name)
             if record is None:
@@ -121,21 +131,23 @@
             machine.address = record.address
             if record.heard:
                 machine.recorded = True
-                machine.may_hold_until = MonotonicTime(now + longest_s)
-        self._writer.machine_records.wanted.update(MachineId(name) for name in twice)
+                machine.may_hold_until = MonotonicTime(now + may_hold_s)
+        self._writer.machine_records.wanted.update(MachineId(name) for name in found_twice)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
+        """Take up which machines have which images, and the backoff of failing jobs."""
         self._term.cluster.restore_images(image_locality.images, image_locality.machines)
         # Without it each new leader let whole batches of such jobs fail once more.
-        for name, delay_s in image_locality.failing.items():
+        for name, backoff_s in image_locality.failing.items():
             job = self._term.job_table.get(JobId(name))
             if job is not None and not job.done_count:
-                job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, delay_s))
+                job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, backoff_s))
                 job.backoff_until = now
 
-    def _load_requests(self) -> None:
+    def _load_rental_requests(self) -> None:
+        """Take up the recorded rental requests, to be repeated (safety argument 10)."""
         entries, _ = self._term.store.listing(REQUEST_PREFIX)
         for entry in entries:
             request = decode_stored(entry.data, RentalRequest, entry.key)
             if request is not None:
-                self._renter.pending_requests[request.id] = request
+                self._autoscaler.pending_requests[request.id] = request
--- a/src/ryewing/leader/scope.py
+++ b/src/ryewing/leader/scope.py
@@ -1,7 +1,7 @@
 """Which part of the fleet a term leads: the whole of it, or one shard.
 
-The modules of a term ask here which machines and jobs are theirs, and which part of the process's
-rates and memory they may use. What a shard is, and who leads it, is decided elsewhere.
+The modules of a term ask its scope which machines and jobs are theirs, and which part of the
+process's rates and memory they may use. What a shard is, and who leads it, is up to `sharding`.
 """
 
 from __future__ import annotations
@@ -21,21 +21,23 @@
     shard: ShardName | None = None
     """None: the whole fleet."""
     zones: frozenset[Zone] = frozenset()
-    """The zones of the shard's machines."""
+    """The zones of the shard's machines; not used for the whole fleet."""
     share: float = 1.0
-    """The part of every rate and bound of a process that the term may use. The parts of all shards
-    add up to one, so they hold however many of them one controller leads."""
+    """The part, from 0 to 1, of every rate and bound of a process that the term may use.
+
+    The parts of all shards add up to one, so the bounds hold however many one controller leads.
+    """
 
     def covers(self, zone: str) -> bool:
-        """Tell whether a zone's machines are this term's."""
+        """Return whether a zone's machines are this term's (docs/design.md, safety argument 13)."""
         return self.shard is None or zone in self.zones
 
     def owns(self, record: JobRecord) -> bool:
-        """Tell whether a job is this term's."""
+        """Return whether a job is this term's (docs/design.md, safety argument 14)."""
         return record.shard == self.shard
 
     def machine_types(self, machine_types: Sequence[MachineType]) -> list[MachineType]:
-        """Give the machine types with those of their zones that are this term's."""
+        """Return the machine types, each with only those of its zones that are this term's."""
         if self.shard is None:
             return list(machine_types)
         return [
@@ -46,9 +48,13 @@
         ]
 
     def request_name(self, term: TermNumber, number: int) -> str:
-        """Name a rental request; terms of two shards may have the same number."""
+        """Return the name of a term's rental request.
+
+        It holds the shard, since terms of two shards may have the same number.
+        """
         prefix = "r" if self.shard is None else f"r-{self.shard}"
         return f"{prefix}-{term}-{number}"
 
 
 WHOLE_FLEET = TermScope()
+"""The scope of a term whose fleet is not divided."""
--- a/src/ryewing/leader/state_log.py
+++ b/src/ryewing/leader/state_log.py
@@ -3,9 +3,12 @@
 from __future__ import annotations
 
 import logging
+from collections.abc import Sequence
+from typing import Protocol
 
-from ryewing.leader.scheduler import Scheduler
-from ryewing.leader.term_context import TermContext
+from ryewing.state.cluster_state import ClusterState
+from ryewing.state.job_table import JobTable
+from ryewing.state.jobs import Job
 from ryewing.state.machine import Machine
 from ryewing.units import MonotonicTime
 
@@ -14,6 +17,19 @@
 STATE_LOG_EVERY_S = 10.0
 
 
+class SchedulerFigures(Protocol):
+    """What the line says of the scheduler."""
+
+    cycles: int
+    """Scheduling cycles of this term."""
+    machines_examined: int
+    """Machines that were looked at in all of them."""
+
+    @property
+    def unplaced(self) -> Sequence[tuple[Job, int]]:
+        """Jobs, and how many of their tasks the last scheduling cycle could not place."""
+
+
 class _MachineCounts:
     """What there is of one kind of machines."""
 
@@ -43,8 +59,11 @@
 class StateLog:
     """Logs the state of a term at regular intervals."""
 
-    def __init__(self, term: TermContext, scheduler: Scheduler) -> None:
-        self._term = term
+    def __init__(
+        self, job_table: JobTable, cluster: ClusterState, scheduler: SchedulerFigures
+    ) -> None:
+        self._job_table = job_table
+        self._cluster = cluster
         self._scheduler = scheduler
         self._logged_at = MonotonicTime(-1e9)
 
@@ -56,10 +75,10 @@
         log.info(
             "event=state jobs=%d cycles=%d machines_examined=%d fetch_slowdown=%.2f gpus=%s "
             "machines=%s unplaced=%s",
-            len(self._term.job_table.jobs),
+            len(self._job_table.jobs),
             self._scheduler.cycles,
             self._scheduler.machines_examined,
-            self._term.cluster.fetch_slowdown,
+            self._cluster.fetch_slowdown,
             ",".join(f"{phase}:{gpus:g}" for phase, gpus in sorted(self._gpus().items())) or "-",
             ",".join(f"{kind}:{counts}" for kind, counts in sorted(self._machines().items()))
             or "-",
@@ -69,7 +88,7 @@
     def _machines(self) -> dict[str, _MachineCounts]:
         """Count the machines by their type."""
         kinds: dict[str, _MachineCounts] = {}
-        for machine in self._term.cluster.machines.values():
+        for machine in self._cluster.machines.values():
             kind = machine.machine_type.name + ("/spot" if machine.spot else "")
             if kind not in kinds:
                 kinds[kind] = _MachineCounts()
@@ -79,7 +98,7 @@
     def _gpus(self) -> dict[str, float]:
         """Sum up the GPUs that assignments have, by the phase of their task."""
         phases: dict[str, float] = {}
-        for machine in self._term.cluster.machines.values():
+        for machine in self._cluster.machines.values():
             for assignment in machine.assignments.values():
                 if assignment.job is not None and assignment.job.spec.gpus > 0:
                     gpus = phases.get(assignment.phase, 0.0) + assignment.job.spec.gpus
