--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -107,7 +107,10 @@
     # -- life -------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin the term: the lease is kept from the first moment on."""
+        """Begin the term: the lease is kept from the first moment on.
+
+        The names of the loops are what the log says when one fails.
+        """
         self._loops.start("_renew_loop", self.lease_keeper.renewal_loop)
         self._loops.start("_begin", self._begin)
 
@@ -130,7 +133,6 @@
         for machine in list(self.term.cluster.machines.values()):
             if machine.address:
                 self.worker_commands.schedule_direct_message(machine)
-        # The names of the loops are what the log says when one fails.
         self._loops.start("watch_loop", self.job_watcher.watch_loop)
         self._loops.start("write_loop", self.writer.write_loop)
         self._loops.start("scheduling_loop", self.scheduler.scheduling_loop)
--- a/src/ryewing/leader/lease_keeper.py
+++ b/src/ryewing/leader/lease_keeper.py
@@ -14,16 +14,17 @@
 log = logging.getLogger(__name__)
 
 RENEWALS_PER_LEASE = 4
+"""How often a lease is renewed in its time."""
 RETRIES_PER_LEASE = 8
 """How often a renewal is tried in the time of a lease while the store does not answer."""
-RENEWAL_DEADLINES_PER_LEASE = 3
-"""A renewal waits for its answer for one part of so many of a lease."""
+RENEWAL_TIMEOUTS_PER_LEASE = 3
+"""A renewal waits for its answer for this fraction of a lease: a third."""
 JOBS_NOT_FOLLOWED_S = 15.0
 """A leader whose lease is renewed and that can't read the jobs for so long resigns."""
 
 
 class LeaseKeeper:
-    """Renews the lease and confirms the term's authority by it (safety argument 2)."""
+    """Renews the lease and confirms the term's authority by it (docs/design.md, argument 2)."""
 
     def __init__(self, term: TermContext) -> None:
         self._term = term
@@ -43,7 +44,7 @@
         sent_at = monotonic_now()
         try:
             term.store.renew(
-                term.leadership.lease, term.policy.store_lease_s / RENEWAL_DEADLINES_PER_LEASE
+                term.leadership.lease, term.policy.store_lease_s / RENEWAL_TIMEOUTS_PER_LEASE
             )
         except LeaseLostError:
             term.end(TermEndReason.LEASE_LOST)
--- a/src/ryewing/leader/state_log.py
+++ b/src/ryewing/leader/state_log.py
@@ -9,7 +9,6 @@
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Machine
 from ryewing.units import MonotonicTime
 
 log = logging.getLogger(__name__)
@@ -41,14 +40,6 @@
         self.cpus_free = 0.0
         self.gpus_free = 0.0
 
-    def add(self, machine: Machine) -> None:
-        """Count a machine."""
-        self.machines += 1
-        if machine.usable():
-            self.usable += 1
-            self.cpus_free += machine.cpus
-            self.gpus_free += machine.gpus
-
     def __str__(self) -> str:
         return (
             f"{self.machines}(up={self.usable};cpus_free={self.cpus_free:g};"
@@ -90,9 +81,14 @@
         kinds: dict[str, _MachineCounts] = {}
         for machine in self._cluster.machines.values():
             kind = machine.machine_type.name + ("/spot" if machine.spot else "")
-            if kind not in kinds:
-                kinds[kind] = _MachineCounts()
-            kinds[kind].add(machine)
+            counts = kinds.get(kind)
+            if counts is None:
+                counts = kinds[kind] = _MachineCounts()
+            counts.machines += 1
+            if machine.usable():
+                counts.usable += 1
+                counts.cpus_free += machine.cpus
+                counts.gpus_free += machine.gpus
         return kinds
 
     def _gpus(self) -> dict[str, float]:
