--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -16,6 +16,7 @@
 from ryewing.clients.workers import Workers, WorkerUnavailableError
 from ryewing.leader.commands import repeatable_commands
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.state.machine import Machine
 from ryewing.units import (
     HeartbeatVersion,
@@ -122,7 +123,7 @@
             if heartbeat.machine != machine.id:
                 return
             if term_of_token(heartbeat.token) > self._term.number:
-                self._term.end("overruled")
+                self._term.end(TermEndReason.OVERRULED)
                 return
             self._apply_answer(machine, heartbeat, known_version)
             if heartbeat.incarnation == incarnation:
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -12,6 +12,7 @@
 from ryewing.leader.heartbeat_effects import HeartbeatEffects
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.state.machine import Machine, TaskPhase
 from ryewing.units import (
     HeartbeatVersion,
@@ -62,7 +63,7 @@
         if term_of_token(heartbeat.token) > self._term.number:
             # The worker has seen a later leader: it would drop a 200 from here, yet it would keep
             # sending to this node while its lease expires.
-            self._term.end("overruled")
+            self._term.end(TermEndReason.OVERRULED)
             return False
         if (
             self._term.stopped
@@ -104,7 +105,7 @@
         ):
             return None
         if not machine.recorded or new_address:
-            self._writer.to_record.add(machine.id)
+            self._writer.record_machine(machine.id)
             self._term.writes_needed.set()
         if fresh:
             self._effects.apply(machine, now)
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -73,8 +73,7 @@
         self._term.cluster.remove(machine, now)
         if machine.address:
             self._direct_messages.workers.forget(machine.address)
-        self._writer.to_record.discard(machine.id)
+        self._writer.forget_machine(machine.id)
         self._term.released[machine.id] = None
         if len(self._term.released) > RELEASED_NAMES_KEPT:
             self._term.released.popitem(last=False)
-        self._writer.machines.drop(machine.id)
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -17,6 +17,7 @@
 from ryewing.clients.store import Put
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.units import MachineId, Zone, monotonic_now
 from ryewing.wire.cloud import RentalRequest
 
@@ -58,7 +59,7 @@
             [Put(REQUEST_PREFIX + request.id, request)],
         )
         if not result.ok:
-            self._term.end("fenced")
+            self._term.end(TermEndReason.FENCED)
             return False
         self.send(request)
         return True
@@ -83,7 +84,7 @@
         self.pending.pop(request.id, None)
         # The records of the machines have to come before the request is forgotten: writes are made
         # in this order.
-        self._writer.to_forget[REQUEST_PREFIX + request.id] = None
+        self._writer.remove_key(REQUEST_PREFIX + request.id)
         self._term.writes_needed.set()
 
     def _add_machines(
@@ -112,4 +113,4 @@
                 now,
             )
             machine.rented_at = now
-            self._writer.to_record.add(name)
+            self._writer.record_machine(name)
--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -11,6 +11,7 @@
 from functools import partial
 
 from ryewing.leader.leader import Leader
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.sharding.owner_choice import OwnerChoice
 from ryewing.sharding.ownership import (
     Ownership,
@@ -34,10 +35,6 @@
 ORPHAN_PATIENCE_S = 5.0
 """How long a shard without a healthy owner is left to the controller that is chosen for it; after
 that any controller takes it."""
-RESIGNED_MOVING = "moving"
-"""A leader resigns since its sealed shard is drained and moves to another controller."""
-RESIGNED_NOT_OWNER = "not-owner"
-"""A leader resigns since the ownership record names another controller."""
 
 
 class OwnershipSteps:
@@ -71,7 +68,7 @@
         """Resign if the record names another controller, which waits for the lease."""
         leader = self._electors.leader_of(name)
         if leader is not None and stored.record is not None and not stored.record.leads(self._node):
-            leader.resign(RESIGNED_NOT_OWNER)
+            leader.resign(TermEndReason.NOT_OWNER)
 
     def take_due_step(
         self, name: ShardName, stored: StoredOwnership, registration: Registration
@@ -103,7 +100,7 @@
             waited_s = monotonic_now() - self._sealed_since[name]
             if not leader.drained() and waited_s < DRAIN_MAX_S:
                 return
-            leader.resign(RESIGNED_MOVING)
+            leader.resign(TermEndReason.SHARD_MOVING)
         self._advance(name, stored, lambda old: settle(old, self._node))
 
     def _hand_off_if_abstaining(
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -20,6 +20,7 @@
 from ryewing.clients.store import Put, StoreUnavailableError, decode_stored
 from ryewing.config.settings import Team
 from ryewing.leader.leader import Leader
+from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.sharding.allowance import NOTHING, Allowances, Amount
 from ryewing.sharding.allowance_change import AllowanceChange
 from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
@@ -39,8 +40,6 @@
 NEVER = MonotonicTime(-1e9)
 NO_ROOM = EPSILON / 2
 """Stands for a part of 0: a team's limit of 0 would mean that there is none."""
-FENCED = "fenced"
-"""The term ends since another leader's term has superseded it."""
 
 
 class TeamRecord:
@@ -182,7 +181,7 @@
             [Put(_key(name), record) for name, record in changes.items()],
         )
         if self._term.leadership.is_superseded(result):
-            self._term.end(FENCED)
+            self._term.end(TermEndReason.FENCED)
             return
         self._read_at = NEVER
         if not result.ok:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -19,7 +19,7 @@
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
 from ryewing.leader.direct_messages import max_sends_in_flight
-from ryewing.leader.state_writer import MACHINE_PREFIX
+from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.process.node import API_SHARE, PEER_SHARE
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
 from ryewing.state.cluster_state import ClusterState
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -25,6 +25,8 @@
     "leader.heartbeats",
     "leader.job_watcher",
     "leader.leader",
+    "leader.lease_keeper",
+    "leader.maintenance",
     "leader.recovery",
     "leader.scheduler",
     "leader.state_writer",
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -158,13 +158,13 @@
         if leader is None:
             return
         if not leader.term.state_loaded.is_set() and not self.load(leader):
-            leader.renew_once()
+            leader.lease_keeper.renew_once()
             return
         for act in (
-            leader.renew_once,
+            leader.lease_keeper.renew_once,
             leader.job_watcher.watch_once,
             self._writing(leader),
-            leader.run_maintenance,
+            leader.maintenance.run_once,
             self._dividing_limits(leader),
             self._placing(leader),
             self._giving_up(leader),
@@ -178,7 +178,7 @@
     def load(self, leader: Leader) -> bool:
         """Let a new leader read the store."""
         try:
-            leader._load()
+            leader.load()
         except StoreUnavailableError:
             return False
         leader.term.state_loaded.set()
@@ -219,7 +219,7 @@
         leader = elector.leader
         if leader is not None:
             use_cloud(leader, self.cloud)
-            leader.writer._bucket = self._bucket(leader.writer._bucket)
+            leader.writer.bucket = self._bucket(leader.writer.bucket)
             early = self._bucket(leader.early_heartbeats.bucket)
             leader.early_heartbeats.bucket = early
             leader.scheduler._rng = random.Random(int(leader.term.number))
