--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from support.cluster import Cluster, FakePeer
+from support.simulated_cluster import FakePeer, SimulatedCluster
 from support.timed_store import StoreLink
 from support.timed_workers import NAMES
 
@@ -31,14 +31,14 @@
         monkeypatch.setattr(FakePeer, "request", counted_ask)
 
 
-def poll_all(cluster: Cluster, refs: list[str], node: str | None = None) -> None:
+def poll_all(cluster: SimulatedCluster, refs: list[str], node: str | None = None) -> None:
     """Ask as a thousand users do, at one controller or at all of them by turns."""
     for number in range(POLLS):
         status = cluster.poll(node or NAMES[number % len(NAMES)], refs[number % len(refs)])
         assert status == 200
 
 
-def jobs(cluster: Cluster) -> list[str]:
+def jobs(cluster: SimulatedCluster) -> list[str]:
     """Bring up a leader with ten jobs that run."""
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}")
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize(("node", "asks"), [(NAMES[0], 0), (NAMES[1], POLLS)])
 def test_live_jobs_are_told_from_the_leaders_memory(
-    cluster: Cluster, monkeypatch: pytest.MonkeyPatch, node: str, asks: int
+    cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch, node: str, asks: int
 ) -> None:
     """The leader asks nobody; another controller asks it, and never the store."""
     refs = jobs(cluster)
@@ -63,7 +63,7 @@
 
 
 def test_jobs_that_have_ended_are_asked_for_once_at_each_controller(
-    cluster: Cluster, monkeypatch: pytest.MonkeyPatch
+    cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     refs = jobs(cluster)
     for worker in cluster.workers.values():
@@ -76,7 +76,7 @@
     assert set(cluster.rules.final.values()) == {"done"}
 
 
-def test_reports_are_answered_between_polls(cluster: Cluster) -> None:
+def test_reports_are_answered_between_polls(cluster: SimulatedCluster) -> None:
     """No question leaves anything behind that a heartbeat would have to wait for."""
     refs = jobs(cluster)
     worker = cluster.workers["i-000001"]
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from support.cluster import Cluster
 from support.placement_world import T0
+from support.simulated_cluster import SimulatedCluster
 from support.timed_store import StoreLink
 from support.timed_workers import NAMES, STEP_S
 
@@ -35,13 +35,13 @@
 class RateLimit:
     """Holds a cluster's store to its rate, and counts its requests by who caused them."""
 
-    def __init__(self, cluster: Cluster, monkeypatch: pytest.MonkeyPatch) -> None:
+    def __init__(self, cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch) -> None:
         self.rps = cluster.settings.params.state.rps
         self.made: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
         self._bucket = TokenBucket(self.rps, self.rps, cluster.clock)
         self._cause = "service"
-        check, http = StoreLink._check, Cluster._http
+        check, http = StoreLink._check, SimulatedCluster._http
 
         def limited_check(link: StoreLink) -> None:
             check(link)
@@ -53,7 +53,7 @@
                 raise ThrottledError("429")
 
         def attributed_http(
-            self_: Cluster, node: str, method: str, path: str, body: bytes
+            self_: SimulatedCluster, node: str, method: str, path: str, body: bytes
         ) -> tuple[int, Any]:
             self._cause = "users" if path.startswith("/v2") else "service"
             try:
@@ -62,10 +62,10 @@
                 self._cause = "service"
 
         monkeypatch.setattr(StoreLink, "_check", limited_check)
-        monkeypatch.setattr(Cluster, "_http", attributed_http)
+        monkeypatch.setattr(SimulatedCluster, "_http", attributed_http)
 
 
-def before_each_step(cluster: Cluster, act: Callable[[], None]) -> None:
+def before_each_step(cluster: SimulatedCluster, act: Callable[[], None]) -> None:
     """Let users come first in every step, when the rate has just been refilled."""
     tend = cluster.store.tend
 
@@ -77,7 +77,7 @@
 
 
 def test_questions_leave_room_for_the_next_leader(
-    cluster: Cluster, monkeypatch: pytest.MonkeyPatch
+    cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Found on a day whose leader froze: 54,588 of 80,362 requests to the store were refused."""
     for number in range(1, 4):
@@ -160,7 +160,7 @@
         assert refused.value.retry_s > 0
 
 
-def test_what_is_refused_names_when_there_is_room(cluster: Cluster) -> None:
+def test_what_is_refused_names_when_there_is_room(cluster: SimulatedCluster) -> None:
     cluster.run(2.0)
     cluster.frozen.add(NAMES[0])
     cluster.submit(NAMES[1], "run-1")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,8 +6,8 @@
 
 import pytest
 from support.clocks import TERM_PARTS, clock_of_cluster, divided_clusters, moved_by_hand
-from support.cluster import Cluster
 from support.harness import LeaderHarness
+from support.simulated_cluster import SimulatedCluster
 
 
 @pytest.fixture
@@ -21,10 +21,10 @@
 
 
 @pytest.fixture
-def cluster(monkeypatch: pytest.MonkeyPatch) -> Cluster:
-    return Cluster(clock_of_cluster(monkeypatch))
+def cluster(monkeypatch: pytest.MonkeyPatch) -> SimulatedCluster:
+    return SimulatedCluster(clock_of_cluster(monkeypatch))
 
 
 @pytest.fixture
-def divided(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Cluster]:
+def divided(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
     return divided_clusters(monkeypatch)
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -5,11 +5,11 @@
 import random
 
 import pytest
-from support.cluster import Cluster
 from support.divided_fleet import EAST, WEST, MakeCluster, begin, bring_up, broken
 from support.fakes import GPU
 from support.harness import LeaderHarness
 from support.scenarios import Scenario
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES
 
 from ryewing.clients.store import decode_stored
@@ -24,14 +24,14 @@
 """The GPUs of team red."""
 
 
-def gpu_jobs(cluster: Cluster, zone: str, count: int, first: int = 0) -> None:
+def gpu_jobs(cluster: SimulatedCluster, zone: str, count: int, first: int = 0) -> None:
     """Submit arrays of four tasks with a GPU each."""
     for number in range(first, first + count):
         name = NAMES[number % 3]
         cluster.submit(name, f"run-{number}", zone=zone, gpus=1.0, cpus=1.0, task_count=4)
 
 
-def gpus_in_use(cluster: Cluster, zones: str = "abc") -> int:
+def gpus_in_use(cluster: SimulatedCluster, zones: str = "abc") -> int:
     return sum(
         found.status != "ended"
         for worker in cluster.workers.values()
@@ -40,7 +40,7 @@
     )
 
 
-def parts(cluster: Cluster) -> Allowances:
+def parts(cluster: SimulatedCluster) -> Allowances:
     entry = cluster.store.get("allowance/red")
     assert entry is not None
     record = decode_stored(entry.data, Allowances, entry.key)
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture
-def limited(divided: MakeCluster) -> Cluster:
+def limited(divided: MakeCluster) -> SimulatedCluster:
     """Two shards with more GPUs each than the team may use."""
     cluster = divided(moves_allowed=False)
     bring_up(cluster, 0, with_gpus=12)
@@ -58,7 +58,7 @@
     return cluster
 
 
-def test_a_limit_follows_the_demand(limited: Cluster) -> None:
+def test_a_limit_follows_the_demand(limited: SimulatedCluster) -> None:
     """All of it where the only work is; when other work comes and tasks end, half of it there, as
     near as whole tasks come."""
     cluster = limited
@@ -81,7 +81,9 @@
     assert cluster.store.writes - writes < 30, "steady demand is written again and again"
 
 
-def test_a_gang_that_needs_the_whole_limit_starts_beside_a_steady_demand(limited: Cluster) -> None:
+def test_a_gang_that_needs_the_whole_limit_starts_beside_a_steady_demand(
+    limited: SimulatedCluster,
+) -> None:
     cluster = limited
     gpu_jobs(cluster, "a", 2)
     cluster.run(8.0)
@@ -97,7 +99,7 @@
     assert broken(cluster) == []
 
 
-def owner_gets_no_answers(cluster: Cluster) -> None:
+def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
     """Raises and cuts are carried out, and the leader of one shard is not told."""
     cluster.links["n-0"].answer_lost = True
     gpu_jobs(cluster, "b", 4, first=20)
@@ -109,7 +111,7 @@
     cluster.run(20.0)
 
 
-def a_cut_comes_late(cluster: Cluster) -> None:
+def a_cut_comes_late(cluster: SimulatedCluster) -> None:
     """The part is given up by a write without an answer, and work comes back before it arrives."""
     gpu_jobs(cluster, "b", 4, first=20)
     link = cluster.links["n-0"]
@@ -126,7 +128,7 @@
     cluster.run(20.0)
 
 
-def the_store_refuses_one_owner(cluster: Cluster) -> None:
+def the_store_refuses_one_owner(cluster: SimulatedCluster) -> None:
     cluster.links["n-0"].refused = True
     gpu_jobs(cluster, "b", 4, first=20)
     cluster.run(20.0)
@@ -134,7 +136,9 @@
     cluster.run(20.0)
 
 
-def machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves(cluster: Cluster) -> None:
+def machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves(
+    cluster: SimulatedCluster,
+) -> None:
     """What runs out of reach counts until its lease is over, whoever leads the shard."""
     cut_off = [worker for worker in cluster.workers.values() if worker.zone == "a"]
     for number, worker in enumerate(cut_off):
@@ -157,7 +161,7 @@
         machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves,
     ],
 )
-def test_no_team_is_above_its_limit(limited: Cluster, scenario: Scenario) -> None:
+def test_no_team_is_above_its_limit(limited: SimulatedCluster, scenario: Scenario) -> None:
     cluster = limited
     gpu_jobs(cluster, "a", 4)
     cluster.run(12.0)
@@ -168,7 +172,7 @@
 
 
 def test_a_part_counts_as_lowered_from_before_the_write_and_as_raised_after_it(
-    limited: Cluster,
+    limited: SimulatedCluster,
 ) -> None:
     """Without an answer the lower one counts, until a later write is confirmed."""
     cluster = limited
@@ -226,7 +230,9 @@
     assert found == pytest.approx(list(targets))
 
 
-def test_small_work_does_not_wait_for_ever_beside_room_that_a_gang_wants(limited: Cluster) -> None:
+def test_small_work_does_not_wait_for_ever_beside_room_that_a_gang_wants(
+    limited: SimulatedCluster,
+) -> None:
     """A gang that could only start once all others have ended keeps room by turns."""
     cluster = limited
     gpu_jobs(cluster, "a", 1)
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -13,8 +13,8 @@
 
 import pytest
 from support.clocks import divided_clusters
-from support.cluster import Cluster
 from support.divided_fleet import MakeCluster, begin, bring_up, broken, submit_some
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES, TimedWorker
 
 MOVES_A_SEED = 5
@@ -24,7 +24,7 @@
 class Troubles:
     """What may befall a cluster, one thing at a time; each ends by itself or at the end."""
 
-    def __init__(self, cluster: Cluster, rng: random.Random) -> None:
+    def __init__(self, cluster: SimulatedCluster, rng: random.Random) -> None:
         self.cluster = cluster
         self.rng = rng
         self.all: list[Callable[[], None]] = [
@@ -127,7 +127,7 @@
             self.cluster.cancel(self._node(), job)
 
 
-def play(cluster: Cluster, seed: int, moves: int = MOVES_A_SEED) -> int:
+def play(cluster: SimulatedCluster, seed: int, moves: int = MOVES_A_SEED) -> int:
     """Move shards under troubles; give how many moves were begun."""
     rng = random.Random(seed)
     troubles = Troubles(cluster, rng)
@@ -150,7 +150,7 @@
     return begun
 
 
-def ask_all(cluster: Cluster, rng: random.Random) -> None:
+def ask_all(cluster: SimulatedCluster, rng: random.Random) -> None:
     """Users ask about some jobs everywhere."""
     for job in rng.sample(sorted(cluster.rules.accepted), min(3, len(cluster.rules.accepted))):
         cluster.ask_all(job)
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -6,7 +6,6 @@
 import random
 
 import pytest
-from support.cluster import Cluster
 from support.divided_fleet import (
     EAST,
     WEST,
@@ -21,6 +20,7 @@
     submit_some,
 )
 from support.scenarios import Scenario
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES
 
 from ryewing.clients.store import Remove
@@ -74,7 +74,7 @@
     assert {worker.incarnation for worker in cluster.workers.values()} == {1}
 
 
-def jobs_in_both(cluster: Cluster) -> None:
+def jobs_in_both(cluster: SimulatedCluster) -> None:
     """An array and a gang run in each shard, led by n-0 and n-1."""
     serving(cluster)
     for number, (zone, shape) in enumerate(itertools.product("ab", ("batch", "group"))):
@@ -84,7 +84,7 @@
     assert (cluster.leader_of(EAST), cluster.leader_of(WEST)) == ("n-0", "n-1")
 
 
-def move_until(cluster: Cluster, phase: Phase) -> None:
+def move_until(cluster: SimulatedCluster, phase: Phase) -> None:
     """Begin the move of a shard from n-0 to n-2, and go on until it is in a phase."""
     assert begin(cluster, EAST, "n-2")
     for _ in range(20):
@@ -94,7 +94,7 @@
     raise AssertionError(record_of(cluster, EAST))
 
 
-def all_done(cluster: Cluster) -> None:
+def all_done(cluster: SimulatedCluster) -> None:
     """What runs goes on to its end, was begun once, and never stopped."""
     cluster.run(2.0)
     for worker in cluster.workers.values():
@@ -146,7 +146,7 @@
     all_done(cluster)
 
 
-def statuses(cluster: Cluster, job: str) -> list[str]:
+def statuses(cluster: SimulatedCluster, job: str) -> list[str]:
     """List what a job's tasks do."""
     return [
         found.status
@@ -156,7 +156,7 @@
     ]
 
 
-def a_gang_is_half_started(cluster: Cluster) -> None:
+def a_gang_is_half_started(cluster: SimulatedCluster) -> None:
     """Some of its tasks wait on their machines for the others as the shard is sealed."""
     cluster.submit("n-1", "run-8", shape="group", zone="a", task_count=4, cpus=10.0)
     slow = cluster.workers["i-000003"]
@@ -171,7 +171,7 @@
     assert not [task for task in cluster.rules.halted if not task.startswith("run-8/")]
 
 
-def a_gang_is_cancelled(cluster: Cluster) -> None:
+def a_gang_is_cancelled(cluster: SimulatedCluster) -> None:
     """At each moment of the move users call off what runs in the shard."""
     move_until(cluster, Phase.SEALED)
     assert cluster.cancel("n-1", "run-1") == 200
@@ -184,7 +184,7 @@
     assert not any(worker.tasks for worker in cluster.workers.values() if worker.zone == "a")
 
 
-def a_spot_notice_comes(cluster: Cluster) -> None:
+def a_spot_notice_comes(cluster: SimulatedCluster) -> None:
     """The owner of a sealed shard still answers, and saves what is about to be lost."""
     assert begin(cluster, EAST, "n-2")
     for worker in cluster.workers.values():
@@ -193,7 +193,7 @@
     assert not cluster.workers["i-000000"].tasks
 
 
-def both_owners_hear_a_worker(cluster: Cluster) -> None:
+def both_owners_hear_a_worker(cluster: SimulatedCluster) -> None:
     """The old owner sends it on, and counts nothing that it says."""
     worker = cluster.workers["i-000000"]
     move_until(cluster, Phase.SETTLED)
@@ -204,7 +204,7 @@
     assert cluster.leader("n-0", EAST) is None
 
 
-def the_owner_of_a_sealed_shard_restarts(cluster: Cluster) -> None:
+def the_owner_of_a_sealed_shard_restarts(cluster: SimulatedCluster) -> None:
     """Its new process does not take the lease up again: the target is the next to lead."""
     move_until(cluster, Phase.SEALED)
     cluster.dead.add("n-0")
@@ -215,7 +215,7 @@
     assert leader.term.number == 2
 
 
-def a_health_key_is_lost(cluster: Cluster) -> None:
+def a_health_key_is_lost(cluster: SimulatedCluster) -> None:
     """A late write of an earlier process takes it away: others take over, and the owner, whose
     lease goes on, gives way; then its key comes back."""
     keep = ControllerHealth.keep
@@ -230,7 +230,7 @@
     assert "n-0" in ownership(cluster).healthy
 
 
-def cancelled_while_the_leader_hears_no_changes(cluster: Cluster) -> None:
+def cancelled_while_the_leader_hears_no_changes(cluster: SimulatedCluster) -> None:
     """The leader of the job's own shard is told before its user is."""
     cluster.links["n-0"].mute_watch = True
     assert cluster.cancel("n-2", "run-0") == 200
@@ -239,7 +239,7 @@
     cluster.ask_all("run-0")
 
 
-def nobody_owns_it_for_a_minute(cluster: Cluster) -> None:
+def nobody_owns_it_for_a_minute(cluster: SimulatedCluster) -> None:
     """The store turns every controller away in the middle of a move."""
     move_until(cluster, Phase.SETTLED)
     for link in cluster.links.values():
@@ -251,7 +251,7 @@
     assert all_owned(cluster)
 
 
-def the_owner_can_reach_no_workers(cluster: Cluster) -> None:
+def the_owner_can_reach_no_workers(cluster: SimulatedCluster) -> None:
     """It resigns, and leaves the shard to a controller that can."""
     for number in range(6, 15):
         cluster.worker(f"i-{number:06d}", zone="a")
@@ -262,7 +262,7 @@
     assert record_of(cluster, EAST).owner != "n-0"
 
 
-def an_owner_freezes(cluster: Cluster) -> None:
+def an_owner_freezes(cluster: SimulatedCluster) -> None:
     """Another controller takes its shard; thawed, it has no authority and gives way."""
     cluster.frozen.add("n-0")
     cluster.run(9.0)
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -9,8 +9,8 @@
 import pytest
 
 from ryewing.sharding.settings import by_zones
-from support.cluster import Cluster
 from support.fakes import RAW_SETTINGS, Clock
+from support.simulated_cluster import SimulatedCluster
 
 TERM_PARTS = (
     "clients.machine_listing",
@@ -54,12 +54,12 @@
     return clock
 
 
-def divided_clusters(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Cluster]:
+def divided_clusters(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
     """Give what makes a cluster whose fleet is divided into shards of whole zones."""
     clock = clock_of_cluster(monkeypatch)
 
-    def make(count: int = 2, **settings: Any) -> Cluster:
+    def make(count: int = 2, **settings: Any) -> SimulatedCluster:
         shards = by_zones(count, RAW_SETTINGS["params"]["zones"])
-        return Cluster(clock, msgspec.structs.replace(shards, **settings))
+        return SimulatedCluster(clock, msgspec.structs.replace(shards, **settings))
 
     return make
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -8,7 +8,7 @@
 from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
 from ryewing.sharding.registry import Registration, ShardRegistry
 from ryewing.units import NodeName, ShardName
-from support.cluster import Cluster
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES
 
 EAST, WEST = "shard-1", "shard-2"
@@ -17,35 +17,35 @@
 PATIENCE_S = 90.0
 """How long a job may wait beside room, by the users' rule: room is kept for gangs by turns."""
 
-MakeCluster = Callable[..., Cluster]
+MakeCluster = Callable[..., SimulatedCluster]
 
 
-def serving(cluster: Cluster, machines: int = 6) -> None:
+def serving(cluster: SimulatedCluster, machines: int = 6) -> None:
     """Bring up machines in each zone, and owners for all shards."""
     bring_up(cluster, machines)
     cluster.run(12.0)
 
 
-def bring_up(cluster: Cluster, machines: int, with_gpus: int = 0) -> None:
+def bring_up(cluster: SimulatedCluster, machines: int, with_gpus: int = 0) -> None:
     """Bring up machines in each zone by turns."""
     for number in range(machines + with_gpus):
         kind = "g4" if number >= machines else "c32"
         cluster.worker(f"i-{number:06d}", machine_type=kind, zone="abc"[number % 3])
 
 
-def ownership(cluster: Cluster) -> Registration:
+def ownership(cluster: SimulatedCluster) -> Registration:
     """Read the records as an operator does."""
     names = [shard for shard in cluster.nodes[NAMES[0]].electors if shard is not None]
     return ShardRegistry(cluster.store).read(names)  # type: ignore[arg-type]
 
 
-def record_of(cluster: Cluster, shard: str) -> Ownership:
+def record_of(cluster: SimulatedCluster, shard: str) -> Ownership:
     record = ownership(cluster).shards[ShardName(shard)].record
     assert record is not None
     return record
 
 
-def begin(cluster: Cluster, shard: str, target: str) -> bool:
+def begin(cluster: SimulatedCluster, shard: str, target: str) -> bool:
     """Ask for a move; False if it is refused."""
     found = ownership(cluster)
     registry = ShardRegistry(cluster.store)  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
     return taken is not None
 
 
-def all_owned(cluster: Cluster) -> bool:
+def all_owned(cluster: SimulatedCluster) -> bool:
     """Tell whether each shard is led by the controller that its record names."""
     return all(
         seen.record is not None
@@ -70,7 +70,7 @@
     )
 
 
-def submit_some(cluster: Cluster, rng: random.Random, first: int, count: int) -> None:
+def submit_some(cluster: SimulatedCluster, rng: random.Random, first: int, count: int) -> None:
     """Submit arrays and gangs at any controller; some want GPUs, of which their team has eight."""
     for number in range(first, first + count):
         gang, gpus = rng.random() < 0.3, float(rng.random() < 0.4)
@@ -85,7 +85,7 @@
         assert status in (0, 201, 503)
 
 
-def broken(cluster: Cluster) -> list[str]:
+def broken(cluster: SimulatedCluster) -> list[str]:
     """Say which rules were broken once troubles are over, and which shards nobody owns."""
     for name in [name for name, worker in cluster.workers.items() if worker.notice_s is not None]:
         del cluster.workers[name]  # the cloud takes what it has announced
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -9,14 +9,14 @@
 from ryewing.units import parse_task
 
 if TYPE_CHECKING:
-    from support.cluster import Cluster
+    from support.simulated_cluster import SimulatedCluster
     from support.timed_workers import TimedWorker
 
 
 class RuleChecker:
     """What users were told and what workers ran, against the rules."""
 
-    def __init__(self, cluster: Cluster) -> None:
+    def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self.accepted: set[str] = set()
         self.final: dict[str, str] = {}
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from support.cluster import Cluster
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES, TimedWorker
 
-Scenario = Callable[[Cluster], None]
+Scenario = Callable[[SimulatedCluster], None]
 
 
-def serving(cluster: Cluster, machines: int = 1) -> TimedWorker:
+def serving(cluster: SimulatedCluster, machines: int = 1) -> TimedWorker:
     """Bring up a leader and machines that may be given work."""
     for number in range(1, machines + 1):
         cluster.worker(f"i-{number:06d}")
@@ -19,7 +19,7 @@
     return cluster.workers["i-000001"]
 
 
-def running(cluster: Cluster, ref: str = "run-1") -> TimedWorker:
+def running(cluster: SimulatedCluster, ref: str = "run-1") -> TimedWorker:
     """Bring up a leader, and a job that runs on a machine."""
     worker = serving(cluster)
     cluster.submit(NAMES[0], ref)
--- a/tests/support/cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -48,7 +48,7 @@
 class FakePeer:
     """The way from one controller to another; what passes is encoded as on the wire."""
 
-    def __init__(self, cluster: Cluster, here: str, there: str) -> None:
+    def __init__(self, cluster: SimulatedCluster, here: str, there: str) -> None:
         self._cluster = cluster
         self._here, self._there = here, there
 
@@ -66,7 +66,7 @@
         return msgspec.msgpack.decode(msgspec.msgpack.encode(answer), type=Response)
 
 
-class Cluster:
+class SimulatedCluster:
     """Three controllers and what is round them."""
 
     def __init__(self, clock: Clock, shards: ShardSettings | None = None) -> None:
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -20,13 +20,13 @@
 
 
 if TYPE_CHECKING:
-    from support.cluster import Cluster
+    from support.simulated_cluster import SimulatedCluster
 
 
 class TimedWorker(FakeWorker):
     """A worker with a lease, that reports to one controller at a time."""
 
-    def __init__(self, cluster: Cluster, name: str, **kind: Any) -> None:
+    def __init__(self, cluster: SimulatedCluster, name: str, **kind: Any) -> None:
         super().__init__(name, **kind)
         self._cluster = cluster
         self.node = NAMES[0]
@@ -159,7 +159,7 @@
 class DirectLink:
     """Direct commands of one controller."""
 
-    def __init__(self, cluster: Cluster, here: str) -> None:
+    def __init__(self, cluster: SimulatedCluster, here: str) -> None:
         self._cluster = cluster
         self._here = here
 
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -7,15 +7,15 @@
 
 import msgspec
 import pytest
-from support.cluster import Cluster
 from support.scenarios import Scenario, running, serving
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES
 
 from ryewing.clients.store import Put
 from ryewing.units import Revision
 
 
-def cancelled_while_the_next_leader_reads(cluster: Cluster) -> None:
+def cancelled_while_the_next_leader_reads(cluster: SimulatedCluster) -> None:
     """A new leader has read the jobs but not yet the rest when the cancel is told to it."""
     running(cluster)
     cluster.submit("n-0", "run-2", cpus=30.0)
@@ -44,7 +44,7 @@
     cluster.ask_all("run-2")
 
 
-def cancelled_before_the_leader_knows_the_job(cluster: Cluster) -> None:
+def cancelled_before_the_leader_knows_the_job(cluster: SimulatedCluster) -> None:
     """The leader's watch lags: it hears of the cancel before it hears of the job."""
     serving(cluster)
     link = cluster.links["n-0"]
@@ -58,7 +58,7 @@
     cluster.run(5.0)
 
 
-def cancelled_while_a_watch_brings_the_job(cluster: Cluster) -> None:
+def cancelled_while_a_watch_brings_the_job(cluster: SimulatedCluster) -> None:
     """The answer that brings the job was made before the cancel, and arrives after it was told."""
     serving(cluster)
     assert cluster.submit("n-1") == 201
@@ -73,7 +73,7 @@
     cluster.ask_all()
 
 
-def cancelled_before_its_acceptance_is_told(cluster: Cluster) -> None:
+def cancelled_before_its_acceptance_is_told(cluster: SimulatedCluster) -> None:
     """The submission is written, repeated elsewhere and cancelled before its answer is there."""
     serving(cluster)
 
@@ -86,7 +86,7 @@
     cluster.ask_all()
 
 
-def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: Cluster) -> None:
+def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
     """It follows the store all the time; its peers' users must not wait for ever."""
     worker = running(cluster)
     worker.deaf = True  # so that the end of its task can't be written yet
@@ -100,7 +100,7 @@
     cluster.ask_all()
 
 
-def _written_but_not_told(cluster: Cluster) -> None:
+def _written_but_not_told(cluster: SimulatedCluster) -> None:
     """A cancel is in the store; the one who wrote it does not know, nor does the leader."""
     running(cluster)
     cluster.links["n-0"].mute_watch = True
@@ -109,7 +109,7 @@
     cluster.links["n-1"].answer_lost = False
 
 
-def cancelled_as_a_poll_finds_it(cluster: Cluster) -> None:
+def cancelled_as_a_poll_finds_it(cluster: SimulatedCluster) -> None:
     """Who can't ask the leader reads the store, where the cancel is."""
     _written_but_not_told(cluster)
     cluster.cut.add(frozenset(("n-0", "n-2")))
@@ -117,7 +117,7 @@
     cluster.poll("n-0")
 
 
-def cancelled_as_a_repeated_submission_finds_it(cluster: Cluster) -> None:
+def cancelled_as_a_repeated_submission_finds_it(cluster: SimulatedCluster) -> None:
     """A repeat of the submission never asks the leader."""
     _written_but_not_told(cluster)
     cluster.cut.add(frozenset(("n-0", "n-2")))
@@ -127,7 +127,7 @@
     cluster.submit("n-0")
 
 
-def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: Cluster) -> None:
+def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: SimulatedCluster) -> None:
     """Its lease is in order, its watch hangs, and the others can't reach it."""
     running(cluster)
     cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
@@ -139,7 +139,7 @@
     assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
 
 
-def a_leader_that_can_renew_but_not_follow(cluster: Cluster) -> None:
+def a_leader_that_can_renew_but_not_follow(cluster: SimulatedCluster) -> None:
     """It may do nothing, and keeps others from it: it must make room."""
     serving(cluster)
     cluster.links["n-0"].mute_watch = True
@@ -150,7 +150,7 @@
     assert cluster.workers["i-000001"].tasks
 
 
-def cancelled_by_a_clock_that_is_ahead(cluster: Cluster) -> None:
+def cancelled_by_a_clock_that_is_ahead(cluster: SimulatedCluster) -> None:
     """The cancel's time of writing is long past: its transaction was carried out late."""
     running(cluster)
     cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
@@ -164,7 +164,7 @@
     cluster.poll("n-0")
 
 
-def cancelled_on_its_way_while_a_poll_waits(cluster: Cluster) -> None:
+def cancelled_on_its_way_while_a_poll_waits(cluster: SimulatedCluster) -> None:
     """The leader's answer to a poll is overtaken by a cancel told at the node that asked."""
     running(cluster)
 
@@ -175,7 +175,7 @@
     cluster.poll("n-1")
 
 
-def cancelled_in_the_moment_of_the_take_over(cluster: Cluster) -> None:
+def cancelled_in_the_moment_of_the_take_over(cluster: SimulatedCluster) -> None:
     """One controller's work changes hands twice while users cancel."""
     running(cluster)
     for number in range(2, 8):
@@ -193,7 +193,7 @@
         cluster.boot(name)
 
 
-def cancelled_as_the_last_task_ends(cluster: Cluster) -> None:
+def cancelled_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
     """The end is written or about to be while users cancel, ask and repeat the submission."""
     for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
         ref = f"run-{number}"
@@ -216,7 +216,7 @@
     assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
 
 
-def asked_as_the_last_task_ends(cluster: Cluster) -> None:
+def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
     """The end is written while a reader of the store looks for the job."""
     worker = running(cluster)
     cluster.end(worker)
@@ -234,7 +234,7 @@
     cluster.ask_all()
 
 
-def ended_by_a_write_that_comes_late(cluster: Cluster) -> None:
+def ended_by_a_write_that_comes_late(cluster: SimulatedCluster) -> None:
     """The end's transaction gets no answer, another try meets a conflict, the first one comes."""
     worker = running(cluster)
     leader = cluster.leader("n-0")
@@ -259,7 +259,7 @@
     cluster.poll("n-0")
 
 
-def accepted_without_an_answer(cluster: Cluster) -> None:
+def accepted_without_an_answer(cluster: SimulatedCluster) -> None:
     """A submission is carried out and only its answer is lost, or it comes late."""
     serving(cluster)
     for ref, lost in (("run-1", True), ("run-2", False)):
@@ -304,6 +304,6 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
-def test_no_rule_is_broken(cluster: Cluster, scenario: Scenario) -> None:
+def test_no_rule_is_broken(cluster: SimulatedCluster, scenario: Scenario) -> None:
     scenario(cluster)
     assert cluster.verdict() == []
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -11,16 +11,16 @@
 
 import msgspec
 import pytest
-from support.cluster import Cluster
 from support.fakes import job_spec
 from support.scenarios import Scenario, running, serving
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES
 
 from ryewing.state.job_records import JobRecord
 from ryewing.wire.workers import ReportedTask
 
 
-def test_without_troubles(cluster: Cluster) -> None:
+def test_without_troubles(cluster: SimulatedCluster) -> None:
     """The course of a job, at every controller."""
     worker = running(cluster)
     cluster.ask_all()
@@ -45,7 +45,7 @@
 ) -> Scenario:
     """The letter's gap: a controller is refused alone, others confirm cancels, then an outage."""
 
-    def scenario(cluster: Cluster) -> None:
+    def scenario(cluster: SimulatedCluster) -> None:
         serving(cluster, machines=3)
         for number in range(1, 7):
             cluster.submit("n-1", f"run-{number}", cpus=16.0)
@@ -87,7 +87,7 @@
     return scenario
 
 
-def cancelled_at_the_refusal(cluster: Cluster) -> None:
+def cancelled_at_the_refusal(cluster: SimulatedCluster) -> None:
     """As above, but the workers keep to the refused one, and one of them hangs meanwhile."""
     worker = running(cluster)
     cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
@@ -109,7 +109,7 @@
 # -- changes of leader ----------------------------------------------------------------------------
 
 
-def an_old_report_reaches_the_next_leader(cluster: Cluster) -> None:
+def an_old_report_reaches_the_next_leader(cluster: SimulatedCluster) -> None:
     """Copies from before, of tasks that run elsewhere by now, as a new leader begins."""
     first = running(cluster)
     old = copy.deepcopy(first.report_now())
@@ -138,7 +138,7 @@
     cluster.run(30.0)
 
 
-def an_old_report_of_a_machine_that_is_gone(cluster: Cluster) -> None:
+def an_old_report_of_a_machine_that_is_gone(cluster: SimulatedCluster) -> None:
     """It must not come back, be recorded, or keep a job from room."""
     first = running(cluster)
     old = copy.deepcopy(first.report_now())
@@ -166,7 +166,7 @@
     )
 
 
-def a_take_over_without_an_answer(cluster: Cluster) -> None:
+def a_take_over_without_an_answer(cluster: SimulatedCluster) -> None:
     """It is written, and its writer does not know: nobody may be without a leader for long."""
     running(cluster)
     cluster.dead.add("n-0")
@@ -182,7 +182,7 @@
     cluster.ask_all()
 
 
-def leaders_change_ten_times(cluster: Cluster) -> None:
+def leaders_change_ten_times(cluster: SimulatedCluster) -> None:
     """In two minutes, also inside an outage; each is back within a second."""
     serving(cluster, machines=2)
     for number in range(1, 9):
@@ -201,7 +201,7 @@
     cluster.store.down = False
 
 
-def all_controllers_away(cluster: Cluster) -> None:
+def all_controllers_away(cluster: SimulatedCluster) -> None:
     """For longer than `lease_s`; meanwhile nothing is answered."""
     worker = running(cluster)
     cluster.dead |= set(NAMES)
@@ -213,7 +213,7 @@
     assert worker.tasks
 
 
-def new_machines_while_writes_lag(cluster: Cluster) -> None:
+def new_machines_while_writes_lag(cluster: SimulatedCluster) -> None:
     """Up at once and given work at once, and the leader ends before its writes are made."""
     serving(cluster)
     cluster.workers["i-000001"].hangs = True
@@ -233,7 +233,7 @@
     cluster.run(20.0)
 
 
-def limits_while_leaders_change(cluster: Cluster) -> None:
+def limits_while_leaders_change(cluster: SimulatedCluster) -> None:
     """A team is at its limit; its jobs are cancelled on machines that can't be asked."""
     for number in range(1, 5):
         cluster.worker(f"i-{number:06d}", machine_type="g4")
@@ -259,7 +259,7 @@
     cluster.run(35.0)
 
 
-def machines_that_hear_or_speak_only(cluster: Cluster) -> None:
+def machines_that_hear_or_speak_only(cluster: SimulatedCluster) -> None:
     """Mute and deaf ones, cancels, and a change of leader."""
     serving(cluster, machines=4)
     for number in range(1, 5):
@@ -275,7 +275,7 @@
     cluster.run(45.0)
 
 
-def tasks_end_far_apart(cluster: Cluster) -> None:
+def tasks_end_far_apart(cluster: SimulatedCluster) -> None:
     """A finish is told before, another one after a change of leader."""
     first = serving(cluster, machines=2)
     second = cluster.workers["i-000002"]
@@ -294,7 +294,7 @@
     assert cluster.rules.final == {"run-1": "done"}
 
 
-def a_leader_that_stands_still(cluster: Cluster) -> None:
+def a_leader_that_stands_still(cluster: SimulatedCluster) -> None:
     """Its clocks run on; others lead and cancel meanwhile; then it goes on."""
     worker = running(cluster)
     cluster.frozen.add("n-0")
@@ -307,7 +307,7 @@
     cluster.run(3.0)
 
 
-def apart_from_store_and_peers(cluster: Cluster) -> None:
+def apart_from_store_and_peers(cluster: SimulatedCluster) -> None:
     """Workers and users still reach the old leader while jobs are cancelled at the new one."""
     worker = running(cluster)
     worker.unreachable |= {"n-1", "n-2"}
@@ -321,7 +321,7 @@
         cluster.poll("n-2")
 
 
-def one_zone_loses_machines(cluster: Cluster) -> None:
+def one_zone_loses_machines(cluster: SimulatedCluster) -> None:
     """An array bound to a zone; the machines there go one after the other."""
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}", zone="b")
@@ -355,7 +355,7 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
-def test_no_rule_is_broken(cluster: Cluster, scenario: Scenario) -> None:
+def test_no_rule_is_broken(cluster: SimulatedCluster, scenario: Scenario) -> None:
     scenario(cluster)
     assert cluster.verdict() == []
 
@@ -364,7 +364,9 @@
 @pytest.mark.parametrize(
     "key", ["j/run-9", "d/7", "d/x", "m/7", "m/x", "h/r-1-1", "flavours/3", "f/run-9"]
 )
-def test_what_cannot_be_read_ends_no_term(cluster: Cluster, key: str, garbage: bytes) -> None:
+def test_what_cannot_be_read_ends_no_term(
+    cluster: SimulatedCluster, key: str, garbage: bytes
+) -> None:
     """One value of the store is garbage: all else is served, also by the next leader."""
     worker = running(cluster)
     cluster.store.plant(key, garbage)
@@ -383,7 +385,7 @@
     assert cluster.verdict() == []
 
 
-def test_a_job_that_makes_no_sense_is_left_alone(cluster: Cluster) -> None:
+def test_a_job_that_makes_no_sense_is_left_alone(cluster: SimulatedCluster) -> None:
     """It reads as a record, and is not one of ours."""
     serving(cluster)
     senseless: list[dict[str, Any]] = [
@@ -403,7 +405,7 @@
 
 
 @pytest.mark.parametrize("key", ["lead/holder", "lead/term"])
-def test_an_unreadable_leadership_is_waited_for(cluster: Cluster, key: str) -> None:
+def test_an_unreadable_leadership_is_waited_for(cluster: SimulatedCluster, key: str) -> None:
     """Nobody takes over from somebody unknown, or under a term that may be too low."""
     serving(cluster)
     holder = cluster.store.data["lead/holder"]
@@ -416,7 +418,7 @@
     assert led is (key == "lead/holder")  # its lease has ended
 
 
-def test_single_tasks_four_a_second_at_the_lowest_write_rate(cluster: Cluster) -> None:
+def test_single_tasks_four_a_second_at_the_lowest_write_rate(cluster: SimulatedCluster) -> None:
     """A quarter is cancelled. Each job's end is one write; none is late, and none waits."""
     cluster.state_limits = {"write_rps": 15.0}
     for name in NAMES:
@@ -471,7 +473,7 @@
     ],
 )
 def test_the_leader_refused_alone_and_then_an_outage(
-    cluster: Cluster, before_s: float, outage_s: float, apart: bool, who: str, after: str
+    cluster: SimulatedCluster, before_s: float, outage_s: float, apart: bool, who: str, after: str
 ) -> None:
     refused_alone(before_s, outage_s, apart, who, after)(cluster)
     assert cluster.verdict() == []
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import pytest
-from support.cluster import Cluster
+from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import NAMES, TimedWorker
 
 from ryewing.units import parse_task
@@ -16,14 +16,14 @@
 """Within which even the largest jobs have to begin."""
 
 
-def bring_up(cluster: Cluster, count: int, **kind: str) -> list[TimedWorker]:
+def bring_up(cluster: SimulatedCluster, count: int, **kind: str) -> list[TimedWorker]:
     """A leader, and machines that may be given work."""
     workers = [cluster.worker(f"i-{number:06d}", **kind) for number in range(1, count + 1)]
     cluster.run(4.0)
     return workers
 
 
-def on_machines(cluster: Cluster, ref: str) -> int:
+def on_machines(cluster: SimulatedCluster, ref: str) -> int:
     """Count a job's tasks that have not ended."""
     return sum(
         found.status != "ended" and reported.startswith(f"{ref}/")
@@ -32,7 +32,7 @@
     )
 
 
-def change_leader(cluster: Cluster) -> None:
+def change_leader(cluster: SimulatedCluster) -> None:
     """The leader's process ends, and is back soon."""
     old = cluster.leader_name
     cluster.dead.add(old)
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("leader_changes", [False, True])
 def test_a_late_stop_of_a_cancelled_job_hits_nothing_newer(
-    cluster: Cluster, leader_changes: bool
+    cluster: SimulatedCluster, leader_changes: bool
 ) -> None:
     """The stop arrives when another job has long had the room."""
     [worker] = bring_up(cluster, 1)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("leader_changes", [False, True])
 def test_a_late_stop_of_a_preempted_task_does_not_stop_its_next_attempt(
-    cluster: Cluster, leader_changes: bool
+    cluster: SimulatedCluster, leader_changes: bool
 ) -> None:
     """Stopped for urgent work, started again after it, and then the stop comes once more."""
     [worker] = bring_up(cluster, 1)
@@ -94,7 +94,7 @@
     assert on_machines(cluster, "run-1") == 1
 
 
-def test_a_late_stop_of_a_gang_hits_no_later_attempt(cluster: Cluster) -> None:
+def test_a_late_stop_of_a_gang_hits_no_later_attempt(cluster: SimulatedCluster) -> None:
     """A gang is cancelled beside one of the same shape, on the same machines."""
     workers = bring_up(cluster, 3)
     gang = {"shape": "group", "task_count": 3, "cpus": 30.0}
@@ -123,7 +123,7 @@
 
     LARGE_GANG, LARGE_ARRAY = "run-1", "run-2"
 
-    def __init__(self, cluster: Cluster, answer_s: float) -> None:
+    def __init__(self, cluster: SimulatedCluster, answer_s: float) -> None:
         self.cluster = cluster
         self.workers = bring_up(cluster, 6)
         for worker in self.workers:
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize(("answer_s", "leader_changes"), [(2.0, False), (3.5, True)])
 def test_the_largest_begin_over_slow_links(
-    cluster: Cluster, answer_s: float, leader_changes: bool
+    cluster: SimulatedCluster, answer_s: float, leader_changes: bool
 ) -> None:
     """Answers take up to what a worker waits for them; nothing is put off for ever."""
     load = Overload(cluster, answer_s)
