--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -7,7 +7,7 @@
 import pytest
 from support.simulated_cluster import FakePeer, SimulatedCluster
 from support.timed_store import StoreLink
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 POLLS = 1000
 
@@ -34,7 +34,9 @@
 def poll_all(cluster: SimulatedCluster, refs: list[str], node: str | None = None) -> None:
     """Ask as a thousand users do, at one controller or at all of them by turns."""
     for number in range(POLLS):
-        status = cluster.poll(node or NAMES[number % len(NAMES)], refs[number % len(refs)])
+        status = cluster.poll(
+            node or CONTROLLERS[number % len(CONTROLLERS)], refs[number % len(refs)]
+        )
         assert status == 200
 
 
@@ -45,13 +47,13 @@
     cluster.run(4.0)
     refs = [f"run-{number}" for number in range(1, 11)]
     for ref in refs:
-        assert cluster.submit(NAMES[0], ref) == 201
+        assert cluster.submit(CONTROLLERS[0], ref) == 201
     cluster.run(8.0)
-    assert cluster.leader_name == NAMES[0]
+    assert cluster.leader_name == CONTROLLERS[0]
     return refs
 
 
-@pytest.mark.parametrize(("node", "asks"), [(NAMES[0], 0), (NAMES[1], POLLS)])
+@pytest.mark.parametrize(("node", "asks"), [(CONTROLLERS[0], 0), (CONTROLLERS[1], POLLS)])
 def test_live_jobs_are_told_from_the_leaders_memory(
     cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch, node: str, asks: int
 ) -> None:
@@ -73,7 +75,7 @@
     poll_all(cluster, refs)
     assert costs.asks <= 2 * len(refs)
     assert costs.reads <= 2 * 2 * len(refs)
-    assert set(cluster.rules.final.values()) == {"done"}
+    assert set(cluster.rules.final_states.values()) == {"done"}
 
 
 def test_reports_are_answered_between_polls(cluster: SimulatedCluster) -> None:
@@ -81,7 +83,7 @@
     refs = jobs(cluster)
     worker = cluster.workers["i-000001"]
     poll_all(cluster, refs)
-    status, answer = cluster.send_heartbeat(NAMES[0], worker.heartbeat())
+    status, answer = cluster.send_heartbeat(CONTROLLERS[0], worker.heartbeat())
     assert status == 200
     assert "orders" in answer
     assert all(not api._submits and not api._reads for api in cluster.apis.values())
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -10,7 +10,7 @@
 from support.placement_world import T0
 from support.simulated_cluster import SimulatedCluster
 from support.timed_store import StoreLink
-from support.timed_workers import NAMES, STEP_S
+from support.timed_workers import CONTROLLERS, STEP_S
 
 from ryewing.clients.store import ThrottledError
 from ryewing.clients.token_bucket import TokenBucket
@@ -67,13 +67,13 @@
 
 def before_each_step(cluster: SimulatedCluster, act: Callable[[], None]) -> None:
     """Let users come first in every step, when the rate has just been refilled."""
-    tend = cluster.store.tend
+    expire_leases = cluster.store.expire_leases
 
-    def tend_after() -> None:
+    def act_and_expire_leases() -> None:
         act()
-        tend()
+        expire_leases()
 
-    cluster.store.tend = tend_after  # type: ignore[method-assign]
+    cluster.store.expire_leases = act_and_expire_leases  # type: ignore[method-assign]
 
 
 def test_questions_leave_room_for_the_next_leader(
@@ -86,26 +86,26 @@
     refs = [f"run-{number}" for number in range(1, JOBS + 1)]
     for start in range(0, JOBS, 5):
         for ref in refs[start : start + 5]:
-            assert cluster.submit(NAMES[0], ref) == 201
+            assert cluster.submit(CONTROLLERS[0], ref) == 201
         cluster.run(1.0)
     limit = RateLimit(cluster, monkeypatch)
-    cluster.frozen.add(NAMES[0])
+    cluster.frozen.add(CONTROLLERS[0])
     leaderless: Counter[int] = Counter()
     submitted: list[int] = []
 
     def users() -> None:
         at = len(submitted)
-        led = any(cluster.leader(name) is not None for name in NAMES[1:])
+        led = any(cluster.leader(name) is not None for name in CONTROLLERS[1:])
         for number in range(POLLS_A_STEP):
-            status = cluster.poll(NAMES[1 + number % 2], refs[number % JOBS])
+            status = cluster.poll(CONTROLLERS[1 + number % 2], refs[number % JOBS])
             if not led:
                 leaderless[status] += 1
-        submitted.append(cluster.submit(NAMES[1 + at % 2], f"run-{1000 + at}"))
+        submitted.append(cluster.submit(CONTROLLERS[1 + at % 2], f"run-{1000 + at}"))
 
     before_each_step(cluster, users)
     seconds = 10.0
     cluster.run(seconds)
-    assert cluster.leader_name in NAMES[1:]
+    assert cluster.leader_name in CONTROLLERS[1:]
     assert not limit.refused
     assert limit.made["users"] <= USER_SHARE * limit.rps * (seconds + 1.0)
     assert set(leaderless) == {200, 503}
@@ -162,12 +162,12 @@
 
 def test_what_is_refused_names_when_there_is_room(cluster: SimulatedCluster) -> None:
     cluster.run(2.0)
-    cluster.frozen.add(NAMES[0])
-    cluster.submit(NAMES[1], "run-1")
-    quota = cluster.nodes[NAMES[1]].user_limiter
+    cluster.frozen.add(CONTROLLERS[0])
+    cluster.submit(CONTROLLERS[1], "run-1")
+    quota = cluster.nodes[CONTROLLERS[1]].user_limiter
     for _ in range(500):
         quota.charge()  # a debt of half a minute
     headers: list[dict[str, str]] = []
     environ = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/run-1"}
-    cluster.apis[NAMES[1]](environ, lambda _status, found: headers.append(dict(found)))
+    cluster.apis[CONTROLLERS[1]](environ, lambda _status, found: headers.append(dict(found)))
     assert 20 <= int(headers[0]["Retry-After"]) <= 40
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -10,7 +10,7 @@
 from support.harness import LeaderHarness
 from support.scenarios import Scenario
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 from ryewing.clients.store import decode_stored
 from ryewing.config.settings import Team
@@ -27,7 +27,7 @@
 def gpu_jobs(cluster: SimulatedCluster, zone: str, count: int, first: int = 0) -> None:
     """Submit arrays of four tasks with a GPU each."""
     for number in range(first, first + count):
-        name = NAMES[number % 3]
+        name = CONTROLLERS[number % 3]
         cluster.submit(name, f"run-{number}", zone=zone, gpus=1.0, cpus=1.0, task_count=4)
 
 
@@ -101,12 +101,12 @@
 
 def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
     """Raises and cuts are carried out, and the leader of one shard is not told."""
-    cluster.links["n-0"].answer_lost = True
+    cluster.links["n-0"].loses_answers = True
     gpu_jobs(cluster, "b", 4, first=20)
     for _ in range(10):
         cluster.run(1.0)
         cluster.end(random.Random(1).choice(list(cluster.workers.values())))
-    cluster.links["n-0"].answer_lost = False
+    cluster.links["n-0"].loses_answers = False
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(20.0)
 
@@ -115,16 +115,16 @@
     """The part is given up by a write without an answer, and work comes back before it arrives."""
     gpu_jobs(cluster, "b", 4, first=20)
     link = cluster.links["n-0"]
-    link.late = True
+    link.delays_transactions = True
     for worker in cluster.workers.values():
         if worker.zone == "a":
             cluster.end(worker)
     cluster.run(2.5)
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(1.0)
-    link.late = False
+    link.delays_transactions = False
     cluster.run(1.5)
-    link.catch_up()
+    link.apply_delayed()
     cluster.run(20.0)
 
 
@@ -142,7 +142,7 @@
     """What runs out of reach counts until its lease is over, whoever leads the shard."""
     cut_off = [worker for worker in cluster.workers.values() if worker.zone == "a"]
     for number, worker in enumerate(cut_off):
-        worker.hangs, worker.mute = bool(number % 2), not number % 2
+        worker.hangs, worker.heartbeats_lost = bool(number % 2), not number % 2
     for number in range(4):
         cluster.cancel("n-1", f"run-{number}")
     gpu_jobs(cluster, "b", 4, first=20)
@@ -185,12 +185,14 @@
         return limits.teams()["red"].gpus_max
 
     assert part() == pytest.approx(LIMIT / 2)
-    cluster.links["n-0"].late = True  # its own part is lowered, the answer does not come
+    cluster.links[
+        "n-0"
+    ].delays_transactions = True  # its own part is lowered, the answer does not come
     gpu_jobs(cluster, "b", 3)
     cluster.run(4.0)
     low = part()
     assert low < LIMIT / 2
-    cluster.links["n-0"].late = False
+    cluster.links["n-0"].delays_transactions = False
     limits._read()
     assert limits._records["red"].record.of(ShardName(EAST)).gpus > low  # as the store has it
     assert part() == low
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -15,7 +15,7 @@
 from support.divided_fleet import MakeCluster, begin, bring_up, broken, submit_some
 from support.fault_injector import FaultInjector
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 MOVES_PER_SEED = 5
 SEEDS_IN_CI = 20
@@ -31,9 +31,9 @@
     while begun < moves and number < 6 * moves:
         submit_some(cluster, rng, 10 * number, 1)
         cluster.run(rng.choice((0.25, 0.5, 1.0)))
-        shard = rng.choice([str(name) for name in cluster.nodes[NAMES[0]].electors])
+        shard = rng.choice([str(name) for name in cluster.nodes[CONTROLLERS[0]].electors])
         if not cluster.store.down:
-            begun += begin(cluster, shard, rng.choice(NAMES))
+            begun += begin(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 0.5, 1.0)))
         faults.inject()
         cluster.run(rng.choice((0.25, 1.0, 4.0)))
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -21,7 +21,7 @@
 )
 from support.scenarios import Scenario
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 from ryewing.clients.store import Remove
 from ryewing.sharding.health import NODE_PREFIX, ControllerHealth
@@ -39,7 +39,7 @@
     for worker in cluster.workers.values():
         cluster.end(worker)
     assert cluster.verdict() == []
-    assert set(cluster.rules.final.values()) == {"done"}
+    assert set(cluster.rules.final_states.values()) == {"done"}
 
 
 @pytest.mark.parametrize(("shards", "seed"), [(2, 1), (2, 2), (3, 3), (3, 4)])
@@ -54,7 +54,7 @@
         submit_some(cluster, rng, 10 * number, 2)
         cluster.run(rng.choice((0.25, 0.5, 1.0, 3.0)))
         shard = rng.choice([str(name) for name in ownership(cluster).shards])
-        moved += begin(cluster, shard, rng.choice(NAMES))
+        moved += begin(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 1.0, 2.0)))
         if number % 3 == 0:
             cluster.end(rng.choice(list(cluster.workers.values())))
@@ -68,9 +68,9 @@
                 if found.status == "running":
                     worker.end_task(key)
     assert cluster.verdict() == []
-    assert set(cluster.rules.final.values()) == {"done"}
+    assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
-    assert not cluster.rules.halted
+    assert not cluster.rules.stopped_tasks
     assert {worker.incarnation for worker in cluster.workers.values()} == {1}
 
 
@@ -78,7 +78,9 @@
     """An array and a gang run in each shard, led by n-0 and n-1."""
     serving(cluster)
     for number, (zone, shape) in enumerate(itertools.product("ab", ("batch", "group"))):
-        cluster.submit(NAMES[0], f"run-{number}", shape=shape, zone=zone, task_count=4, cpus=2.0)
+        cluster.submit(
+            CONTROLLERS[0], f"run-{number}", shape=shape, zone=zone, task_count=4, cpus=2.0
+        )
     cluster.run(10.0)
     assert sum(len(worker.tasks) for worker in cluster.workers.values()) == 16
     assert (cluster.leader_of(EAST), cluster.leader_of(WEST)) == ("n-0", "n-1")
@@ -100,14 +102,14 @@
     for worker in cluster.workers.values():
         cluster.end(worker)
     assert broken(cluster) == []
-    assert set(cluster.rules.final.values()) == {"done"}
+    assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
-    assert not cluster.rules.halted
+    assert not cluster.rules.stopped_tasks
 
 
 @pytest.mark.parametrize("back", ["at once", "later"])
 @pytest.mark.parametrize("phase", list(Phase))
-@pytest.mark.parametrize("lost", NAMES)
+@pytest.mark.parametrize("lost", CONTROLLERS)
 def test_a_controller_is_lost_at_any_step_of_a_move(
     divided: MakeCluster, lost: str, phase: Phase, back: str
 ) -> None:
@@ -128,8 +130,8 @@
     all_done(cluster)
 
 
-@pytest.mark.parametrize("who", NAMES)
-@pytest.mark.parametrize("trouble", ["answer_lost", "late", "refused"])
+@pytest.mark.parametrize("who", CONTROLLERS)
+@pytest.mark.parametrize("trouble", ["loses_answers", "delays_transactions", "refused"])
 def test_steps_whose_answers_are_lost_or_that_come_late(
     divided: MakeCluster, who: str, trouble: str
 ) -> None:
@@ -140,7 +142,7 @@
     setattr(link, trouble, True)
     cluster.run(6.0)
     setattr(link, trouble, False)
-    link.catch_up()
+    link.apply_delayed()
     cluster.run(8.0)
     assert all_owned(cluster)
     all_done(cluster)
@@ -160,15 +162,15 @@
     """Some of its tasks wait on their machines for the others as the shard is sealed."""
     cluster.submit("n-1", "run-8", shape="group", zone="a", task_count=4, cpus=10.0)
     slow = cluster.workers["i-000003"]
-    slow.mute = True
+    slow.heartbeats_lost = True
     cluster.run(3.0)
     assert 0 < len(statuses(cluster, "run-8")) < 4
     assert begin(cluster, EAST, "n-2")
     cluster.run(1.0)
-    slow.mute = False
+    slow.heartbeats_lost = False
     cluster.run(60.0)
     assert statuses(cluster, "run-8") == ["running"] * 4
-    assert not [task for task in cluster.rules.halted if not task.startswith("run-8/")]
+    assert not [task for task in cluster.rules.stopped_tasks if not task.startswith("run-8/")]
 
 
 def a_gang_is_cancelled(cluster: SimulatedCluster) -> None:
@@ -232,7 +234,7 @@
 
 def cancelled_while_the_leader_hears_no_changes(cluster: SimulatedCluster) -> None:
     """The leader of the job's own shard is told before its user is."""
-    cluster.links["n-0"].mute_watch = True
+    cluster.links["n-0"].watch_hangs = True
     assert cluster.cancel("n-2", "run-0") == 200
     cluster.ask_all("run-0")
     cluster.run(3.0)
@@ -306,7 +308,7 @@
     assert record_of(cluster, WEST).owner != "n-1"
     cluster.run(40.0)
     owners = [record_of(cluster, shard) for shard in ("shard-1", "shard-2", "shard-3")]
-    assert sorted(record.owner for record in owners) == list(NAMES)
+    assert sorted(record.owner for record in owners) == list(CONTROLLERS)
     epochs = [record.epoch for record in owners]
     cluster.run(60.0)
     assert [record_of(cluster, f"shard-{n + 1}").epoch for n in range(3)] == epochs
@@ -320,7 +322,7 @@
     cluster = divided(first)
     if first == 1:
         cluster.shards = None
-        for name in NAMES:
+        for name in CONTROLLERS:
             cluster.coordinators.pop(name)
             cluster.boot(name)
     serving(cluster)
@@ -328,7 +330,7 @@
     other.store = cluster.store
     if first == 2:
         other.shards = None
-    for name in NAMES:
+    for name in CONTROLLERS:
         other.coordinators.pop(name, None)
         other.boot(name)
     other.run(10.0)  # long enough for every lease of the first ones to end
@@ -346,7 +348,7 @@
     cluster.boot("n-2")
     cluster.run(0.25)
     seen = ownership(cluster)
-    assert seen.healthy == set(NAMES)
+    assert seen.healthy == set(CONTROLLERS)
     for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
         planner._planned_at = MonotonicTime(0.0)
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -92,7 +92,7 @@
 def test_an_unreadable_record_is_its_own_shards_trouble() -> None:
     store = TimedStore(Clock())
     registry = ShardRegistry(store)  # type: ignore[arg-type]
-    store.plant(OWNER_PREFIX + SHARD, b'{"owner":7}')
+    store.write_raw(OWNER_PREFIX + SHARD, b'{"owner":7}')
     found = registry.read([SHARD, ShardName("west")]).shards
     assert registry.take(SHARD, found[SHARD], lambda _: first_owner(NODES[0])) is None
     west = registry.take(ShardName("west"), found[ShardName("west")], lambda _: Ownership("n-1", 1))
@@ -169,11 +169,11 @@
             case 1:
                 self.healthy.add(node)
             case 2:
-                link.answer_lost = not link.answer_lost
+                link.loses_answers = not link.loses_answers
             case 3:
-                link.late = True
+                link.delays_transactions = True
             case 4:
-                link.catch_up()
+                link.apply_delayed()
             case 5:
                 link.refused = not link.refused
 
@@ -196,8 +196,8 @@
             assert sum(found.leads(node) for node in NODES) == 1
             assert [node for node in NODES if found.may_start(node)] in ([], [found.owner])
     for link in world.links.values():
-        link.catch_up()
-        link.answer_lost = link.refused = False
+        link.apply_delayed()
+        link.loses_answers = link.refused = False
     for _ in range(4):
         for node in sorted(world.healthy):
             world.act(node, None)
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -9,7 +9,7 @@
 from ryewing.sharding.registry import Registration, ShardRegistry
 from ryewing.units import NodeName, ShardName
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 EAST, WEST = "shard-1", "shard-2"
 """Zone a, and zones b and c."""
@@ -35,7 +35,7 @@
 
 def ownership(cluster: SimulatedCluster) -> Registration:
     """Read the records as an operator does."""
-    names = [shard for shard in cluster.nodes[NAMES[0]].electors if shard is not None]
+    names = [shard for shard in cluster.nodes[CONTROLLERS[0]].electors if shard is not None]
     return ShardRegistry(cluster.store).read(names)  # type: ignore[arg-type]
 
 
@@ -75,7 +75,7 @@
     for number in range(first, first + count):
         gang, gpus = rng.random() < 0.3, float(rng.random() < 0.4)
         status = cluster.submit(
-            rng.choice(NAMES),
+            rng.choice(CONTROLLERS),
             f"run-{number}",
             shape="group" if gang else "batch",
             task_count=rng.randint(2, 4),
--- a/tests/support/fault_injector.py
+++ b/tests/support/fault_injector.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES, TimedWorker
+from support.timed_workers import CONTROLLERS, TimedWorker
 
 
 class FaultInjector:
@@ -43,26 +43,26 @@
         """End each fault that is in force with a probability of one half."""
         cluster, rng = self._cluster, self._rng
         if rng.random() < 0.5:
-            cluster.cut.clear()
+            cluster.partitions.clear()
         if rng.random() < 0.5:
             cluster.store.down = False
-        for name in NAMES:
+        for name in CONTROLLERS:
             if rng.random() < 0.5:
                 cluster.frozen.discard(name)
             if name in cluster.dead and rng.random() < 0.5:
                 cluster.boot(name)
             link = cluster.links[name]
             if rng.random() < 0.5:
-                link.refused = link.answer_lost = False
+                link.refused = link.loses_answers = False
                 if not cluster.store.down:
-                    link.catch_up()
+                    link.apply_delayed()
         for worker in cluster.workers.values():
             if rng.random() < 0.5:
-                worker.hangs = worker.mute = False
+                worker.hangs = worker.heartbeats_lost = False
                 worker.unreachable.clear()
 
     def _node(self) -> str:
-        return self._rng.choice(NAMES)
+        return self._rng.choice(CONTROLLERS)
 
     def _worker(self) -> TimedWorker:
         return self._rng.choice(list(self._cluster.workers.values()))
@@ -84,7 +84,7 @@
 
     def partition_peers(self) -> None:
         """Cut two controllers off from each other."""
-        self._cluster.cut.add(frozenset(self._rng.sample(NAMES, 2)))
+        self._cluster.partitions.add(frozenset(self._rng.sample(CONTROLLERS, 2)))
 
     def partition_workers(self) -> None:
         """Cut one controller off from all workers."""
@@ -98,11 +98,11 @@
 
     def lose_transaction_answers(self) -> None:
         """Let one controller's transactions be carried out without an answer."""
-        self._cluster.links[self._node()].answer_lost = True
+        self._cluster.links[self._node()].loses_answers = True
 
     def delay_transactions(self) -> None:
         """Let one controller's transactions be carried out only when it is healed."""
-        self._cluster.links[self._node()].late = True
+        self._cluster.links[self._node()].delays_transactions = True
 
     def hang_machine(self) -> None:
         """Let a machine neither send nor receive anything."""
@@ -110,7 +110,7 @@
 
     def mute_machine(self) -> None:
         """Let a machine's heartbeats be lost; direct commands still reach it."""
-        self._worker().mute = True
+        self._worker().heartbeats_lost = True
 
     def lose_machine(self) -> None:
         """Take a machine away, as long as more than nine are left."""
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -19,46 +19,46 @@
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self.accepted: set[str] = set()
-        self.final: dict[str, str] = {}
+        self.final_states: dict[str, str] = {}
         """The final states that users were told."""
-        self.told_cancelled: dict[str, float] = {}
-        self.broken: list[str] = []
+        self.cancelled_at: dict[str, float] = {}
+        self.violations: list[str] = []
         self.ended_done: dict[str, set[int]] = {}
-        self.runs: dict[str, Any] = {}
+        self.job_specs: dict[str, Any] = {}
         self.starts: Counter[str] = Counter()
         """How often each task was begun."""
-        self.halted: list[str] = []
+        self.stopped_tasks: list[str] = []
         """Tasks that were stopped by a command while they ran."""
 
-    def _violation(self, rule: str, what: str) -> None:
-        self.broken.append(f"{rule} at {self._cluster.clock() - 1000:.2f}: {what}")
+    def add_violation(self, rule: str, what: str) -> None:
+        self.violations.append(f"{rule} at {self._cluster.clock() - 1000:.2f}: {what}")
 
-    def told(self, node: str, job: str, status: int, answer: Any) -> None:
+    def record_answer(self, node: str, job: str, status: int, answer: Any) -> None:
         """A user was answered."""
         if status == 404 and job in self.accepted:
-            self._violation("forgotten", f"{node}: {job}")
+            self.add_violation("forgotten", f"{node}: {job}")
         if status not in (200, 201):
             return
         state = answer["status"]
-        if job in self.final and state != self.final[job]:
-            self._violation("went_back", f"{node}: {job} {self.final[job]} -> {state}")
+        if job in self.final_states and state != self.final_states[job]:
+            self.add_violation("went_back", f"{node}: {job} {self.final_states[job]} -> {state}")
         self.accepted.add(job)
         if state in (DONE, CANCELLED):
-            self.final.setdefault(job, state)
+            self.final_states.setdefault(job, state)
         if state == CANCELLED:
-            self.told_cancelled.setdefault(job, self._cluster.clock())
+            self.cancelled_at.setdefault(job, self._cluster.clock())
         if state == DONE and self.ended_done.get(job, set()) != set(
-            range(self.runs[job].task_count)
+            range(self.job_specs[job].task_count)
         ):
-            self._violation("not_done", f"{node}: {job}")
+            self.add_violation("not_done", f"{node}: {job}")
 
-    def started(self, worker: TimedWorker, key: tuple[str, int]) -> None:
+    def record_start(self, worker: TimedWorker, key: tuple[str, int]) -> None:
         """A worker has begun an attempt."""
         task = parse_task(key[0])
         assert task is not None
         self.starts[key[0]] += 1
-        if task.job in self.told_cancelled:
-            self._violation("ran_cancelled", f"{worker.name} starts {key[0]}")
+        if task.job in self.cancelled_at:
+            self.add_violation("ran_cancelled", f"{worker.name} starts {key[0]}")
         for other in self._cluster.workers.values():
             for (reported, attempt), found in other.tasks.items():
                 if (
@@ -70,9 +70,9 @@
                         key[1],
                     )
                 ):
-                    self._violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
+                    self.add_violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
 
-    def _look_at_owners(self) -> None:
+    def _check_machine_owners(self) -> None:
         """No machine may be counted by two leaders at once that may both start tasks."""
         owners: dict[str, list[str]] = {}
         for name, node in self._cluster.nodes.items():
@@ -86,12 +86,12 @@
                     owners.setdefault(machine, []).append(f"{name}/{elector.shard}")
         for machine_id, names in owners.items():
             if len(names) > 1:
-                self._violation("counted_twice", f"{machine_id} by {', '.join(names)}")
+                self.add_violation("counted_twice", f"{machine_id} by {', '.join(names)}")
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at what is on the machines now."""
         cluster = self._cluster
-        self._look_at_owners()
+        self._check_machine_owners()
         cancel_s = cluster.settings.params.workers.cancel_s
         used: Counter[str] = Counter()
         for worker in cluster.workers.values():
@@ -102,11 +102,11 @@
                     if found.cause == DONE:
                         self.ended_done.setdefault(task.job, set()).add(task.number)
                     continue
-                told = self.told_cancelled.get(task.job)
+                told = self.cancelled_at.get(task.job)
                 if told is not None and cluster.clock() > told + cancel_s:
-                    self._violation("ran_cancelled", f"{reported} on {worker.name}")
-                wanted = self.runs[task.job]
+                    self.add_violation("ran_cancelled", f"{reported} on {worker.name}")
+                wanted = self.job_specs[task.job]
                 used[wanted.team] += wanted.gpus
         for team in cluster.settings.params.teams:
             if team.gpus_max and used[team.name] > team.gpus_max:
-                self._violation("quota", f"{team.name}: {used[team.name]} cards")
+                self.add_violation("quota", f"{team.name}: {used[team.name]} cards")
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -39,7 +39,7 @@
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
-from support.timed_workers import NAMES, STEP_S, DirectLink, TimedWorker
+from support.timed_workers import CONTROLLERS, STEP_S, DirectLink, TimedWorker
 
 PATIENCE_S = 10.0
 """How long a user who is refused asks again; the rules allow 75 s."""
@@ -54,7 +54,10 @@
 
     def request(self, request: Request, _deadline_s: float) -> Response:
         cluster = self._cluster
-        if frozenset((self._here, self._there)) in cluster.cut or self._there in cluster.dead:
+        if (
+            frozenset((self._here, self._there)) in cluster.partitions
+            or self._there in cluster.dead
+        ):
             raise PeerUnavailableError("cut")
         if self._there in cluster.frozen or self._here in cluster.frozen:
             raise PeerUnavailableError("deadline")
@@ -78,7 +81,7 @@
         self.cloud = FakeCloud()
         self.cloud.release = self._release  # type: ignore[method-assign]
         self.cloud_down = False
-        self.cut: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.dead: set[str] = set()
         self.frozen: set[str] = set()
         self.before_peer_answer: dict[str, Callable[[], None]] = {}
@@ -93,14 +96,14 @@
         """Called when a new leader has read the store, before anything else."""
         types = msgspec.to_builtins(MachineTypeList([CPU, GPU]))
         self.store.txn({}, [Put("flavours", types)])
-        for name in NAMES:
+        for name in CONTROLLERS:
             self.boot(name)
 
     def boot(self, name: str) -> None:
         """Start a controller's process, or start it again."""
         members = [
             {"node": other, "domain": "a", "address": f"127.0.0.1:{18082 + n}"}
-            for n, other in enumerate(NAMES)
+            for n, other in enumerate(CONTROLLERS)
             if other != name
         ]
         params = {**RAW_SETTINGS["params"]}
@@ -116,7 +119,7 @@
             elector.store = node.division.store_for(elector.scope, node.store)
         if shards is not None:
             self.coordinators[name] = coordinator(node, shards)
-        for other in NAMES:
+        for other in CONTROLLERS:
             if other != name:
                 node.peers.members[other] = FakePeer(self, name, other)  # type: ignore[assignment]
         self.links[name] = link
@@ -130,13 +133,13 @@
         """Let time pass."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.now += STEP_S
-            self.store.tend()
+            self.store.expire_leases()
             for name, node in self.nodes.items():
                 if name not in self.dead | self.frozen:
                     self._step_node(name, node)
             for worker in list(self.workers.values()):
-                worker.tend()
-            self.rules.look()
+                worker.step()
+            self.rules.check()
 
     def _step_node(self, name: str, node: Node) -> None:
         if name in self.coordinators:
@@ -253,9 +256,9 @@
 
     def leader_of(self, shard: str | None) -> str:
         """The controller that holds the latest term of a shard."""
-        found = [(self.leader(name, shard), name) for name in NAMES]
+        found = [(self.leader(name, shard), name) for name in CONTROLLERS]
         leading = [(leader.term.number, name) for leader, name in found if leader is not None]
-        return max(leading, default=(0, NAMES[0]))[1]
+        return max(leading, default=(0, CONTROLLERS[0]))[1]
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
         """The term that a controller leads, if it does."""
@@ -264,7 +267,8 @@
     def latest_leaders(self) -> list[Leader]:
         """The latest term of each shard."""
         found = [
-            self.leader(self.leader_of(shard), shard) for shard in self.nodes[NAMES[0]].electors
+            self.leader(self.leader_of(shard), shard)
+            for shard in self.nodes[CONTROLLERS[0]].electors
         ]
         return [leader for leader in found if leader is not None]
 
@@ -280,7 +284,7 @@
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
         """A user submits a job, or repeats its submission."""
         wanted = job_spec(ref, **{"task_count": 1, **changes})
-        self.rules.runs.setdefault(ref, wanted)
+        self.rules.job_specs.setdefault(ref, wanted)
         body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
         return self._with_final_state(node, ref, "POST", "/v2/runs", body)
 
@@ -294,15 +298,15 @@
 
     def ask_all(self, ref: str = "run-1") -> None:
         """Users ask at all controllers, and repeat the submission there."""
-        for name in NAMES:
+        for name in CONTROLLERS:
             self.poll(name, ref)
             self.submit(name, ref)
 
     def end(self, worker: TimedWorker) -> None:
         """What runs on a worker completes."""
         worker.finish()
-        self.rules.look()
-        worker.next_report = self.clock()
+        self.rules.check()
+        worker.next_heartbeat_at = self.clock()
 
     def _with_final_state(
         self, node: str, ref: str, method: str, path: str, body: bytes = b""
@@ -311,7 +315,7 @@
         if node in self.dead | self.frozen:
             return 0
         status, answer = self._http(node, method, path, body)
-        self.rules.told(node, ref, status, answer)
+        self.rules.record_answer(node, ref, status, answer)
         return status
 
     def _http(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
@@ -323,7 +327,7 @@
     def is_gang(self, reported: str) -> bool:
         """Tell whether a task waits for the others of its job."""
         task = parse_task(reported)
-        wanted = self.rules.runs.get(task.job) if task is not None else None
+        wanted = self.rules.job_specs.get(task.job) if task is not None else None
         if wanted is None:
             return False
         return bool(wanted.shape == GANG) and bool(wanted.task_count > 1)
@@ -340,31 +344,31 @@
             and other[0].startswith(f"{task.job}/")
             and (found.status in ("gathering", "running") or found.cause == "done")
         }
-        return len(there) == int(self.rules.runs[task.job].task_count)
+        return len(there) == int(self.rules.job_specs[task.job].task_count)
 
     # -- at the end -------------------------------------------------------------------------
 
     def settle(self, seconds: float = 60.0) -> None:
         """All troubles are over."""
         self.store.down = self.cloud_down = False
-        self.cut.clear()
+        self.partitions.clear()
         self.frozen.clear()
         self.after_load = None
         for link in self.links.values():
-            link.refused = link.mute_watch = link.answer_lost = False
+            link.refused = link.watch_hangs = link.loses_answers = False
             link.stale_watch = link.before_answer = None
-            link.catch_up()
+            link.apply_delayed()
         for name in list(self.dead):
             self.boot(name)
         for worker in self.workers.values():
-            worker.hangs = worker.mute = worker.deaf = False
+            worker.hangs = worker.heartbeats_lost = worker.replies_lost = False
             worker.unreachable.clear()
         self.run(seconds)
 
     def waiting_in_vain(self) -> list[str]:
         """Name the jobs that wait although a machine that fits has room."""
         leaders = self.latest_leaders()
-        assert len(leaders) == len(self.nodes[NAMES[0]].electors)
+        assert len(leaders) == len(self.nodes[CONTROLLERS[0]].electors)
         jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
         used: dict[str, float] = defaultdict(float)
         for worker in self.workers.values():
@@ -422,8 +426,8 @@
         """
         self.settle()
         for job in sorted(self.rules.accepted):
-            answers = {self._poll_until_answered(name, job) for name in NAMES}
+            answers = {self._poll_until_answered(name, job) for name in CONTROLLERS}
             if answers != {200}:
-                self.rules._violation("forgotten", f"{job}: {answers}")
+                self.rules.add_violation("forgotten", f"{job}: {answers}")
         waits = [f"waits: {text}" for text in self._waiting_for(patience_s)]
-        return self.rules.broken + waits
+        return self.rules.violations + waits
--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -31,13 +31,13 @@
         _, ttl_s = self._ends[lease]
         self._ends[lease] = (self._clock() + ttl_s, ttl_s)
 
-    def plant(self, key: str, data: bytes, lease: int | None = None) -> None:
+    def write_raw(self, key: str, data: bytes, lease: int | None = None) -> None:
         """Put something there that no controller wrote."""
         self.revision += 1
         self.data[key] = (data, self.revision, lease)
         self.log.append(Change(self.revision, set=key, data=msgspec.Raw(data)))
 
-    def tend(self) -> None:
+    def expire_leases(self) -> None:
         """End the leases whose time is over."""
         now = self._clock()
         for lease in list(self.leases):
@@ -57,17 +57,17 @@
         self.on_throttled: Callable[[], None] | None = None
         self.refused = False
         """The store turns this controller away, with 503 or by silence."""
-        self.mute_watch = False
+        self.watch_hangs = False
         """Its watches alone hang; all else is answered."""
         self.during_watch: Callable[[], None] | None = None
         """Called while a watch is under way, after the store has answered it."""
         self.stale_watch: Revision | None = None
         """Its watches show nothing newer than this: answers that were long on their way."""
-        self.answer_lost = False
+        self.loses_answers = False
         """Transactions are carried out, their answers don't arrive."""
-        self.late = False
+        self.delays_transactions = False
         """Transactions get no answer now and are carried out when `catch_up` is called."""
-        self._held: list[tuple[dict[str, KeyVersion], list[Put | Remove]]] = []
+        self.delayed_transactions: list[tuple[dict[str, KeyVersion], list[Put | Remove]]] = []
         self.after_txn: Callable[[], None] | None = None
         """Called when a transaction has been carried out, before its answer arrives."""
         self.before_answer: Callable[[str], None] | None = None
@@ -98,21 +98,21 @@
 
     def txn(self, conditions: dict[str, KeyVersion], writes: list[Put | Remove]) -> TxnResult:
         self._check()
-        if self.late:
-            self._held.append((dict(conditions), copy.deepcopy(list(writes))))
+        if self.delays_transactions:
+            self.delayed_transactions.append((dict(conditions), copy.deepcopy(list(writes))))
             raise StoreUnavailableError("no answer")
         result = self._store.txn(conditions, writes)
         if self.after_txn is not None:
             meanwhile, self.after_txn = self.after_txn, None
             meanwhile()
-        if self.answer_lost:
+        if self.loses_answers:
             raise StoreUnavailableError("the answer was lost")
         return result
 
-    def catch_up(self) -> None:
+    def apply_delayed(self) -> None:
         """Carry out what got no answer."""
-        assignment, self._held = self._held, []
-        self.late = False
+        assignment, self.delayed_transactions = self.delayed_transactions, []
+        self.delays_transactions = False
         for conditions, writes in assignment:
             try:
                 self._store.txn(conditions, writes)
@@ -133,7 +133,7 @@
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
         self._check()
-        if self.mute_watch:
+        if self.watch_hangs:
             raise StoreUnavailableError("deadline")
         found = self._store.watch(prefix, since, wait_s)
         if self.during_watch is not None:
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -9,7 +9,7 @@
 import pytest
 from support.scenarios import Scenario, running, serving
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 from ryewing.clients.store import Put
 from ryewing.units import Revision
@@ -89,13 +89,13 @@
 def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
     """It follows the store all the time; its peers' users must not wait for ever."""
     worker = running(cluster)
-    worker.deaf = True  # so that the end of its task can't be written yet
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+    worker.replies_lost = True  # so that the end of its task can't be written yet
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     for _ in range(16):
         if cluster.cancel("n-1") == 200:
             break
         cluster.run(1.0)
-    assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
     assert worker.tasks
     cluster.ask_all()
 
@@ -103,16 +103,16 @@
 def _written_but_not_told(cluster: SimulatedCluster) -> None:
     """A cancel is in the store; the one who wrote it does not know, nor does the leader."""
     running(cluster)
-    cluster.links["n-0"].mute_watch = True
-    cluster.links["n-1"].answer_lost = True
+    cluster.links["n-0"].watch_hangs = True
+    cluster.links["n-1"].loses_answers = True
     assert cluster.cancel("n-1") == 503
-    cluster.links["n-1"].answer_lost = False
+    cluster.links["n-1"].loses_answers = False
 
 
 def cancelled_as_a_poll_finds_it(cluster: SimulatedCluster) -> None:
     """Who can't ask the leader reads the store, where the cancel is."""
     _written_but_not_told(cluster)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.poll("n-2")
     cluster.poll("n-0")
 
@@ -120,7 +120,7 @@
 def cancelled_as_a_repeated_submission_finds_it(cluster: SimulatedCluster) -> None:
     """A repeat of the submission never asks the leader."""
     _written_but_not_told(cluster)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.submit("n-2")
     cluster.submit("n-1")
     cluster.poll("n-0")
@@ -130,19 +130,19 @@
 def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: SimulatedCluster) -> None:
     """Its lease is in order, its watch hangs, and the others can't reach it."""
     running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
-    cluster.links["n-0"].mute_watch = True
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+    cluster.links["n-0"].watch_hangs = True
     for _ in range(80):
         cluster.cancel("n-1")
         cluster.poll("n-0")
         cluster.run(0.5)
-    assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
 
 
 def a_leader_that_can_renew_but_not_follow(cluster: SimulatedCluster) -> None:
     """It may do nothing, and keeps others from it: it must make room."""
     serving(cluster)
-    cluster.links["n-0"].mute_watch = True
+    cluster.links["n-0"].watch_hangs = True
     cluster.run(5.0)
     assert cluster.submit("n-1") == 201
     cluster.run(30.0)
@@ -153,13 +153,13 @@
 def cancelled_by_a_clock_that_is_ahead(cluster: SimulatedCluster) -> None:
     """The cancel's time of writing is long past: its transaction was carried out late."""
     running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     link = cluster.links["n-1"]
-    link.late = True
+    link.delays_transactions = True
     cluster.cancel("n-1")
     cluster.run(30.0)
-    cluster.links["n-0"].mute_watch = True
-    link.catch_up()
+    cluster.links["n-0"].watch_hangs = True
+    link.apply_delayed()
     cluster.cancel("n-1")
     cluster.poll("n-0")
 
@@ -185,7 +185,7 @@
         cluster.cancel(name, f"run-{number}")
         cluster.dead.add(name)
         for _ in range(20):
-            other = next(n for n in NAMES if n not in cluster.dead)
+            other = next(n for n in CONTROLLERS if n not in cluster.dead)
             cluster.cancel(other, f"run-{number + 3}")
             for ref in range(1, 8):
                 cluster.poll(other, f"run-{ref}")
@@ -199,7 +199,7 @@
         ref = f"run-{number}"
         worker = running(cluster, ref)
         cluster.end(worker)
-        worker.report_now()
+        worker.send_heartbeat()
         leader = cluster.leader("n-0")
         assert leader is not None
         # The end is written after the cancel, and then between its reading and its writing.
@@ -213,17 +213,17 @@
         cluster.ask_all(ref)
         cluster.run(1.0)
         cluster.ask_all(ref)
-    assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
+    assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
 def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
     """The end is written while a reader of the store looks for the job."""
     worker = running(cluster)
     cluster.end(worker)
-    worker.report_now()
+    worker.send_heartbeat()
     leader = cluster.leader("n-0")
     assert leader is not None
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
 
     def ends(_key: str) -> None:
         leader.writer.write_once()
@@ -239,21 +239,22 @@
     worker = running(cluster)
     leader = cluster.leader("n-0")
     assert leader is not None
-    cluster.links["n-0"].late = True
+    link = cluster.links["n-0"]
+    link.delays_transactions = True
     cluster.end(worker)
     cluster.run(1.0)
-    late, cluster.links["n-0"]._held = cluster.links["n-0"]._held[:1], []
-    cluster.links["n-0"].late = False
+    late, link.delayed_transactions = link.delayed_transactions[:1], []
+    link.delays_transactions = False
     # A record that another transaction has changed meanwhile makes the next try fail as a whole.
     key = next(key for key in cluster.store.data if key.startswith("m/"))
     cluster.store.txn({}, [Put(key, msgspec.json.decode(cluster.store.data[key][0]))])
     cluster.worker("i-000002")
-    cluster.workers["i-000002"].report_now()
-    cluster.workers["i-000002"].report_now()
+    cluster.workers["i-000002"].send_heartbeat()
+    cluster.workers["i-000002"].send_heartbeat()
     leader.writer.write_once()
     for conditions, writes in late:
         cluster.store.txn(conditions, writes)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.ask_all()
     cluster.poll("n-2")
     cluster.poll("n-0")
@@ -264,9 +265,9 @@
     serving(cluster)
     for ref, lost in (("run-1", True), ("run-2", False)):
         link = cluster.links["n-1"]
-        link.answer_lost, link.late = lost, not lost
+        link.loses_answers, link.delays_transactions = lost, not lost
         assert cluster.submit("n-1", ref) == 503
-        link.answer_lost = link.late = False
+        link.loses_answers = link.delays_transactions = False
         cluster.submit("n-2", ref)
         cluster.ask_all(ref)
         if lost:
@@ -276,11 +277,11 @@
             cluster.end(cluster.workers["i-000001"])
             cluster.run(2.0)
         cluster.ask_all(ref)
-        link.catch_up()
+        link.apply_delayed()
         cluster.boot("n-1")  # one that remembers nothing
         link = cluster.links["n-1"]
         cluster.ask_all(ref)
-    assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
+    assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
 SCENARIOS: list[Scenario] = [
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -14,7 +14,7 @@
 from support.fakes import job_spec
 from support.scenarios import Scenario, running, serving
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES
+from support.timed_workers import CONTROLLERS
 
 from ryewing.state.job_records import JobRecord
 from ryewing.wire.workers import ReportedTask
@@ -27,7 +27,7 @@
     cluster.end(worker)
     cluster.run(3.0)
     cluster.ask_all()
-    assert cluster.rules.final == {"run-1": "done"}
+    assert cluster.rules.final_states == {"run-1": "done"}
     cluster.submit("n-1", "run-2")
     cluster.run(4.0)
     assert worker.tasks
@@ -53,7 +53,7 @@
         assert sum(len(w.tasks) for w in cluster.workers.values()) == 6
         cluster.links[who].refused = True
         if apart:
-            cluster.cut |= {frozenset((who, other)) for other in NAMES if other != who}
+            cluster.partitions |= {frozenset((who, other)) for other in CONTROLLERS if other != who}
         cluster.cancel("n-1", "run-1")
         for at in range(round(before_s / 0.5)):
             cluster.cancel("n-2" if at % 2 else "n-1", f"run-{1 + at % 4}")
@@ -80,7 +80,7 @@
         for _ in range(20):
             for ref in range(1, 7):
                 cluster.cancel("n-1", f"run-{ref}")
-                for name in NAMES:
+                for name in CONTROLLERS:
                     cluster.poll(name, f"run-{ref}")
             cluster.run(0.25)
 
@@ -90,11 +90,11 @@
 def cancelled_at_the_refusal(cluster: SimulatedCluster) -> None:
     """As above, but the workers keep to the refused one, and one of them hangs meanwhile."""
     worker = running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].refused = True
     cluster.run(3.25)
     worker.unreachable |= {"n-1", "n-2"}
-    cluster.store.tend()
+    cluster.store.expire_leases()
     cluster.nodes["n-1"].electors[None].leader = None
     assert cluster.cancel("n-1") == 200  # nobody holds the lease
     cluster.store.down = True
@@ -112,7 +112,7 @@
 def an_old_report_reaches_the_next_leader(cluster: SimulatedCluster) -> None:
     """Copies from before, of tasks that run elsewhere by now, as a new leader begins."""
     first = running(cluster)
-    old = copy.deepcopy(first.report_now())
+    old = copy.deepcopy(first.send_heartbeat())
     second = cluster.worker("i-000002")
     cluster.run(6.0)
     first.incarnation += 1
@@ -126,22 +126,22 @@
     first.hangs = False
     cluster.run(6.0)
     cluster.dead.add("n-0")
-    first.mute = True  # only the copy comes in its name at first
-    while not any(cluster.leader(name) for name in NAMES[1:]):
+    first.heartbeats_lost = True  # only the copy comes in its name at first
+    while not any(cluster.leader(name) for name in CONTROLLERS[1:]):
         cluster.run(0.25)
-    second.report_now()
-    second.report_now()
+    second.send_heartbeat()
+    second.send_heartbeat()
     for name in ("n-1", "n-2"):
         cluster.send_heartbeat(name, copy.deepcopy(old))
     cluster.run(1.0)
-    first.mute = False
+    first.heartbeats_lost = False
     cluster.run(30.0)
 
 
 def an_old_report_of_a_machine_that_is_gone(cluster: SimulatedCluster) -> None:
     """It must not come back, be recorded, or keep a job from room."""
     first = running(cluster)
-    old = copy.deepcopy(first.report_now())
+    old = copy.deepcopy(first.send_heartbeat())
     del cluster.workers[first.name]
     second = cluster.worker("i-000002")
     cluster.run(30.0)
@@ -149,7 +149,7 @@
     second.tasks.clear()
     second.incarnation += 1
     cluster.dead.add("n-0")
-    while not any(cluster.leader(name) for name in NAMES[1:]):
+    while not any(cluster.leader(name) for name in CONTROLLERS[1:]):
         cluster.run(0.25)
     for name in ("n-1", "n-2"):
         for _ in range(3):
@@ -172,10 +172,10 @@
     cluster.dead.add("n-0")
     cluster.links["n-2"].refused = True
     link = cluster.links["n-1"]
-    link.answer_lost = True
+    link.loses_answers = True
     while '"n-1"' not in str(cluster.store.data.get("lead/holder", "")):
         cluster.run(0.25)
-    cluster.links["n-2"].refused = link.answer_lost = False
+    cluster.links["n-2"].refused = link.loses_answers = False
     cluster.run(1.0)
     assert cluster.leader("n-1") is not None, "its own take-over is not known to it"
     cluster.cancel("n-2")
@@ -193,21 +193,21 @@
         cluster.dead.add(name)
         cluster.run(0.5)
         cluster.boot(name)
-        cluster.cancel(NAMES[at % 3], f"run-{at % 4 + 1}")
+        cluster.cancel(CONTROLLERS[at % 3], f"run-{at % 4 + 1}")
         for _ in range(11):
             cluster.run(1.0)
             for ref in range(1, 9):
-                cluster.poll(NAMES[at % 3], f"run-{ref}")
+                cluster.poll(CONTROLLERS[at % 3], f"run-{ref}")
     cluster.store.down = False
 
 
 def all_controllers_away(cluster: SimulatedCluster) -> None:
     """For longer than `lease_s`; meanwhile nothing is answered."""
     worker = running(cluster)
-    cluster.dead |= set(NAMES)
+    cluster.dead |= set(CONTROLLERS)
     cluster.run(25.0)
     assert not worker.tasks
-    for name in NAMES:
+    for name in CONTROLLERS:
         cluster.boot(name)
     cluster.run(45.0)
     assert worker.tasks
@@ -218,12 +218,12 @@
     serving(cluster)
     cluster.workers["i-000001"].hangs = True
     link = cluster.links["n-0"]
-    link.late = True
+    link.delays_transactions = True
     cluster.submit("n-1")
     new = cluster.worker("i-000002")
     cluster.run(6.0)
     assert not new.tasks, "a start without a record"
-    link.catch_up()
+    link.apply_delayed()
     cluster.run(4.0)
     assert new.tasks
     new.unreachable |= {"n-1", "n-2"}
@@ -247,7 +247,7 @@
         cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(2.0)
     assignment[0].hangs = True
-    assignment[1].unreachable |= set(NAMES)
+    assignment[1].unreachable |= set(CONTROLLERS)
     cluster.cancel("n-1", "run-1")
     cluster.cancel("n-2", "run-2")
     cluster.cloud_down = True
@@ -266,7 +266,7 @@
         cluster.submit("n-1", f"run-{number}", cpus=20.0)
     cluster.run(8.0)
     workers = list(cluster.workers.values())
-    workers[0].mute = workers[1].deaf = True
+    workers[0].heartbeats_lost = workers[1].replies_lost = True
     workers[2].unreachable |= {"n-0"}
     for number in range(1, 4):
         cluster.cancel("n-1", f"run-{number}")
@@ -291,7 +291,7 @@
     cluster.end(second)
     cluster.run(4.0)
     assert cluster.poll("n-1") == 200
-    assert cluster.rules.final == {"run-1": "done"}
+    assert cluster.rules.final_states == {"run-1": "done"}
 
 
 def a_leader_that_stands_still(cluster: SimulatedCluster) -> None:
@@ -313,7 +313,7 @@
     worker.unreachable |= {"n-1", "n-2"}
     cluster.cloud_down = True
     cluster.links["n-0"].refused = True
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     for _ in range(60):
         cluster.run(1.0)
         cluster.cancel("n-1")
@@ -369,7 +369,7 @@
 ) -> None:
     """One value of the store is garbage: all else is served, also by the next leader."""
     worker = running(cluster)
-    cluster.store.plant(key, garbage)
+    cluster.store.write_raw(key, garbage)
     cluster.run(2.0)
     cluster.dead.add("n-0")
     cluster.run(8.0)
@@ -381,7 +381,7 @@
     cluster.end(worker)
     cluster.run(4.0)
     cluster.ask_all()
-    assert cluster.rules.final == {"run-1": "done"}
+    assert cluster.rules.final_states == {"run-1": "done"}
     assert cluster.verdict() == []
 
 
@@ -396,7 +396,7 @@
     ]
     for number, changes in enumerate(senseless, 1):
         record = JobRecord(job_spec(**{"ref": f"run-{number}", **changes}), 0.0)
-        cluster.store.plant(f"j/run-{number}", msgspec.json.encode(record))
+        cluster.store.write_raw(f"j/run-{number}", msgspec.json.encode(record))
     cluster.run(2.0)
     leader = cluster.leader("n-0")
     assert leader is not None
@@ -409,7 +409,7 @@
     """Nobody takes over from somebody unknown, or under a term that may be too low."""
     serving(cluster)
     holder = cluster.store.data["lead/holder"]
-    cluster.store.plant(key, b"[1]", holder[2] if key == "lead/holder" else None)
+    cluster.store.write_raw(key, b"[1]", holder[2] if key == "lead/holder" else None)
     cluster.dead.add("n-0")
     cluster.run(1.0)
     assert all(cluster.leader(name) is None for name in ("n-1", "n-2"))
@@ -421,7 +421,7 @@
 def test_single_tasks_four_a_second_at_the_lowest_write_rate(cluster: SimulatedCluster) -> None:
     """A quarter is cancelled. Each job's end is one write; none is late, and none waits."""
     cluster.state_limits = {"write_rps": 15.0}
-    for name in NAMES:
+    for name in CONTROLLERS:
         cluster.boot(name)
     serving(cluster, machines=4)
     before = cluster.store.writes
@@ -429,10 +429,10 @@
     ended: dict[str, float] = {}
     for number in range(1, 241):
         ref = f"run-{number}"
-        assert cluster.submit(NAMES[number % 3], ref, cpus=0.25, memory_gb=0.5) == 201
+        assert cluster.submit(CONTROLLERS[number % 3], ref, cpus=0.25, memory_gb=0.5) == 201
         cluster.run(0.25)
         if number % 4 == 0:
-            assert cluster.cancel(NAMES[number % 3], f"run-{number - 2}") == 200
+            assert cluster.cancel(CONTROLLERS[number % 3], f"run-{number - 2}") == 200
         for worker in cluster.workers.values():
             for (reported, attempt), found in worker.tasks.items():
                 since = begun.setdefault(reported, cluster.clock())
@@ -440,18 +440,18 @@
                     over = ReportedTask(reported, attempt, "ended", "done")
                     worker.tasks[reported, attempt] = over
                     ended.setdefault(reported.split("/")[0], cluster.clock())
-                    worker.next_report = min(worker.next_report, cluster.clock() + 0.5)
-        cluster.rules.look()
+                    worker.next_heartbeat_at = min(worker.next_heartbeat_at, cluster.clock() + 0.5)
+        cluster.rules.check()
         for job, at in list(ended.items()):
             if cluster.clock() >= at + 3.0:
                 assert cluster.poll("n-1", job) == 200
-                assert cluster.rules.final.get(job), f"{job} is told late"
+                assert cluster.rules.final_states.get(job), f"{job} is told late"
                 del ended[job]
     # Accepted: 1; ended: 2 (the live record goes, the final one comes); cancelled: 1 more.
     assert cluster.store.writes - before <= 240 * 3 + 60 + 8
     assert not [key for key in cluster.store.data if key.startswith("d/run")]
     assert cluster.verdict() == []
-    assert set(cluster.rules.final.values()) == {"done", "cancelled"}
+    assert set(cluster.rules.final_states.values()) == {"done", "cancelled"}
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.simulated_cluster import SimulatedCluster
-from support.timed_workers import NAMES, TimedWorker
+from support.timed_workers import CONTROLLERS, TimedWorker
 
 from ryewing.units import parse_task
 
@@ -50,19 +50,19 @@
 ) -> None:
     """The stop arrives when another job has long had the room."""
     [worker] = bring_up(cluster, 1)
-    assert cluster.submit(NAMES[0], "run-1", cpus=30.0) == 201
+    assert cluster.submit(CONTROLLERS[0], "run-1", cpus=30.0) == 201
     cluster.run(6.0)
     assert on_machines(cluster, "run-1") == 1
-    worker.holds_up = True
-    assert cluster.cancel(NAMES[1], "run-1") == 200
-    assert cluster.submit(NAMES[1], "run-2", cpus=30.0) == 201
+    worker.delays_commands = True
+    assert cluster.cancel(CONTROLLERS[1], "run-1") == 200
+    assert cluster.submit(CONTROLLERS[1], "run-2", cpus=30.0) == 201
     cluster.ask_all("run-1")
     if leader_changes:
         change_leader(cluster)
     cluster.run(12.0)
-    worker.holds_up = False
+    worker.delays_commands = False
     assert (on_machines(cluster, "run-1"), on_machines(cluster, "run-2")) == (0, 1)
-    worker.catch_up()
+    worker.apply_delayed()
     assert on_machines(cluster, "run-2") == 1
     cluster.ask_all("run-1")
     assert cluster.verdict() == []
@@ -75,11 +75,11 @@
 ) -> None:
     """Stopped for urgent work, started again after it, and then the stop comes once more."""
     [worker] = bring_up(cluster, 1)
-    assert cluster.submit(NAMES[0], "run-1", cpus=30.0, priority="idle") == 201
+    assert cluster.submit(CONTROLLERS[0], "run-1", cpus=30.0, priority="idle") == 201
     cluster.run(6.0)
     assert on_machines(cluster, "run-1") == 1
-    worker.holds_up = True
-    assert cluster.submit(NAMES[0], "run-2", cpus=30.0, priority="urgent") == 201
+    worker.delays_commands = True
+    assert cluster.submit(CONTROLLERS[0], "run-2", cpus=30.0, priority="urgent") == 201
     cluster.run(8.0)
     assert (on_machines(cluster, "run-1"), on_machines(cluster, "run-2")) == (0, 1)
     cluster.end(worker)
@@ -87,8 +87,8 @@
         change_leader(cluster)
     cluster.run(12.0)
     assert on_machines(cluster, "run-1") == 1
-    worker.holds_up = False
-    worker.catch_up()
+    worker.delays_commands = False
+    worker.apply_delayed()
     assert on_machines(cluster, "run-1") == 1
     assert cluster.verdict() == []
     assert on_machines(cluster, "run-1") == 1
@@ -98,19 +98,19 @@
     """A gang is cancelled beside one of the same shape, on the same machines."""
     workers = bring_up(cluster, 3)
     gang = {"shape": "group", "task_count": 3, "cpus": 30.0}
-    assert cluster.submit(NAMES[0], "run-1", **gang) == 201
+    assert cluster.submit(CONTROLLERS[0], "run-1", **gang) == 201
     cluster.run(8.0)
     assert on_machines(cluster, "run-1") == 3
     for worker in workers:
-        worker.holds_up = True
-    assert cluster.submit(NAMES[0], "run-2", **gang) == 201
-    assert cluster.cancel(NAMES[2], "run-1") == 200
+        worker.delays_commands = True
+    assert cluster.submit(CONTROLLERS[0], "run-2", **gang) == 201
+    assert cluster.cancel(CONTROLLERS[2], "run-1") == 200
     cluster.run(10.0)
     assert on_machines(cluster, "run-2") == 3
     change_leader(cluster)
     for worker in workers:
-        worker.holds_up = False
-        worker.catch_up()
+        worker.delays_commands = False
+        worker.apply_delayed()
     assert cluster.verdict() == []
     assert on_machines(cluster, "run-2") == 3
 
@@ -127,7 +127,7 @@
         self.cluster = cluster
         self.workers = bring_up(cluster, 6)
         for worker in self.workers:
-            worker.answer_s = answer_s
+            worker.answer_delay_s = answer_s
         self.begun: dict[str, float] = {}
         self._ran_from: dict[tuple[str, int], float] = {}
         self._count = 2
@@ -141,7 +141,7 @@
         self._submit(self.LARGE_ARRAY, task_count=150, priority="standard")
 
     def _submit(self, ref: str, **changes: object) -> None:
-        assert self.cluster.submit(NAMES[0], ref, **{"cpus": 4.0, **changes}) == 201
+        assert self.cluster.submit(CONTROLLERS[0], ref, **{"cpus": 4.0, **changes}) == 201
 
     def go_on(self, seconds: float, submit: bool = True, run_s: float = 20.0) -> None:
         """Keep the machines overloaded: small urgent gangs and arrays come all the time."""
@@ -173,7 +173,7 @@
                 self.begun.setdefault(task.job, now - self._began)
                 if now - self._ran_from.setdefault(key, now) >= run_s:
                     worker.end_task(key)
-        self.cluster.rules.look()
+        self.cluster.rules.check()
 
 
 @pytest.mark.parametrize(("answer_s", "leader_changes"), [(2.0, False), (3.5, True)])
@@ -191,6 +191,6 @@
     for largest in (load.LARGE_GANG, load.LARGE_ARRAY):
         assert load.begun.get(largest, BEGIN_MAX_S) < BEGIN_MAX_S
     for worker in load.workers:
-        worker.answer_s = 0.0
+        worker.answer_delay_s = 0.0
     load.drain()
     assert cluster.verdict() == []
