--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -9,7 +9,6 @@
 
 import io
 import random
-from collections import defaultdict
 from collections.abc import Callable
 from typing import Any
 
@@ -34,16 +33,14 @@
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import MachineId, ShardName, is_job_id, parse_task
 from ryewing.wire.cloud import MachineTypeList
-from ryewing.wire.jobs import GANG, JobSpec
+from ryewing.wire.jobs import GANG
 from ryewing.wire.workers import Heartbeat
+from support import cluster_verdict
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
 from support.timed_workers import CONTROLLERS, STEP_S, DirectLink, TimedWorker
 
-PATIENCE_S = 10.0
-"""How long a user who is refused asks again; the rules allow 75 s."""
-
 
 class FakePeer:
     """The way from one controller to another; what passes is encoded as on the wire."""
@@ -346,88 +343,6 @@
         }
         return len(there) == int(self.rules.job_specs[task.job].task_count)
 
-    # -- at the end -------------------------------------------------------------------------
-
-    def settle(self, seconds: float = 60.0) -> None:
-        """All troubles are over."""
-        self.store.down = self.cloud_down = False
-        self.partitions.clear()
-        self.frozen.clear()
-        self.after_load = None
-        for link in self.links.values():
-            link.refused = link.watch_hangs = link.loses_answers = False
-            link.stale_watch = link.before_answer = None
-            link.apply_delayed()
-        for name in list(self.dead):
-            self.boot(name)
-        for worker in self.workers.values():
-            worker.hangs = worker.heartbeats_lost = worker.replies_lost = False
-            worker.unreachable.clear()
-        self.run(seconds)
-
-    def waiting_in_vain(self) -> list[str]:
-        """Name the jobs that wait although a machine that fits has room."""
-        leaders = self.latest_leaders()
-        assert len(leaders) == len(self.nodes[CONTROLLERS[0]].electors)
-        jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
-        used: dict[str, float] = defaultdict(float)
-        for worker in self.workers.values():
-            for task in (parse_task(reported) for reported, _ in worker.tasks):
-                if task is not None and task.job in jobs:
-                    used[jobs[task.job].spec.team] += jobs[task.job].spec.gpus
-        found = []
-        for leader in leaders:
-            for job in leader.term.job_table:
-                need = job.spec
-                limit = leader.term.teams[need.team].gpus_max
-                if job.shortfall <= 0 or job.backoff_s:
-                    continue
-                # A gang waits for all it needs of the limit, an array for one task's part.
-                max_in_flight = job.shortfall if job.is_gang else 1
-                if limit and used[need.team] + max_in_flight * need.gpus > limit:
-                    continue
-                found += [f"{job.id} beside {name}" for name in self._idle_for(leader, need)]
-        return found
-
-    def _waiting_for(self, seconds: float) -> list[str]:
-        """Name the jobs that wait in vain for all of a time."""
-        found = self.waiting_in_vain()
-        until = self.clock() + seconds
-        while found and self.clock() < until:
-            self.run(2.0)
-            waiting = {text.split()[0] for text in self.waiting_in_vain()}
-            found = [text for text in found if text.split()[0] in waiting]
-        return found
-
-    def _idle_for(self, leader: Leader, need: JobSpec) -> list[str]:
-        return [
-            machine.id
-            for machine in leader.term.cluster.machines.values()
-            if machine.id in self.workers
-            and self.workers[machine.id].tasks == {}
-            and need.cpus <= machine.machine_type.cpus
-            and need.gpus <= machine.machine_type.gpus
-            and (need.zone is None or need.zone == machine.zone)
-        ]
-
-    def _poll_until_answered(self, node: str, job: str) -> int:
-        """Ask as a user does, who is told 503 and when to come back; for a bounded time."""
-        for _ in range(round(PATIENCE_S / STEP_S)):
-            status = self.poll(node, job)
-            if status != 503:
-                break
-            self.run(STEP_S)
-        return status
-
     def verdict(self, patience_s: float = 0.0) -> list[str]:
-        """Say which rules were broken, once troubles are over.
-
-        A job may wait beside room for no longer than the given time.
-        """
-        self.settle()
-        for job in sorted(self.rules.accepted):
-            answers = {self._poll_until_answered(name, job) for name in CONTROLLERS}
-            if answers != {200}:
-                self.rules.add_violation("forgotten", f"{job}: {answers}")
-        waits = [f"waits: {text}" for text in self._waiting_for(patience_s)]
-        return self.rules.violations + waits
+        """End all faults, and return the rules that were broken (`cluster_verdict`)."""
+        return cluster_verdict.verdict(self, patience_s)
