--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a leader with fakes round it, and a cluster of three controllers."""
+"""Fixtures: one leader over fakes, and simulated clusters of three controllers."""
 
 from __future__ import annotations
 
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from support.divided_fleet import EAST, WEST, MakeCluster, begin, bring_up, broken
+from support.divided_fleet import EAST, WEST, MakeCluster, add_machines, request_move, verdict
 from support.fakes import GPU
 from support.harness import LeaderHarness
 from support.scenarios import Scenario
@@ -52,7 +52,7 @@
 def limited(divided: MakeCluster) -> SimulatedCluster:
     """Two shards with more GPUs each than the team may use."""
     cluster = divided(moves_allowed=False)
-    bring_up(cluster, 0, with_gpus=12)
+    add_machines(cluster, 0, with_gpus=12)
     cluster.run(12.0)
     assert cluster.leader_of(EAST) == "n-0"
     return cluster
@@ -96,7 +96,7 @@
                 if found.status == "running" and not key[0].startswith("run-50/"):
                     worker.end_task(key)
     assert cluster.rules.starts["run-50/0"] == 1
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
 
 
 def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
@@ -146,7 +146,7 @@
     for number in range(4):
         cluster.cancel("n-1", f"run-{number}")
     gpu_jobs(cluster, "b", 4, first=20)
-    assert begin(cluster, EAST, "n-2")
+    assert request_move(cluster, EAST, "n-2")
     cluster.run(6.0)
     cluster.dead.add("n-2")
     cluster.run(30.0)
@@ -167,7 +167,7 @@
     cluster.run(12.0)
     assert gpus_in_use(cluster) == LIMIT
     scenario(cluster)
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
     assert parts(cluster).total().gpus <= LIMIT
 
 
@@ -199,7 +199,7 @@
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
     assert part() <= LIMIT
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
 
 
 RED = limit_of(Team("red", gpus_max=LIMIT))
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -12,7 +12,13 @@
 
 import pytest
 from support.clocks import divided_clusters
-from support.divided_fleet import MakeCluster, begin, bring_up, broken, submit_some
+from support.divided_fleet import (
+    MakeCluster,
+    add_machines,
+    request_move,
+    submit_random_jobs,
+    verdict,
+)
 from support.fault_injector import FaultInjector
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS
@@ -25,15 +31,15 @@
     """Move shards while faults are injected; return how many moves were begun."""
     rng = random.Random(seed)
     faults = FaultInjector(cluster, rng)
-    bring_up(cluster, 9, with_gpus=6)
+    add_machines(cluster, 9, with_gpus=6)
     cluster.run(12.0)
     begun = number = 0
     while begun < moves and number < 6 * moves:
-        submit_some(cluster, rng, 10 * number, 1)
+        submit_random_jobs(cluster, rng, 10 * number, 1)
         cluster.run(rng.choice((0.25, 0.5, 1.0)))
         shard = rng.choice([str(name) for name in cluster.nodes[CONTROLLERS[0]].electors])
         if not cluster.store.down:
-            begun += begin(cluster, shard, rng.choice(CONTROLLERS))
+            begun += request_move(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 0.5, 1.0)))
         faults.inject()
         cluster.run(rng.choice((0.25, 1.0, 4.0)))
@@ -54,7 +60,7 @@
 def test_no_rule_is_broken_by_moves_under_faults(divided: MakeCluster, seed: int) -> None:
     cluster = divided(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
     assert simulate_moves(cluster, seed) > 0
-    assert broken(cluster) == [], seed
+    assert verdict(cluster) == [], seed
 
 
 def main() -> int:
@@ -66,7 +72,7 @@
             make = divided_clusters(monkeypatch)
             cluster = make(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
             begun += simulate_moves(cluster, seed)
-            found = broken(cluster)
+            found = verdict(cluster)
         failures += bool(found)
         print(f"seed {seed}: {begun} moves so far{'; '.join(['', *found])}", flush=True)
         seed += 1
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -10,14 +10,14 @@
     EAST,
     WEST,
     MakeCluster,
-    all_owned,
-    begin,
-    bring_up,
-    broken,
-    ownership,
-    record_of,
-    serving,
-    submit_some,
+    add_machines,
+    all_shards_led,
+    ownership_record,
+    read_registration,
+    request_move,
+    start_divided_fleet,
+    submit_random_jobs,
+    verdict,
 )
 from support.scenarios import Scenario
 from support.simulated_cluster import SimulatedCluster
@@ -31,9 +31,9 @@
 
 def test_two_shards_are_led_by_two_controllers(divided: MakeCluster) -> None:
     cluster = divided()
-    serving(cluster)
+    start_divided_fleet(cluster)
     assert {cluster.leader_of(EAST), cluster.leader_of(WEST)} == {"n-0", "n-1"}
-    submit_some(cluster, random.Random(1), 0, 12)
+    submit_random_jobs(cluster, random.Random(1), 0, 12)
     cluster.run(10.0)
     assert {worker.zone for worker in cluster.workers.values() if worker.tasks} == {"a", "b", "c"}
     for worker in cluster.workers.values():
@@ -47,18 +47,18 @@
     """A hundred moves, at any time: while gangs gather, tasks end and jobs are submitted."""
     cluster = divided(shards, moves_allowed=False)
     rng = random.Random(seed)
-    bring_up(cluster, 9, with_gpus=9)
+    add_machines(cluster, 9, with_gpus=9)
     cluster.run(12.0)
     moved = 0
     for number in range(25):
-        submit_some(cluster, rng, 10 * number, 2)
+        submit_random_jobs(cluster, rng, 10 * number, 2)
         cluster.run(rng.choice((0.25, 0.5, 1.0, 3.0)))
-        shard = rng.choice([str(name) for name in ownership(cluster).shards])
-        moved += begin(cluster, shard, rng.choice(CONTROLLERS))
+        shard = rng.choice([str(name) for name in read_registration(cluster).shards])
+        moved += request_move(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 1.0, 2.0)))
         if number % 3 == 0:
             cluster.end(rng.choice(list(cluster.workers.values())))
-        while not all_owned(cluster):
+        while not all_shards_led(cluster):
             cluster.run(0.25)
     assert moved > 12
     for _ in range(30):
@@ -76,7 +76,7 @@
 
 def jobs_in_both(cluster: SimulatedCluster) -> None:
     """An array and a gang run in each shard, led by n-0 and n-1."""
-    serving(cluster)
+    start_divided_fleet(cluster)
     for number, (zone, shape) in enumerate(itertools.product("ab", ("batch", "group"))):
         cluster.submit(
             CONTROLLERS[0], f"run-{number}", shape=shape, zone=zone, task_count=4, cpus=2.0
@@ -88,12 +88,12 @@
 
 def move_until(cluster: SimulatedCluster, phase: Phase) -> None:
     """Begin the move of a shard from n-0 to n-2, and go on until it is in a phase."""
-    assert begin(cluster, EAST, "n-2")
+    assert request_move(cluster, EAST, "n-2")
     for _ in range(20):
-        if record_of(cluster, EAST).phase is phase:
+        if ownership_record(cluster, EAST).phase is phase:
             return
         cluster.run(0.25)
-    raise AssertionError(record_of(cluster, EAST))
+    raise AssertionError(ownership_record(cluster, EAST))
 
 
 def all_done(cluster: SimulatedCluster) -> None:
@@ -101,7 +101,7 @@
     cluster.run(2.0)
     for worker in cluster.workers.values():
         cluster.end(worker)
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
     assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
     assert not cluster.rules.stopped_tasks
@@ -117,16 +117,16 @@
     cluster = divided(moves_allowed=False)
     jobs_in_both(cluster)
     if phase is Phase.OWNED:
-        assert begin(cluster, EAST, "n-2")
+        assert request_move(cluster, EAST, "n-2")
     else:
         move_until(cluster, phase)
     cluster.dead.add(lost)
     if back == "at once":
         cluster.boot(lost)
     cluster.run(14.0)
-    assert all_owned(cluster)
+    assert all_shards_led(cluster)
     if back == "later":
-        assert lost not in {record_of(cluster, shard).owner for shard in (EAST, WEST)}
+        assert lost not in {ownership_record(cluster, shard).owner for shard in (EAST, WEST)}
     all_done(cluster)
 
 
@@ -137,14 +137,14 @@
 ) -> None:
     cluster = divided(moves_allowed=False)
     jobs_in_both(cluster)
-    assert begin(cluster, EAST, "n-2")
+    assert request_move(cluster, EAST, "n-2")
     link = cluster.links[who]
     setattr(link, trouble, True)
     cluster.run(6.0)
     setattr(link, trouble, False)
     link.apply_delayed()
     cluster.run(8.0)
-    assert all_owned(cluster)
+    assert all_shards_led(cluster)
     all_done(cluster)
 
 
@@ -165,7 +165,7 @@
     slow.heartbeats_lost = True
     cluster.run(3.0)
     assert 0 < len(statuses(cluster, "run-8")) < 4
-    assert begin(cluster, EAST, "n-2")
+    assert request_move(cluster, EAST, "n-2")
     cluster.run(1.0)
     slow.heartbeats_lost = False
     cluster.run(60.0)
@@ -188,7 +188,7 @@
 
 def a_spot_notice_comes(cluster: SimulatedCluster) -> None:
     """The owner of a sealed shard still answers, and saves what is about to be lost."""
-    assert begin(cluster, EAST, "n-2")
+    assert request_move(cluster, EAST, "n-2")
     for worker in cluster.workers.values():
         worker.notice_s = 10.0 if worker.name == "i-000000" else None
     cluster.run(8.0)
@@ -225,11 +225,11 @@
     health.keep = lambda: None  # type: ignore[method-assign]
     cluster.store.txn({}, [Remove(NODE_PREFIX + "n-0")])
     cluster.run(1.0)
-    assert record_of(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, EAST).owner != "n-0"
     assert cluster.leader("n-0", EAST) is None
     health.keep = lambda: keep(health)  # type: ignore[method-assign]
     cluster.run(0.75)
-    assert "n-0" in ownership(cluster).healthy
+    assert "n-0" in read_registration(cluster).healthy
 
 
 def cancelled_while_the_leader_hears_no_changes(cluster: SimulatedCluster) -> None:
@@ -250,7 +250,7 @@
     for link in cluster.links.values():
         link.refused = False
     cluster.run(10.0)
-    assert all_owned(cluster)
+    assert all_shards_led(cluster)
 
 
 def the_owner_can_reach_no_workers(cluster: SimulatedCluster) -> None:
@@ -261,14 +261,14 @@
     for worker in cluster.workers.values():
         worker.unreachable.add("n-0")
     cluster.run(16.0)
-    assert record_of(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, EAST).owner != "n-0"
 
 
 def an_owner_freezes(cluster: SimulatedCluster) -> None:
     """Another controller takes its shard; thawed, it has no authority and gives way."""
     cluster.frozen.add("n-0")
     cluster.run(9.0)
-    assert record_of(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, EAST).owner != "n-0"
     cluster.frozen.clear()
     cluster.run(2.0)
     assert cluster.leader("n-0", EAST) is None
@@ -293,25 +293,25 @@
     cluster = divided(moves_allowed=False)
     jobs_in_both(cluster)
     scenario(cluster)
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
 
 
 def test_the_shards_of_a_lost_controller_come_back_to_it(divided: MakeCluster) -> None:
     """The planner evens them out, once, and no sooner than they have settled."""
     cluster = divided(3, settle_s=20.0)
-    serving(cluster)
+    start_divided_fleet(cluster)
     cluster.dead.add("n-1")
     cluster.run(10.0)
-    assert all_owned(cluster)
+    assert all_shards_led(cluster)
     cluster.boot("n-1")
     cluster.run(9.0)
-    assert record_of(cluster, WEST).owner != "n-1"
+    assert ownership_record(cluster, WEST).owner != "n-1"
     cluster.run(40.0)
-    owners = [record_of(cluster, shard) for shard in ("shard-1", "shard-2", "shard-3")]
+    owners = [ownership_record(cluster, shard) for shard in ("shard-1", "shard-2", "shard-3")]
     assert sorted(record.owner for record in owners) == list(CONTROLLERS)
     epochs = [record.epoch for record in owners]
     cluster.run(60.0)
-    assert [record_of(cluster, f"shard-{n + 1}").epoch for n in range(3)] == epochs
+    assert [ownership_record(cluster, f"shard-{n + 1}").epoch for n in range(3)] == epochs
 
 
 @pytest.mark.parametrize("first", [1, 2])
@@ -325,7 +325,7 @@
         for name in CONTROLLERS:
             cluster.coordinators.pop(name)
             cluster.boot(name)
-    serving(cluster)
+    start_divided_fleet(cluster)
     other = divided(3 if first == 1 else 1)
     other.store = cluster.store
     if first == 2:
@@ -347,12 +347,12 @@
     cluster.run(10.0)
     cluster.boot("n-2")
     cluster.run(0.25)
-    seen = ownership(cluster)
+    seen = read_registration(cluster)
     assert seen.healthy == set(CONTROLLERS)
     for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
         planner._planned_at = MonotonicTime(0.0)
         planner._act(seen._replace(healthy=healthy))
     cluster.run(20.0)
-    assert all_owned(cluster)
+    assert all_shards_led(cluster)
     all_done(cluster)
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -1,4 +1,4 @@
-"""A client of the users' interface, over a fake node and store."""
+"""A client of the HTTP API, over a fake node, leader and store; no sockets are opened."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from support.fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 UNBOUNDED_RPS = 1e9
-"""The rate of the store has tests of its own (`test_user_quota.py`)."""
+"""The rate of the store has tests of its own (`test_user_request_limiter.py`)."""
 
 
 class FakeLeader:
-    """A leader that knows some jobs' states."""
+    """A leader that knows the status of some jobs."""
 
     def __init__(self) -> None:
         self.states: dict[str, JobStatus] = {}
@@ -35,7 +35,7 @@
 
 
 class FakeNode:
-    """What the interface needs of a node."""
+    """What the API needs of a node, with the answers set by the test."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
@@ -79,7 +79,7 @@
 
 
 class Client:
-    """Calls the interface as WSGI."""
+    """Calls the API as a WSGI server does."""
 
     def __init__(self) -> None:
         self.node = FakeNode()
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -1,4 +1,7 @@
-"""The parts of the service whose clocks a test moves by hand."""
+"""Clocks that a test moves: each module that reads a clock gets one in place of its own.
+
+The lists name the modules of `ryewing` that read a clock; a new one has to be added here.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 
 def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
-    """Give some parts of the service a monotonic clock that the test moves."""
+    """Replace the monotonic clock of some modules by one that the test moves; return it."""
     clock = Clock()
     for part in parts:
         monkeypatch.setattr(f"ryewing.{part}.monotonic_now", clock)
@@ -45,7 +48,7 @@
 
 
 def clock_of_cluster(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    """Give all parts of several controllers one clock; no loop runs by itself."""
+    """Replace all clocks of several controllers by one; no loop of a leader starts by itself."""
     clock = moved_by_hand(monkeypatch, *TERM_PARTS, *NODE_PARTS, *SHARDING_PARTS)
     for part in WALL_CLOCK_PARTS:
         monkeypatch.setattr(f"ryewing.{part}.wall_now", clock)
@@ -55,7 +58,7 @@
 
 
 def divided_clusters(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
-    """Give what makes a cluster whose fleet is divided into shards of whole zones."""
+    """Return a function that makes a simulated cluster with a fleet divided by zones."""
     clock = clock_of_cluster(monkeypatch)
 
     def make(count: int = 2, **settings: Any) -> SimulatedCluster:
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -1,4 +1,4 @@
-"""A divided fleet in the played cluster: bringing it up, moving shards, judging the outcome."""
+"""A simulated cluster with a fleet of several shards: its start, moves of shards, the verdict."""
 
 from __future__ import annotations
 
@@ -15,39 +15,40 @@
 """Zone a, and zones b and c."""
 
 PATIENCE_S = 90.0
-"""How long a job may wait beside room, by the users' rule: room is kept for gangs by turns."""
+"""Seconds that a job may wait beside room, by the users' rule: gangs and small jobs take turns."""
 
 MakeCluster = Callable[..., SimulatedCluster]
 
 
-def serving(cluster: SimulatedCluster, machines: int = 6) -> None:
-    """Bring up machines in each zone, and owners for all shards."""
-    bring_up(cluster, machines)
+def start_divided_fleet(cluster: SimulatedCluster, machines: int = 6) -> None:
+    """Add machines in each zone, and run until all shards have owners."""
+    add_machines(cluster, machines)
     cluster.run(12.0)
 
 
-def bring_up(cluster: SimulatedCluster, machines: int, with_gpus: int = 0) -> None:
-    """Bring up machines in each zone by turns."""
+def add_machines(cluster: SimulatedCluster, machines: int, with_gpus: int = 0) -> None:
+    """Add machines, one zone after the other; the last ones have GPUs."""
     for number in range(machines + with_gpus):
         kind = "g4" if number >= machines else "c32"
         cluster.worker(f"i-{number:06d}", machine_type=kind, zone="abc"[number % 3])
 
 
-def ownership(cluster: SimulatedCluster) -> Registration:
-    """Read the records as an operator does."""
+def read_registration(cluster: SimulatedCluster) -> Registration:
+    """Read the ownership records of all shards, as an operator does."""
     names = [shard for shard in cluster.nodes[CONTROLLERS[0]].electors if shard is not None]
     return ShardRegistry(cluster.store).read(names)  # type: ignore[arg-type]
 
 
-def record_of(cluster: SimulatedCluster, shard: str) -> Ownership:
-    record = ownership(cluster).shards[ShardName(shard)].record
+def ownership_record(cluster: SimulatedCluster, shard: str) -> Ownership:
+    """Return the ownership record of one shard."""
+    record = read_registration(cluster).shards[ShardName(shard)].record
     assert record is not None
     return record
 
 
-def begin(cluster: SimulatedCluster, shard: str, target: str) -> bool:
-    """Ask for a move; False if it is refused."""
-    found = ownership(cluster)
+def request_move(cluster: SimulatedCluster, shard: str, target: str) -> bool:
+    """Ask for the move of a shard; return False if it is refused."""
+    found = read_registration(cluster)
     registry = ShardRegistry(cluster.store)  # type: ignore[arg-type]
     try:
         taken = registry.take(
@@ -60,18 +61,20 @@
     return taken is not None
 
 
-def all_owned(cluster: SimulatedCluster) -> bool:
-    """Tell whether each shard is led by the controller that its record names."""
+def all_shards_led(cluster: SimulatedCluster) -> bool:
+    """Return whether each shard is led by the controller that its ownership record names."""
     return all(
         seen.record is not None
         and seen.record.phase is Phase.OWNED
         and cluster.leader(seen.record.owner, shard) is not None
-        for shard, seen in ownership(cluster).shards.items()
+        for shard, seen in read_registration(cluster).shards.items()
     )
 
 
-def submit_some(cluster: SimulatedCluster, rng: random.Random, first: int, count: int) -> None:
-    """Submit arrays and gangs at any controller; some want GPUs, of which their team has eight."""
+def submit_random_jobs(
+    cluster: SimulatedCluster, rng: random.Random, first: int, count: int
+) -> None:
+    """Submit random arrays and gangs; some need GPUs, of which their team may use eight."""
     for number in range(first, first + count):
         gang, gpus = rng.random() < 0.3, float(rng.random() < 0.4)
         status = cluster.submit(
@@ -85,11 +88,11 @@
         assert status in (0, 201, 503)
 
 
-def broken(cluster: SimulatedCluster) -> list[str]:
-    """Say which rules were broken once troubles are over, and which shards nobody owns."""
+def verdict(cluster: SimulatedCluster) -> list[str]:
+    """End all faults; return the rules that were verdict, and the ownerships if one is not led."""
     for name in [name for name, worker in cluster.workers.items() if worker.notice_s is not None]:
         del cluster.workers[name]  # the cloud takes what it has announced
     found = cluster.verdict(PATIENCE_S)
-    if not all_owned(cluster):
-        found.append(f"not owned: {ownership(cluster).shards}")
+    if not all_shards_led(cluster):
+        found.append(f"not owned: {read_registration(cluster).shards}")
     return found
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -1,7 +1,7 @@
-"""Stand-ins for store, cloud and workers, in memory: what tests and the quick start run against.
+"""Fakes of store, cloud and workers in memory, for tests and for the quick start.
 
-They keep to the protocol as far as the tests need it, and take the time from a clock that the
-test moves by hand.
+They follow the protocol as far as tests need it. Nothing happens by itself: no lease expires, no
+task ends and no machine boots until a test says so.
 """
 
 from __future__ import annotations
@@ -72,17 +72,17 @@
 
 
 def settings() -> Settings:
-    """Give settings for tests."""
+    """Return settings for tests."""
     return msgspec.convert(RAW_SETTINGS, Settings)
 
 
 def policy() -> Policy:
-    """Give the default policy for these settings."""
+    """Return the default policy for these settings."""
     return defaults(settings())
 
 
 def job_spec(ref: str = "run-1", **changes: Any) -> JobSpec:
-    """Make a submission: an array of four small tasks, unless changed."""
+    """Return a job spec: an array of four small tasks, unless changed."""
     fields: dict[str, Any] = {
         "id": ref,
         "job_class": "scan",
@@ -104,19 +104,19 @@
 
 
 def protocol_keys(changes: dict[str, Any]) -> dict[str, Any]:
-    """Name the fields of a submission as its JSON does; what isn't known keeps its name."""
+    """Rename the fields of a submission to their JSON keys; unknown names stay."""
     keys = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
     return {keys.get(name, name): value for name, value in changes.items()}
 
 
 def submission(ref: str = "run-1", **changes: Any) -> dict[str, Any]:
-    """Give the body by which a user submits it, with what a stored job leaves out."""
+    """Return the body of a submission, with the flags that a stored job leaves out."""
     left_out = {"together": False, "spread": False, "loaner": False}
     return {**left_out, **msgspec.to_builtins(job_spec(ref, **changes))}
 
 
 def job(ref: str = "run-1", at: float = 0.0, **changes: Any) -> Job:
-    """Make a live job."""
+    """Return a live job."""
     return Job(JobRecord(job_spec(ref, **changes), at), KeyVersion(1))
 
 
@@ -131,12 +131,12 @@
 
 
 class FakeStore:
-    """The state service in memory, with switches for its failures."""
+    """The store in memory, with switches for its faults; leases expire only by `expire`."""
 
     def __init__(self) -> None:
         self.limits = settings().params.state
         self.rejected: list[str] = []
-        """What was refused for being too large, or too many changes at once."""
+        """Why requests were refused: a value too large, or too many changes at once."""
         self.data: dict[str, tuple[bytes, int, int | None]] = {}
         self.revision = 0
         self.log: list[Change] = []
@@ -216,7 +216,7 @@
             raise LeaseLostError(str(lease))
 
     def expire(self, lease: int) -> None:
-        """End a lease, as its time would."""
+        """Expire a lease, and remove the keys that hang on it."""
         self.leases.discard(lease)
         for key in [k for k, v in self.data.items() if v[2] == lease]:
             del self.data[key]
@@ -236,7 +236,7 @@
 
 
 class FakeCloud:
-    """The cloud in memory."""
+    """The cloud in memory: it grants machines up to a capacity, all of them at once."""
 
     def __init__(self) -> None:
         self.capacity = 100
@@ -270,7 +270,7 @@
 
 
 class FakeWorker:
-    """A worker: executes commands as the protocol says, without time passing by itself."""
+    """A worker that executes commands as the protocol says; its tasks end only by a call."""
 
     def __init__(self, name: str, machine_type: str = "c32", zone: str = "a", spot: bool = False):
         self.name = name
@@ -319,7 +319,7 @@
         return True
 
     def finish(self, cause: str = "done") -> None:
-        """End everything that runs here."""
+        """End all tasks of this worker."""
         for key, reported in self.tasks.items():
             if reported.status != "ended":
                 self.end_task(key, cause)
@@ -330,7 +330,7 @@
 
 
 def leadership(term: int = 5, lease_validity: LeaseValidity | None = None) -> Leadership:
-    """Make a won term whose lease was confirmed just now."""
+    """Return a won term whose lease was confirmed just now."""
     if lease_validity is None:
         lease_validity = LeaseValidity(3.0, 15.0)
     return Leadership(TermNumber(term), KeyVersion(0), 1, lease_validity)
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,4 +1,9 @@
-"""A leader with fakes round it, driven step by step by a clock that the test moves."""
+"""One leader over a fake store, cloud and workers, driven step by step by the test's clock.
+
+There is no election and no greenlet: the term is won from the start, and each of the leader's loops
+runs only when the test calls it. Direct commands reach a worker at once, and only when a test sends
+them.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +34,7 @@
 
 
 class DirectWorkers:
-    """Direct commands to fake workers."""
+    """Direct commands to fake workers, in place of `clients.workers.Workers`."""
 
     def __init__(self, workers: dict[str, FakeWorker]) -> None:
         self.workers = workers
@@ -45,18 +50,18 @@
         return worker.heartbeat()
 
     def forget(self, address: str) -> None:
-        """Nothing is kept here."""
+        """Do nothing: no connections are kept."""
 
 
 class LeaderHarness:
-    """A leader with fakes round it, driven step by step."""
+    """One leader with its fakes; what workers and users do is a method."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.settings = settings()
         self.store = FakeStore()
         self.may_reject = False
-        """The case is about a store that refuses what is too large."""
+        """Whether the store may refuse a request as too large: else that fails the test."""
         self.cloud = FakeCloud()
         self.workers: dict[str, FakeWorker] = {}
         self.lost: list[str] = []
@@ -90,7 +95,7 @@
         return leader
 
     def announce(self, **limits: Any) -> None:
-        """Announce the store's next limits, to leaders that begin from now on."""
+        """Announce the store's next limits to leaders that start from now on."""
         params = self.settings.params
         state = msgspec.structs.replace(params.state, next=NextLimits(**limits))
         self.settings = msgspec.structs.replace(
@@ -98,7 +103,7 @@
         )
 
     def narrow(self, **limits: Any) -> None:
-        """Let the store's limits fall."""
+        """Lower the store's limits."""
         self.store.limits = msgspec.structs.replace(self.store.limits, **limits)
 
     def later(self, seconds: float, renewed: bool = True) -> None:
@@ -121,7 +126,7 @@
         return worker
 
     def exchange(self, worker: FakeWorker) -> list[Command]:
-        """One heartbeat and its answer, executed."""
+        """Send one heartbeat, execute the response and return its commands."""
         answer = self.leader.on_heartbeat(worker.heartbeat())
         assert answer is not None
         worker.execute(answer.token, answer.commands)
@@ -132,7 +137,7 @@
             pass
 
     def ready(self, *workers: FakeWorker) -> None:
-        """Hear workers, record them and hear them again under our term."""
+        """Let workers send heartbeats until they are recorded and acknowledge the term."""
         for worker in workers * 2:
             self.exchange(worker)
         self.write()
@@ -141,26 +146,26 @@
         assert self.leader.scheduler.check_reconciled()
 
     def ready_worker(self) -> FakeWorker:
-        """A worker to which tasks may be given."""
+        """Add a worker to which tasks may be given."""
         worker = self.worker()
         self.ready(worker)
         return worker
 
     def ready_workers(self, count: int) -> list[FakeWorker]:
-        """Several workers to which tasks may be given, heard together."""
+        """Add several workers to which tasks may be given."""
         workers = [self.worker(f"i-{number:06d}") for number in range(count)]
         self.ready(*workers)
         return workers
 
     def begin(self, worker: FakeWorker, *names: str, **changes: Any) -> JobId:
-        """Accept a job and let the worker fetch its starts."""
+        """Accept a job, run a scheduling cycle and let the worker fetch its starts."""
         job = self.accept(*names, **changes)
         self.place()
         self.exchange(worker)
         return job
 
     def end(self, worker: FakeWorker) -> None:
-        """Finish everything on a worker, and report it."""
+        """Finish all tasks of a worker, and let it send a heartbeat."""
         worker.finish()
         self.exchange(worker)
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""A small world on loopback for the quick start: store, cloud, workers and controllers.
+"""A small cluster on loopback for the quick start: store, cloud, workers and controllers.
 
     python3 tests/support/loopback.py --controllers 3 --port 18000
 
-It writes the controllers' settings files, starts them as processes of their own, and plays the
-rest in this one. Tasks run for their job's `guess_s`, replicas of a `daemon` until stopped. The
-cloud's port also takes troubles, to be tried by hand:
+It writes the controllers' settings files, starts them as processes of their own, and simulates the
+rest in this one, by the real clock. Tasks run for their job's `guess_s`, replicas of a `daemon`
+until stopped; images take no time, and neither the store nor the cloud limits its requests. The
+cloud's port also injects faults, to be tried by hand:
 
     curl -X POST "http://127.0.0.1:18001/trouble/end?piece=run-000001/0&cause=error"
     curl -X POST "http://127.0.0.1:18001/trouble/lose?host=i-000000"
@@ -80,8 +81,8 @@
     return server
 
 
-class World:
-    """Everything round the controllers."""
+class LoopbackCluster:
+    """The simulated store, cloud and workers of the controllers."""
 
     def __init__(self, port: int, controllers: int) -> None:
         self.port = port
@@ -94,7 +95,7 @@
         self.starts: Counter[str] = Counter()
         self.store_requests = 0
         self.started: list[tuple[float, str]] = []
-        """When and in which zone tasks were started."""
+        """When and in which zone each task was started."""
         self.live: dict[str, FakeWorker] = {}
 
     def start(self) -> None:
@@ -103,7 +104,7 @@
         serve(self.port + 1, self.on_cloud)
 
     def settings(self, name: str) -> dict[str, Any]:
-        """Make one controller's settings."""
+        """Return the settings of one controller."""
         raw: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(RAW_SETTINGS))
         raw.update(
             node=name,
@@ -123,7 +124,7 @@
         raw["params"]["state"]["next"] = NEXT_LIMITS
         return raw
 
-    # -- the state service ------------------------------------------------------------------
+    # -- the store --------------------------------------------------------------------------
 
     def _expiry(self, tenancy: int, ttl_s: float) -> None:
         gevent.sleep(ttl_s)
@@ -132,7 +133,7 @@
     def on_store(
         self, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
-        """Answer as the state service."""
+        """Answer as the store."""
         store = self.store
         self.store_requests += 1
         if path == "/holds":
@@ -246,7 +247,7 @@
             gevent.spawn(self._run, worker, key)
 
     def work(self, worker: FakeWorker) -> None:
-        """Be one machine: boot, take direct commands, report."""
+        """Simulate one machine: boot, serve direct commands, send heartbeats."""
         gevent.sleep(BOOT_S)
         self.live[worker.name] = worker
         port = self.port + 100 + int(worker.name[2:])
@@ -287,22 +288,22 @@
 
 
 def upgrade(
-    world: World, processes: list[subprocess.Popen[bytes]], commands: list[list[str]]
+    cluster: LoopbackCluster, processes: list[subprocess.Popen[bytes]], commands: list[list[str]]
 ) -> None:
     """Replace the controllers one after the other; then the store's limits fall."""
     for n, command in enumerate(commands):
         gevent.sleep(UPGRADE_EVERY_S)
         processes[n].kill()
         processes[n].wait()
-        print(f"{world.controllers[n]}: replaced", flush=True)
+        print(f"{cluster.controllers[n]}: replaced", flush=True)
         processes[n] = subprocess.Popen(command, env=os.environ.copy())
     gevent.sleep(UPGRADE_EVERY_S)
-    world.store.limits = msgspec.structs.replace(world.store.limits, **NEXT_LIMITS)
+    cluster.store.limits = msgspec.structs.replace(cluster.store.limits, **NEXT_LIMITS)
     print("the store's limits have fallen", flush=True)
 
 
 def main() -> None:
-    """Run the world until it is interrupted."""
+    """Run the cluster until it is interrupted."""
     # A shell lets what it starts in the background ignore Ctrl-C, and children inherit that.
     signal.signal(signal.SIGINT, signal.default_int_handler)
     options = argparse.ArgumentParser(description=__doc__.splitlines()[0])
@@ -312,14 +313,14 @@
     options.add_argument("--shards", metavar="FILE|zones:N")
     options.add_argument("--folder", type=Path, metavar="DIR")
     chosen = options.parse_args()
-    world = World(chosen.port, chosen.controllers)
-    world.start()
+    cluster = LoopbackCluster(chosen.port, chosen.controllers)
+    cluster.start()
     processes: list[subprocess.Popen[bytes]] = []
     commands: list[list[str]] = []
     with tempfile.TemporaryDirectory() as folder:
-        for name in world.controllers:
+        for name in cluster.controllers:
             file = (chosen.folder or Path(folder)) / f"{name}.json"
-            file.write_bytes(msgspec.json.encode(world.settings(name)))
+            file.write_bytes(msgspec.json.encode(cluster.settings(name)))
             division = ["--shards", chosen.shards] if chosen.shards else []
             commands.append(
                 [sys.executable, str(ROOT / "run.py"), *division, "--config", str(file)]
@@ -329,11 +330,12 @@
                 command[1] = str(chosen.upgrade_from / "run.py")
             processes.append(subprocess.Popen(command, env=os.environ.copy()))
             print(
-                f"{name}: users at http://127.0.0.1:{world.api[name]}, process {processes[-1].pid}",
+                f"{name}: users at http://127.0.0.1:{cluster.api[name]}, "
+                f"process {processes[-1].pid}",
                 flush=True,
             )
         if chosen.upgrade_from is not None:
-            gevent.spawn(upgrade, world, processes, commands)
+            gevent.spawn(upgrade, cluster, processes, commands)
         try:
             while True:
                 gevent.sleep(1.0)
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -1,4 +1,8 @@
-"""Machines and jobs for tables of placement, and the order of jobs."""
+"""Machines and jobs for tests of scheduling cycles and of the order of jobs.
+
+There is a cluster state and a job table but no leader: no store, no heartbeats and no time that
+passes. A plan is computed and returned, and never sent to workers.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +40,7 @@
 
 
 class World:
-    """Machines and jobs for placement cases."""
+    """A cluster state and a job table to which a test adds machines and jobs."""
 
     def __init__(self) -> None:
         self.job_table = JobTable()
--- a/tests/support/planner_inputs.py
+++ b/tests/support/planner_inputs.py
@@ -11,6 +11,7 @@
 
 
 def random_inputs(rng: random.Random, shards: int, nodes: int) -> PlanInputs:
+    """Return random loads, owners, pins and rooms; some shards have just moved."""
     names = [NodeName(f"n-{number}") for number in range(nodes)]
     return PlanInputs(
         [
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""What tests of whole processes share: the repository's root, free ports, questions over HTTP."""
+"""What tests of whole processes share: the repository's root, free ports and HTTP requests."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 LOOPBACK = ROOT / "tests" / "support" / "loopback.py"
-"""The program that plays store, cloud and workers, and starts controllers."""
+"""The program that simulates store, cloud and workers, and starts controllers."""
 PATIENCE_S = 90.0
-"""Far above what is needed: a slow machine must not change the verdict."""
+"""Far above what is needed: a slow machine must not fail a test."""
 
 
 def free_base() -> int:
-    """Find a range of ports whose first ones are free."""
+    """Return the first port of a range whose ports are free."""
     for base in range(21000, 60000, 500):
         try:
             for port in (base, base + 1, base + 10, base + 14, base + 100):
@@ -32,6 +32,7 @@
 
 
 def ask(url: str, body: bytes | None = None) -> tuple[int, Any]:
+    """Do one request; return status and decoded answer, or status 0 without an answer."""
     request = urllib.request.Request(url, body, method="POST" if body is not None else "GET")
     try:
         with urllib.request.urlopen(request, timeout=5) as reply:
@@ -43,7 +44,7 @@
 
 
 def until(url: str, wanted: str, body: bytes | None = None) -> Any:
-    """Ask until the state is the wanted one."""
+    """Repeat a request until the job has the wanted status; return the answer."""
     end = time.monotonic() + PATIENCE_S
     answer: Any = None
     while time.monotonic() < end:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,4 +1,8 @@
-"""Holds what users were told and what workers ran against the rules of the protocol."""
+"""Checks what users were told and what workers ran against the rules of the protocol.
+
+The rules are named as in violations: `forgotten`, `went_back`, `not_done`, `ran_cancelled`,
+`ran_twice`, `counted_twice` and `quota`.
+"""
 
 from __future__ import annotations
 
@@ -14,27 +18,31 @@
 
 
 class RuleChecker:
-    """What users were told and what workers ran, against the rules."""
+    """Records answers to users and starts of tasks, and collects violations of the rules."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self.accepted: set[str] = set()
         self.final_states: dict[str, str] = {}
-        """The final states that users were told."""
+        """By job, the first final state that a user was told."""
         self.cancelled_at: dict[str, float] = {}
+        """By job, when a user was first told that it is cancelled."""
         self.violations: list[str] = []
         self.ended_done: dict[str, set[int]] = {}
+        """By job, the tasks that have finished on a machine."""
         self.job_specs: dict[str, Any] = {}
+        """By job, what was submitted first under its id."""
         self.starts: Counter[str] = Counter()
-        """How often each task was begun."""
+        """By task, how often it was started."""
         self.stopped_tasks: list[str] = []
-        """Tasks that were stopped by a command while they ran."""
+        """Tasks that a command stopped while they ran."""
 
     def add_violation(self, rule: str, what: str) -> None:
+        """Record a violation, with the seconds since the simulation began."""
         self.violations.append(f"{rule} at {self._cluster.clock() - 1000:.2f}: {what}")
 
     def record_answer(self, node: str, job: str, status: int, answer: Any) -> None:
-        """A user was answered."""
+        """Record and check an answer to a user."""
         if status == 404 and job in self.accepted:
             self.add_violation("forgotten", f"{node}: {job}")
         if status not in (200, 201):
@@ -53,7 +61,7 @@
             self.add_violation("not_done", f"{node}: {job}")
 
     def record_start(self, worker: TimedWorker, key: tuple[str, int]) -> None:
-        """A worker has begun an attempt."""
+        """Record and check the start of a task attempt."""
         task = parse_task(key[0])
         assert task is not None
         self.starts[key[0]] += 1
@@ -73,7 +81,7 @@
                     self.add_violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
 
     def _check_machine_owners(self) -> None:
-        """No machine may be counted by two leaders at once that may both start tasks."""
+        """Check that no machine belongs to two leaders that may both start tasks."""
         owners: dict[str, list[str]] = {}
         for name, node in self._cluster.nodes.items():
             if name in self._cluster.dead:
@@ -89,7 +97,7 @@
                 self.add_violation("counted_twice", f"{machine_id} by {', '.join(names)}")
 
     def check(self) -> None:
-        """Look at what is on the machines now."""
+        """Check what runs on the machines now."""
         cluster = self._cluster
         self._check_machine_owners()
         cancel_s = cluster.settings.params.workers.cancel_s
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,4 +1,8 @@
-"""Scenarios: courses of events over a cluster, and how one is brought up."""
+"""What scenarios have in common: how a simulated cluster is started.
+
+A scenario is a function that lets things happen to a cluster. It states what it needs to be true on
+its way; the test that runs it checks the rules of the protocol afterwards.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +14,8 @@
 Scenario = Callable[[SimulatedCluster], None]
 
 
-def serving(cluster: SimulatedCluster, machines: int = 1) -> TimedWorker:
-    """Bring up a leader and machines that may be given work."""
+def start_leader(cluster: SimulatedCluster, machines: int = 1) -> TimedWorker:
+    """Start a leader and machines that may be given work; return the first machine."""
     for number in range(1, machines + 1):
         cluster.worker(f"i-{number:06d}")
     cluster.run(4.0)
@@ -19,9 +23,9 @@
     return cluster.workers["i-000001"]
 
 
-def running(cluster: SimulatedCluster, ref: str = "run-1") -> TimedWorker:
-    """Bring up a leader, and a job that runs on a machine."""
-    worker = serving(cluster)
+def start_job(cluster: SimulatedCluster, ref: str = "run-1") -> TimedWorker:
+    """Start a leader, and a job of one task that runs on a machine; return the machine."""
+    worker = start_leader(cluster)
     cluster.submit(CONTROLLERS[0], ref)
     cluster.run(8.0)
     assert [reported for reported, _ in worker.tasks] == [f"{ref}/0"]
--- a/tests/support/services.py
+++ b/tests/support/services.py
@@ -1,4 +1,7 @@
-"""A service, and how it is brought up under the harness."""
+"""A service (a job of replicas that run until it is cancelled) for tests with the leader harness.
+
+Replicas start at once: their image takes no time to fetch here.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 def serve(harness: LeaderHarness, *workers: FakeWorker, **changes: Any) -> JobId:
-    """Start a service and let the workers show that it runs."""
+    """Start a service, and let the workers report its replicas as running."""
     name = harness.accept(**{**SERVICE, "image": "img-s", **changes})
     harness.place()
     for worker in workers * 2:
@@ -28,4 +31,5 @@
 
 
 def replicas(harness: LeaderHarness, name: JobId) -> dict[int, str]:
+    """Return the machine of each live replica, by its number."""
     return dict(harness.leader.term.job_table.jobs[name].live)
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -1,8 +1,10 @@
-"""Several controllers, their store, workers and users, played step by step by a clock of the test.
+"""A simulated cluster: three controllers, store, workers and users, stepped by the test's clock.
 
-What happens goes by the code paths of the service: records in the store, heartbeats and their
-answers, frames between controllers, requests of users. Nothing waits and no thread runs; who can't
-reach whom is a switch. `RuleChecker` keeps what users were told and what workers ran.
+The code of the service runs: records in the store, heartbeats and their responses, messages
+between controllers, requests of users. Simulated are the store, the network and the workers, with
+switches for their faults. Left out are sockets, latency and greenlets: each loop of a controller
+runs once in a step, in a fixed order, and direct commands are sent within the step. `RuleChecker`
+records what users were told and what workers ran.
 """
 
 from __future__ import annotations
@@ -43,7 +45,7 @@
 
 
 class FakePeer:
-    """The way from one controller to another; what passes is encoded as on the wire."""
+    """Requests from one controller to another, encoded and decoded as on the wire."""
 
     def __init__(self, cluster: SimulatedCluster, here: str, there: str) -> None:
         self._cluster = cluster
@@ -67,7 +69,11 @@
 
 
 class SimulatedCluster:
-    """Three controllers and what is round them."""
+    """Three controllers with their store, workers and users.
+
+    `partitions` are pairs of controllers that can't reach each other, `dead` are controllers whose
+    process has ended, and `frozen` those whose process stands still.
+    """
 
     def __init__(self, clock: Clock, shards: ShardSettings | None = None) -> None:
         self.clock = clock
@@ -88,7 +94,7 @@
         self.nodes: dict[str, Node] = {}
         self.apis: dict[str, Api] = {}
         self.state_limits: dict[str, float] = {}
-        """Limits of the store, other than in the settings, for controllers booted from now on."""
+        """Limits of the store that differ from the settings, for controllers booted from now on."""
         self.after_load: Callable[[], None] | None = None
         """Called when a new leader has read the store, before anything else."""
         types = msgspec.to_builtins(MachineTypeList([CPU, GPU]))
@@ -97,7 +103,7 @@
             self.boot(name)
 
     def boot(self, name: str) -> None:
-        """Start a controller's process, or start it again."""
+        """Start or restart a controller's process."""
         members = [
             {"node": other, "domain": "a", "address": f"127.0.0.1:{18082 + n}"}
             for n, other in enumerate(CONTROLLERS)
@@ -127,7 +133,7 @@
     # -- time -------------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let time pass, in steps of `STEP_S`."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.now += STEP_S
             self.store.expire_leases()
@@ -175,7 +181,7 @@
                     pass
 
     def load(self, leader: Leader) -> bool:
-        """Let a new leader read the store."""
+        """Let a new leader read the store; return whether it could."""
         try:
             leader._load()
         except StoreUnavailableError:
@@ -226,8 +232,7 @@
             leader.worker_commands.schedule_direct_message = leader.worker_commands.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
-        """Give a token bucket that goes by the clock of the test: one verdict whatever the
-        machine."""
+        """Return a token bucket by the test's clock, so that a slow machine changes no result."""
         return TokenBucket(bucket.rate, bucket.burst, self.clock)
 
     def _release(self, machines: list[MachineId]) -> None:
@@ -248,21 +253,21 @@
 
     @property
     def leader_name(self) -> str:
-        """The controller that holds the latest term."""
+        """Return the controller that holds the latest term."""
         return self.leader_of(None)
 
     def leader_of(self, shard: str | None) -> str:
-        """The controller that holds the latest term of a shard."""
+        """Return the controller that holds the latest term of a shard."""
         found = [(self.leader(name, shard), name) for name in CONTROLLERS]
         leading = [(leader.term.number, name) for leader, name in found if leader is not None]
         return max(leading, default=(0, CONTROLLERS[0]))[1]
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
-        """The term that a controller leads, if it does."""
+        """Return the leader in a controller's process, if it leads."""
         return self.nodes[name].electors[ShardName(shard) if shard else None].leader
 
     def latest_leaders(self) -> list[Leader]:
-        """The latest term of each shard."""
+        """Return the leader of the latest term of each shard."""
         found = [
             self.leader(self.leader_of(shard), shard)
             for shard in self.nodes[CONTROLLERS[0]].electors
@@ -270,37 +275,37 @@
         return [leader for leader in found if leader is not None]
 
     def worker(self, name: str = "i-000001", **kind: Any) -> TimedWorker:
-        """Put up a machine."""
+        """Add a machine and its worker."""
         self.workers[name] = TimedWorker(self, name, **kind)
         return self.workers[name]
 
     def send_heartbeat(self, node: str, heartbeat: Heartbeat) -> tuple[int, Any]:
-        """Bring a heartbeat, or a copy of one, to a controller."""
+        """Deliver a heartbeat, or a copy of one, to a controller; return status and answer."""
         return self._http(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
 
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
-        """A user submits a job, or repeats its submission."""
+        """Submit a job as a user, or repeat its submission; return the HTTP status."""
         wanted = job_spec(ref, **{"task_count": 1, **changes})
         self.rules.job_specs.setdefault(ref, wanted)
         body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
         return self._with_final_state(node, ref, "POST", "/v2/runs", body)
 
     def poll(self, node: str, ref: str = "run-1") -> int:
-        """A user asks."""
+        """Ask for a job's status as a user; return the HTTP status."""
         return self._with_final_state(node, ref, "GET", f"/v2/runs/{ref}")
 
     def cancel(self, node: str, ref: str = "run-1") -> int:
-        """A user cancels."""
+        """Cancel a job as a user; return the HTTP status."""
         return self._with_final_state(node, ref, "POST", f"/v2/runs/{ref}/cancel")
 
     def ask_all(self, ref: str = "run-1") -> None:
-        """Users ask at all controllers, and repeat the submission there."""
+        """Ask every controller for a job's status, and repeat its submission there."""
         for name in CONTROLLERS:
             self.poll(name, ref)
             self.submit(name, ref)
 
     def end(self, worker: TimedWorker) -> None:
-        """What runs on a worker completes."""
+        """Finish all tasks of a worker, and let it send a heartbeat in the next step."""
         worker.finish()
         self.rules.check()
         worker.next_heartbeat_at = self.clock()
@@ -322,7 +327,7 @@
         return int(seen[0].split()[0]), msgspec.json.decode(answer)
 
     def is_gang(self, reported: str) -> bool:
-        """Tell whether a task waits for the others of its job."""
+        """Return whether a task is one of a gang, and starts only with the others."""
         task = parse_task(reported)
         wanted = self.rules.job_specs.get(task.job) if task is not None else None
         if wanted is None:
@@ -330,7 +335,7 @@
         return bool(wanted.shape == GANG) and bool(wanted.task_count > 1)
 
     def is_complete(self, key: tuple[str, int]) -> bool:
-        """Tell whether all tasks of a gang's attempt are on machines, or have been."""
+        """Return whether all tasks of a gang's attempt are on machines, or were."""
         task = parse_task(key[0])
         assert task is not None
         there = {
--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -1,4 +1,9 @@
-"""A store whose leases end by the clock, and one controller's way to it with its failures."""
+"""A simulated store with leases, and each controller's connection to it with its faults.
+
+Simulated are versions of keys, transactions on them, leases and the log of changes; outages,
+requests that are refused, lost or late answers, and watches that hang or lag. Left out are rates,
+latency and HTTP itself.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +19,7 @@
 
 
 class TimedStore(FakeStore):
-    """A store whose leases end by the clock, and get their full time again after an outage."""
+    """A store whose leases expire by the test's clock; an outage gives each its full time again."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__()
@@ -32,13 +37,13 @@
         self._ends[lease] = (self._clock() + ttl_s, ttl_s)
 
     def write_raw(self, key: str, data: bytes, lease: int | None = None) -> None:
-        """Put something there that no controller wrote."""
+        """Write a value that no controller wrote, whatever its bytes."""
         self.revision += 1
         self.data[key] = (data, self.revision, lease)
         self.log.append(Change(self.revision, set=key, data=msgspec.Raw(data)))
 
     def expire_leases(self) -> None:
-        """End the leases whose time is over."""
+        """Expire the leases whose time is over; during an outage, give each its full time again."""
         now = self._clock()
         for lease in list(self.leases):
             until, ttl_s = self._ends[lease]
@@ -49,29 +54,29 @@
 
 
 class StoreLink:
-    """One controller's way to the store."""
+    """The connection of one controller to the store, with switches for its faults."""
 
     def __init__(self, store: TimedStore) -> None:
         self._store = store
         self.limits = store.limits
         self.on_throttled: Callable[[], None] | None = None
         self.refused = False
-        """The store turns this controller away, with 503 or by silence."""
+        """The store refuses this controller's requests, with 503 or without an answer."""
         self.watch_hangs = False
-        """Its watches alone hang; all else is answered."""
+        """Watches get no answer; all other requests do."""
         self.during_watch: Callable[[], None] | None = None
-        """Called while a watch is under way, after the store has answered it."""
+        """Called once, after the store has answered a watch and before the answer arrives."""
         self.stale_watch: Revision | None = None
-        """Its watches show nothing newer than this: answers that were long on their way."""
+        """Watches show no change newer than this revision, as an answer that took long does."""
         self.loses_answers = False
-        """Transactions are carried out, their answers don't arrive."""
+        """Transactions are applied, but their answers are lost."""
         self.delays_transactions = False
-        """Transactions get no answer now and are carried out when `catch_up` is called."""
+        """Transactions get no answer, and are applied when `apply_delayed` is called."""
         self.delayed_transactions: list[tuple[dict[str, KeyVersion], list[Put | Remove]]] = []
         self.after_txn: Callable[[], None] | None = None
-        """Called when a transaction has been carried out, before its answer arrives."""
+        """Called once, after a transaction was applied and before its answer arrives."""
         self.before_answer: Callable[[str], None] | None = None
-        """Called with the key of a reading that is under way, after the store has read it."""
+        """Called with the key or prefix of each read, after the store has read it."""
 
     def _check(self) -> None:
         if self.refused:
@@ -110,14 +115,14 @@
         return result
 
     def apply_delayed(self) -> None:
-        """Carry out what got no answer."""
-        assignment, self.delayed_transactions = self.delayed_transactions, []
+        """Apply the delayed transactions in their order, and delay no more of them."""
+        delayed, self.delayed_transactions = self.delayed_transactions, []
         self.delays_transactions = False
-        for conditions, writes in assignment:
+        for conditions, writes in delayed:
             try:
                 self._store.txn(conditions, writes)
             except LeaseLostError:
-                pass  # it hung on a lease that has ended: 400, whom nobody waits for any more
+                pass  # its lease has expired: the store answers 400, and nobody waits for that
 
     def grant(self, ttl_s: float) -> int:
         self._check()
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -1,4 +1,9 @@
-"""Workers with leases that report to one controller at a time, and direct commands to them."""
+"""Simulated workers, which keep to their leases, and direct commands to them.
+
+Simulated are heartbeats to one controller at a time and their redirections, the lease of a worker
+(its tasks end with it), gangs that wait for their last task, and lost, late or delayed messages.
+Left out are run times (a test ends tasks), images, checkpoints and what tasks use of a machine.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +19,9 @@
 from support.fakes import FakeWorker
 
 STEP_S = 0.25
-"""How much time passes at once."""
+"""Seconds that pass in one step of the simulation."""
 CONTROLLERS = ("n-0", "n-1", "n-2")
-"""The controllers."""
+"""Names of the simulated controllers."""
 
 
 if TYPE_CHECKING:
@@ -24,7 +29,7 @@
 
 
 class TimedWorker(FakeWorker):
-    """A worker with a lease, that reports to one controller at a time."""
+    """A worker with a lease, which sends its heartbeats to one controller at a time."""
 
     def __init__(self, cluster: SimulatedCluster, name: str, **kind: Any) -> None:
         super().__init__(name, **kind)
@@ -34,16 +39,16 @@
         self.next_heartbeat_at: float = cluster.clock()
         self.hangs = False
         self.unreachable: set[str] = set()
-        """Controllers that it can't exchange anything with."""
+        """Controllers with which it can exchange no messages."""
         self.heartbeats_lost = False
-        """It can't reach any controller; direct commands reach it."""
+        """Its heartbeats are lost; direct commands reach it."""
         self.replies_lost = False
-        """Its heartbeats arrive; answers and direct commands are lost."""
+        """Its heartbeats arrive; the responses and direct commands are lost."""
         self.delays_commands = False
-        """Direct commands get no answer, and are carried out when `catch_up` is called."""
+        """Direct commands get no answer, and are executed when `apply_delayed` is called."""
         self._delayed_commands: list[tuple[FencingToken, int, list[Command]]] = []
         self.answer_delay_s = 0.0
-        """How long the answer to a heartbeat is on its way."""
+        """Seconds until the response to a heartbeat arrives."""
         self._answer: tuple[float, Callable[[], None]] | None = None
         self._waiting_since: dict[tuple[str, int], float] = {}
         self.address = self.heartbeat().address
@@ -67,13 +72,13 @@
         self.next_heartbeat_at = min(self.next_heartbeat_at, self._cluster.clock() + 0.5)
 
     def finish(self, cause: str = "done") -> None:
-        """End everything that runs here; what waits for its gang makes no progress."""
+        """End all tasks but those that wait for the others of their gang."""
         for key, found in list(self.tasks.items()):
             if found.status not in ("ended", "gathering"):
                 self.end_task(key, cause)
 
     def _step_gangs(self) -> None:
-        """Begin the gangs that are complete; give up what has waited for too long."""
+        """Start the tasks whose gang is complete; end those that have waited for too long."""
         for key, found in list(self.tasks.items()):
             if found.status != "gathering":
                 continue
@@ -86,7 +91,7 @@
                 self._set_status(key, "ended", "incomplete")
 
     def step(self) -> None:
-        """Heartbeat when it is time; end the incarnation when the lease is over."""
+        """Send a heartbeat if one is due; begin a new incarnation if the lease has expired."""
         now = self._cluster.clock()
         if self.hangs:
             return
@@ -104,7 +109,7 @@
             self.send_heartbeat()
 
     def send_heartbeat(self) -> Heartbeat:
-        """Send one heartbeat and heed the answer."""
+        """Send one heartbeat, execute the response and return the heartbeat."""
         cluster = self._cluster
         sent_at = cluster.clock()
         sent = self.heartbeat()
@@ -149,11 +154,11 @@
     def delay_commands(
         self, token: FencingToken, incarnation: int, commands: list[Command]
     ) -> None:
-        """A direct command is on its way for longer than its sender waits."""
+        """Keep direct commands for later, when their sender has stopped waiting."""
         self._delayed_commands.append((token, incarnation, copy.deepcopy(commands)))
 
     def apply_delayed(self) -> None:
-        """Carry out the direct commands that were held up, if token and incarnation still match."""
+        """Execute the delayed direct commands whose token and incarnation still match."""
         delayed, self._delayed_commands = self._delayed_commands, []
         for token, incarnation, commands in delayed:
             if token >= self.token and incarnation == self.incarnation:
@@ -165,7 +170,7 @@
 
 
 class DirectLink:
-    """Direct commands of one controller."""
+    """Direct commands of one controller to all workers, in place of `clients.workers.Workers`."""
 
     def __init__(self, cluster: SimulatedCluster, here: str) -> None:
         self._cluster = cluster
@@ -188,4 +193,4 @@
         return worker.heartbeat()
 
     def forget(self, address: str) -> None:
-        """Nothing is kept here."""
+        """Do nothing: no connections are kept."""
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from support.scenarios import Scenario, running, serving
+from support.scenarios import Scenario, start_job, start_leader
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS
 
@@ -17,7 +17,7 @@
 
 def cancelled_while_the_next_leader_reads(cluster: SimulatedCluster) -> None:
     """A new leader has read the jobs but not yet the rest when the cancel is told to it."""
-    running(cluster)
+    start_job(cluster)
     cluster.submit("n-0", "run-2", cpus=30.0)
     cluster.run(1.0)
     cluster.dead.add("n-0")
@@ -46,7 +46,7 @@
 
 def cancelled_before_the_leader_knows_the_job(cluster: SimulatedCluster) -> None:
     """The leader's watch lags: it hears of the cancel before it hears of the job."""
-    serving(cluster)
+    start_leader(cluster)
     link = cluster.links["n-0"]
     link.stale_watch = Revision(cluster.store.revision)
     cluster.submit("n-1")
@@ -60,7 +60,7 @@
 
 def cancelled_while_a_watch_brings_the_job(cluster: SimulatedCluster) -> None:
     """The answer that brings the job was made before the cancel, and arrives after it was told."""
-    serving(cluster)
+    start_leader(cluster)
     assert cluster.submit("n-1") == 201
 
     def cancelled() -> None:
@@ -75,7 +75,7 @@
 
 def cancelled_before_its_acceptance_is_told(cluster: SimulatedCluster) -> None:
     """The submission is written, repeated elsewhere and cancelled before its answer is there."""
-    serving(cluster)
+    start_leader(cluster)
 
     def cancelled() -> None:
         assert cluster.submit("n-1") == 200
@@ -88,7 +88,7 @@
 
 def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
     """It follows the store all the time; its peers' users must not wait for ever."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     worker.replies_lost = True  # so that the end of its task can't be written yet
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     for _ in range(16):
@@ -102,7 +102,7 @@
 
 def _written_but_not_told(cluster: SimulatedCluster) -> None:
     """A cancel is in the store; the one who wrote it does not know, nor does the leader."""
-    running(cluster)
+    start_job(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.links["n-1"].loses_answers = True
     assert cluster.cancel("n-1") == 503
@@ -129,7 +129,7 @@
 
 def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: SimulatedCluster) -> None:
     """Its lease is in order, its watch hangs, and the others can't reach it."""
-    running(cluster)
+    start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].watch_hangs = True
     for _ in range(80):
@@ -141,7 +141,7 @@
 
 def a_leader_that_can_renew_but_not_follow(cluster: SimulatedCluster) -> None:
     """It may do nothing, and keeps others from it: it must make room."""
-    serving(cluster)
+    start_leader(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.run(5.0)
     assert cluster.submit("n-1") == 201
@@ -152,7 +152,7 @@
 
 def cancelled_by_a_clock_that_is_ahead(cluster: SimulatedCluster) -> None:
     """The cancel's time of writing is long past: its transaction was carried out late."""
-    running(cluster)
+    start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     link = cluster.links["n-1"]
     link.delays_transactions = True
@@ -166,7 +166,7 @@
 
 def cancelled_on_its_way_while_a_poll_waits(cluster: SimulatedCluster) -> None:
     """The leader's answer to a poll is overtaken by a cancel told at the node that asked."""
-    running(cluster)
+    start_job(cluster)
 
     def cancelled() -> None:
         assert cluster.cancel("n-1") == 200
@@ -177,7 +177,7 @@
 
 def cancelled_in_the_moment_of_the_take_over(cluster: SimulatedCluster) -> None:
     """One controller's work changes hands twice while users cancel."""
-    running(cluster)
+    start_job(cluster)
     for number in range(2, 8):
         cluster.submit("n-1", f"run-{number}", cpus=2.0)
     cluster.run(4.0)
@@ -197,7 +197,7 @@
     """The end is written or about to be while users cancel, ask and repeat the submission."""
     for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
         ref = f"run-{number}"
-        worker = running(cluster, ref)
+        worker = start_job(cluster, ref)
         cluster.end(worker)
         worker.send_heartbeat()
         leader = cluster.leader("n-0")
@@ -218,7 +218,7 @@
 
 def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
     """The end is written while a reader of the store looks for the job."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     cluster.end(worker)
     worker.send_heartbeat()
     leader = cluster.leader("n-0")
@@ -236,7 +236,7 @@
 
 def ended_by_a_write_that_comes_late(cluster: SimulatedCluster) -> None:
     """The end's transaction gets no answer, another try meets a conflict, the first one comes."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     leader = cluster.leader("n-0")
     assert leader is not None
     link = cluster.links["n-0"]
@@ -262,7 +262,7 @@
 
 def accepted_without_an_answer(cluster: SimulatedCluster) -> None:
     """A submission is carried out and only its answer is lost, or it comes late."""
-    serving(cluster)
+    start_leader(cluster)
     for ref, lost in (("run-1", True), ("run-2", False)):
         link = cluster.links["n-1"]
         link.loses_answers, link.delays_transactions = lost, not lost
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from support.fakes import job_spec
-from support.scenarios import Scenario, running, serving
+from support.scenarios import Scenario, start_job, start_leader
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS
 
@@ -22,7 +22,7 @@
 
 def test_without_troubles(cluster: SimulatedCluster) -> None:
     """The course of a job, at every controller."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     cluster.ask_all()
     cluster.end(worker)
     cluster.run(3.0)
@@ -46,7 +46,7 @@
     """The letter's gap: a controller is refused alone, others confirm cancels, then an outage."""
 
     def scenario(cluster: SimulatedCluster) -> None:
-        serving(cluster, machines=3)
+        start_leader(cluster, machines=3)
         for number in range(1, 7):
             cluster.submit("n-1", f"run-{number}", cpus=16.0)
         cluster.run(8.0)
@@ -89,7 +89,7 @@
 
 def cancelled_at_the_refusal(cluster: SimulatedCluster) -> None:
     """As above, but the workers keep to the refused one, and one of them hangs meanwhile."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].refused = True
     cluster.run(3.25)
@@ -111,7 +111,7 @@
 
 def an_old_report_reaches_the_next_leader(cluster: SimulatedCluster) -> None:
     """Copies from before, of tasks that run elsewhere by now, as a new leader begins."""
-    first = running(cluster)
+    first = start_job(cluster)
     old = copy.deepcopy(first.send_heartbeat())
     second = cluster.worker("i-000002")
     cluster.run(6.0)
@@ -140,7 +140,7 @@
 
 def an_old_report_of_a_machine_that_is_gone(cluster: SimulatedCluster) -> None:
     """It must not come back, be recorded, or keep a job from room."""
-    first = running(cluster)
+    first = start_job(cluster)
     old = copy.deepcopy(first.send_heartbeat())
     del cluster.workers[first.name]
     second = cluster.worker("i-000002")
@@ -168,7 +168,7 @@
 
 def a_take_over_without_an_answer(cluster: SimulatedCluster) -> None:
     """It is written, and its writer does not know: nobody may be without a leader for long."""
-    running(cluster)
+    start_job(cluster)
     cluster.dead.add("n-0")
     cluster.links["n-2"].refused = True
     link = cluster.links["n-1"]
@@ -184,7 +184,7 @@
 
 def leaders_change_ten_times(cluster: SimulatedCluster) -> None:
     """In two minutes, also inside an outage; each is back within a second."""
-    serving(cluster, machines=2)
+    start_leader(cluster, machines=2)
     for number in range(1, 9):
         cluster.submit("n-1", f"run-{number}", cpus=16.0)
     for at in range(10):
@@ -203,7 +203,7 @@
 
 def all_controllers_away(cluster: SimulatedCluster) -> None:
     """For longer than `lease_s`; meanwhile nothing is answered."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     cluster.dead |= set(CONTROLLERS)
     cluster.run(25.0)
     assert not worker.tasks
@@ -215,7 +215,7 @@
 
 def new_machines_while_writes_lag(cluster: SimulatedCluster) -> None:
     """Up at once and given work at once, and the leader ends before its writes are made."""
-    serving(cluster)
+    start_leader(cluster)
     cluster.workers["i-000001"].hangs = True
     link = cluster.links["n-0"]
     link.delays_transactions = True
@@ -261,7 +261,7 @@
 
 def machines_that_hear_or_speak_only(cluster: SimulatedCluster) -> None:
     """Mute and deaf ones, cancels, and a change of leader."""
-    serving(cluster, machines=4)
+    start_leader(cluster, machines=4)
     for number in range(1, 5):
         cluster.submit("n-1", f"run-{number}", cpus=20.0)
     cluster.run(8.0)
@@ -277,7 +277,7 @@
 
 def tasks_end_far_apart(cluster: SimulatedCluster) -> None:
     """A finish is told before, another one after a change of leader."""
-    first = serving(cluster, machines=2)
+    first = start_leader(cluster, machines=2)
     second = cluster.workers["i-000002"]
     cluster.submit("n-1", task_count=2, cpus=30.0)
     cluster.run(6.0)
@@ -296,7 +296,7 @@
 
 def a_leader_that_stands_still(cluster: SimulatedCluster) -> None:
     """Its clocks run on; others lead and cancel meanwhile; then it goes on."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     cluster.frozen.add("n-0")
     cluster.run(5.0)
     cluster.cancel("n-1")
@@ -309,7 +309,7 @@
 
 def apart_from_store_and_peers(cluster: SimulatedCluster) -> None:
     """Workers and users still reach the old leader while jobs are cancelled at the new one."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     worker.unreachable |= {"n-1", "n-2"}
     cluster.cloud_down = True
     cluster.links["n-0"].refused = True
@@ -368,7 +368,7 @@
     cluster: SimulatedCluster, key: str, garbage: bytes
 ) -> None:
     """One value of the store is garbage: all else is served, also by the next leader."""
-    worker = running(cluster)
+    worker = start_job(cluster)
     cluster.store.write_raw(key, garbage)
     cluster.run(2.0)
     cluster.dead.add("n-0")
@@ -387,7 +387,7 @@
 
 def test_a_job_that_makes_no_sense_is_left_alone(cluster: SimulatedCluster) -> None:
     """It reads as a record, and is not one of ours."""
-    serving(cluster)
+    start_leader(cluster)
     senseless: list[dict[str, Any]] = [
         {"priority": "vip"},
         {"task_count": 0},
@@ -407,7 +407,7 @@
 @pytest.mark.parametrize("key", ["lead/holder", "lead/term"])
 def test_an_unreadable_leadership_is_waited_for(cluster: SimulatedCluster, key: str) -> None:
     """Nobody takes over from somebody unknown, or under a term that may be too low."""
-    serving(cluster)
+    start_leader(cluster)
     holder = cluster.store.data["lead/holder"]
     cluster.store.write_raw(key, b"[1]", holder[2] if key == "lead/holder" else None)
     cluster.dead.add("n-0")
@@ -423,7 +423,7 @@
     cluster.state_limits = {"write_rps": 15.0}
     for name in CONTROLLERS:
         cluster.boot(name)
-    serving(cluster, machines=4)
+    start_leader(cluster, machines=4)
     before = cluster.store.writes
     begun: dict[str, float] = {}
     ended: dict[str, float] = {}
