--- a/tests/sharding/test_allowance.py
+++ b/tests/sharding/test_allowance.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_parts_never_exceed_the_limit_and_never_what_is_used(seed: int) -> None:
-    """Shards ask, use, give back and stall in any order, some writes replaced by others'."""
+    """Shards raise, use and lower their parts in any order; some writes lose against others."""
     rng = random.Random(seed)
     limit = limit_of(Team("red", cpus_max=64.0, gpus_max=8.0))
     record = Allowances()
@@ -51,11 +51,11 @@
 @pytest.mark.parametrize(
     ("demand", "in_use", "parts"),
     [
-        ((10, 10, 10), (0, 0, 0), (10, 10, 10)),  # enough for all
-        ((90, 30, 0), (0, 0, 0), (45, 15, 0)),
-        ((60, 60, 0), (60, 0, 0), (60, 0, 0)),  # nothing is left beside what is in use
-        ((60, 60, 0), (40, 0, 0), (45, 15, 0)),
-        ((0, 60, 0), (30, 0, 0), (30, 30, 0)),  # not wanted, but still in use
+        pytest.param((10, 10, 10), (0, 0, 0), (10, 10, 10), id="enough_for_all"),
+        pytest.param((90, 30, 0), (0, 0, 0), (45, 15, 0), id="in_proportion_to_demand"),
+        pytest.param((60, 60, 0), (60, 0, 0), (60, 0, 0), id="all_in_use"),
+        pytest.param((60, 60, 0), (40, 0, 0), (45, 15, 0), id="part_in_use"),
+        pytest.param((0, 60, 0), (30, 0, 0), (30, 30, 0), id="in_use_without_demand"),
     ],
 )
 def test_a_limit_is_divided_by_demand_beyond_what_is_used(
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -1,4 +1,4 @@
-"""Team limits over shards: the parts hold whatever is lost, late, cut off or refused."""
+"""Team limits over shards hold whatever is lost, late, cut off or refused."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 def gpus_in_use(cluster: SimulatedCluster, zones: str = "abc") -> int:
+    """Count the tasks that have not ended in some zones: each uses one GPU."""
     return sum(
         found.status != "ended"
         for worker in cluster.workers.values()
@@ -40,7 +41,8 @@
     )
 
 
-def parts(cluster: SimulatedCluster) -> Allowances:
+def allowances(cluster: SimulatedCluster) -> Allowances:
+    """Read the stored parts of team red's limit."""
     entry = cluster.store.get("allowance/red")
     assert entry is not None
     record = decode_stored(entry.data, Allowances, entry.key)
@@ -58,9 +60,8 @@
     return cluster
 
 
-def test_a_limit_follows_the_demand(limited: SimulatedCluster) -> None:
-    """All of it where the only work is; when other work comes and tasks end, half of it there, as
-    near as whole tasks come."""
+def test_the_parts_of_a_limit_follow_the_demand(limited: SimulatedCluster) -> None:
+    """All of it goes where the only work is; with work elsewhere too each gets half, to a task."""
     cluster = limited
     gpu_jobs(cluster, "a", 4)
     cluster.run(12.0)
@@ -100,7 +101,7 @@
 
 
 def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
-    """Raises and cuts are carried out, and the leader of one shard is not told."""
+    """Changes of the parts are applied, and the leader of one shard gets no answers."""
     cluster.links["n-0"].loses_answers = True
     gpu_jobs(cluster, "b", 4, first=20)
     for _ in range(10):
@@ -111,8 +112,8 @@
     cluster.run(20.0)
 
 
-def a_cut_comes_late(cluster: SimulatedCluster) -> None:
-    """The part is given up by a write without an answer, and work comes back before it arrives."""
+def a_lowered_part_is_written_late(cluster: SimulatedCluster) -> None:
+    """A part is lowered by a write that is applied late, after new work has come."""
     gpu_jobs(cluster, "b", 4, first=20)
     link = cluster.links["n-0"]
     link.delays_transactions = True
@@ -129,6 +130,7 @@
 
 
 def the_store_refuses_one_owner(cluster: SimulatedCluster) -> None:
+    """The leader of one shard can change no parts for a while."""
     cluster.links["n-0"].refused = True
     gpu_jobs(cluster, "b", 4, first=20)
     cluster.run(20.0)
@@ -139,7 +141,7 @@
 def machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves(
     cluster: SimulatedCluster,
 ) -> None:
-    """What runs out of reach counts until its lease is over, whoever leads the shard."""
+    """Tasks on unreachable machines count until their lease is over, whoever leads the shard."""
     cut_off = [worker for worker in cluster.workers.values() if worker.zone == "a"]
     for number, worker in enumerate(cut_off):
         worker.hangs, worker.heartbeats_lost = bool(number % 2), not number % 2
@@ -156,7 +158,7 @@
     "scenario",
     [
         owner_gets_no_answers,
-        a_cut_comes_late,
+        a_lowered_part_is_written_late,
         the_store_refuses_one_owner,
         machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves,
     ],
@@ -168,7 +170,7 @@
     assert gpus_in_use(cluster) == LIMIT
     scenario(cluster)
     assert verdict(cluster) == []
-    assert parts(cluster).total().gpus <= LIMIT
+    assert allowances(cluster).total().gpus <= LIMIT
 
 
 def test_a_part_counts_as_lowered_from_before_the_write_and_as_raised_after_it(
@@ -209,20 +211,25 @@
 @pytest.mark.parametrize(
     ("demand", "claims", "targets"),
     [
-        ({}, {}, (4.0, 4.0)),
-        ({EAST: 6.0}, {}, (7.0, 1.0)),
-        ({EAST: 8.0, WEST: 8.0}, {}, (4.0, 4.0)),
-        ({EAST: 30.0, WEST: 2.0}, {}, (6.4, 1.6)),
-        ({EAST: 8.0, WEST: 8.0}, {WEST: (7.0, 5.0)}, (8 / 9, 64 / 9)),
-        ({EAST: 8.0, WEST: 8.0}, {WEST: (8.0, 5.0), EAST: (8.0, 4.0)}, (8.0, 0.0)),
+        pytest.param({}, {}, (4.0, 4.0), id="no_demand"),
+        pytest.param({EAST: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
+        pytest.param({EAST: 8.0, WEST: 8.0}, {}, (4.0, 4.0), id="equal_demand"),
+        pytest.param({EAST: 30.0, WEST: 2.0}, {}, (6.4, 1.6), id="unequal_demand"),
+        pytest.param({EAST: 8.0, WEST: 8.0}, {WEST: (7.0, 5.0)}, (8 / 9, 64 / 9), id="one_claim"),
+        pytest.param(
+            {EAST: 8.0, WEST: 8.0},
+            {WEST: (8.0, 5.0), EAST: (8.0, 4.0)},
+            (8.0, 0.0),
+            id="older_claim_first",
+        ),
     ],
 )
-def test_what_each_part_should_be(
+def test_the_target_of_each_part(
     demand: dict[str, float],
     claims: dict[str, tuple[float, float]],
     targets: tuple[float, float],
 ) -> None:
-    """Each shard comes to the same from one record: the oldest claim, then demand, then evenly."""
+    """Each shard derives the same from one record: the oldest claim, then demand, then evenly."""
     record = Allowances(
         {},
         {shard: Amount(gpus=gpus) for shard, gpus in demand.items()},
@@ -232,10 +239,10 @@
     assert found == pytest.approx(list(targets))
 
 
-def test_small_work_does_not_wait_for_ever_beside_room_that_a_gang_wants(
+def test_small_jobs_get_their_turn_beside_a_gang_that_needs_the_whole_limit(
     limited: SimulatedCluster,
 ) -> None:
-    """A gang that could only start once all others have ended keeps room by turns."""
+    """The gang can start only once all others have ended: room is kept for it in turns."""
     cluster = limited
     gpu_jobs(cluster, "a", 1)
     cluster.run(6.0)
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -1,4 +1,4 @@
-"""A shard's part of the store: leaders of two shards over one store don't meet."""
+"""A shard's part of the store: leaders of two shards over one store don't see each other's keys."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return ShardStore(store, ShardName(name))  # type: ignore[arg-type]
 
 
-def test_keys_are_the_same_inside_and_apart_outside() -> None:
+def test_each_shard_has_the_same_keys_under_its_own_prefix() -> None:
     store = FakeStore()
     east, west = shard(store, "east"), shard(store, "west")
     lease = east.grant(3.0)
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -43,8 +43,10 @@
 
 
 @pytest.mark.parametrize(("shards", "seed"), [(2, 1), (2, 2), (3, 3), (3, 4)])
-def test_moves_alone_stop_and_restart_nothing(divided: MakeCluster, shards: int, seed: int) -> None:
-    """A hundred moves, at any time: while gangs gather, tasks end and jobs are submitted."""
+def test_moves_without_faults_stop_and_restart_no_task(
+    divided: MakeCluster, shards: int, seed: int
+) -> None:
+    """A hundred moves in all, while gangs wait for their tasks, tasks end and jobs come."""
     cluster = divided(shards, moves_allowed=False)
     rng = random.Random(seed)
     add_machines(cluster, 9, with_gpus=9)
@@ -74,8 +76,8 @@
     assert {worker.incarnation for worker in cluster.workers.values()} == {1}
 
 
-def jobs_in_both(cluster: SimulatedCluster) -> None:
-    """An array and a gang run in each shard, led by n-0 and n-1."""
+def start_jobs_in_both_shards(cluster: SimulatedCluster) -> None:
+    """Start an array and a gang in each shard, led by n-0 and n-1."""
     start_divided_fleet(cluster)
     for number, (zone, shape) in enumerate(itertools.product("ab", ("batch", "group"))):
         cluster.submit(
@@ -87,7 +89,7 @@
 
 
 def move_until(cluster: SimulatedCluster, phase: Phase) -> None:
-    """Begin the move of a shard from n-0 to n-2, and go on until it is in a phase."""
+    """Request the move of a shard from n-0 to n-2, and run until it is in a phase."""
     assert request_move(cluster, EAST, "n-2")
     for _ in range(20):
         if ownership_record(cluster, EAST).phase is phase:
@@ -96,8 +98,8 @@
     raise AssertionError(ownership_record(cluster, EAST))
 
 
-def all_done(cluster: SimulatedCluster) -> None:
-    """What runs goes on to its end, was begun once, and never stopped."""
+def assert_all_done_at_first_attempt(cluster: SimulatedCluster) -> None:
+    """Finish all tasks: each was started once and never stopped."""
     cluster.run(2.0)
     for worker in cluster.workers.values():
         cluster.end(worker)
@@ -110,12 +112,12 @@
 @pytest.mark.parametrize("back", ["at once", "later"])
 @pytest.mark.parametrize("phase", list(Phase))
 @pytest.mark.parametrize("lost", CONTROLLERS)
-def test_a_controller_is_lost_at_any_step_of_a_move(
+def test_jobs_go_on_when_a_controller_is_lost_at_any_step_of_a_move(
     divided: MakeCluster, lost: str, phase: Phase, back: str
 ) -> None:
-    """Source, target or the third one: somebody leads each shard soon, and its jobs go on."""
+    """Source, target or the third controller: each shard soon has a leader."""
     cluster = divided(moves_allowed=False)
-    jobs_in_both(cluster)
+    start_jobs_in_both_shards(cluster)
     if phase is Phase.OWNED:
         assert request_move(cluster, EAST, "n-2")
     else:
@@ -127,29 +129,29 @@
     assert all_shards_led(cluster)
     if back == "later":
         assert lost not in {ownership_record(cluster, shard).owner for shard in (EAST, WEST)}
-    all_done(cluster)
+    assert_all_done_at_first_attempt(cluster)
 
 
 @pytest.mark.parametrize("who", CONTROLLERS)
-@pytest.mark.parametrize("trouble", ["loses_answers", "delays_transactions", "refused"])
-def test_steps_whose_answers_are_lost_or_that_come_late(
-    divided: MakeCluster, who: str, trouble: str
+@pytest.mark.parametrize("fault", ["loses_answers", "delays_transactions", "refused"])
+def test_jobs_go_on_when_steps_of_a_move_are_unanswered_late_or_refused(
+    divided: MakeCluster, who: str, fault: str
 ) -> None:
     cluster = divided(moves_allowed=False)
-    jobs_in_both(cluster)
+    start_jobs_in_both_shards(cluster)
     assert request_move(cluster, EAST, "n-2")
     link = cluster.links[who]
-    setattr(link, trouble, True)
+    setattr(link, fault, True)
     cluster.run(6.0)
-    setattr(link, trouble, False)
+    setattr(link, fault, False)
     link.apply_delayed()
     cluster.run(8.0)
     assert all_shards_led(cluster)
-    all_done(cluster)
+    assert_all_done_at_first_attempt(cluster)
 
 
-def statuses(cluster: SimulatedCluster, job: str) -> list[str]:
-    """List what a job's tasks do."""
+def task_statuses(cluster: SimulatedCluster, job: str) -> list[str]:
+    """Return the status of each of a job's tasks on machines."""
     return [
         found.status
         for worker in cluster.workers.values()
@@ -159,22 +161,22 @@
 
 
 def a_gang_is_half_started(cluster: SimulatedCluster) -> None:
-    """Some of its tasks wait on their machines for the others as the shard is sealed."""
+    """Some of its tasks wait on their machines for the others when the shard is sealed."""
     cluster.submit("n-1", "run-8", shape="group", zone="a", task_count=4, cpus=10.0)
     slow = cluster.workers["i-000003"]
     slow.heartbeats_lost = True
     cluster.run(3.0)
-    assert 0 < len(statuses(cluster, "run-8")) < 4
+    assert 0 < len(task_statuses(cluster, "run-8")) < 4
     assert request_move(cluster, EAST, "n-2")
     cluster.run(1.0)
     slow.heartbeats_lost = False
     cluster.run(60.0)
-    assert statuses(cluster, "run-8") == ["running"] * 4
+    assert task_statuses(cluster, "run-8") == ["running"] * 4
     assert not [task for task in cluster.rules.stopped_tasks if not task.startswith("run-8/")]
 
 
 def a_gang_is_cancelled(cluster: SimulatedCluster) -> None:
-    """At each moment of the move users call off what runs in the shard."""
+    """Users cancel the jobs of the shard at several steps of the move."""
     move_until(cluster, Phase.SEALED)
     assert cluster.cancel("n-1", "run-1") == 200
     cluster.run(0.25)
@@ -187,7 +189,7 @@
 
 
 def a_spot_notice_comes(cluster: SimulatedCluster) -> None:
-    """The owner of a sealed shard still answers, and saves what is about to be lost."""
+    """The owner of a sealed shard still stops tasks in time to save their progress."""
     assert request_move(cluster, EAST, "n-2")
     for worker in cluster.workers.values():
         worker.notice_s = 10.0 if worker.name == "i-000000" else None
@@ -196,7 +198,7 @@
 
 
 def both_owners_hear_a_worker(cluster: SimulatedCluster) -> None:
-    """The old owner sends it on, and counts nothing that it says."""
+    """The old owner redirects the worker, and ignores what it reports."""
     worker = cluster.workers["i-000000"]
     move_until(cluster, Phase.SETTLED)
     cluster.run(1.0)
@@ -207,7 +209,7 @@
 
 
 def the_owner_of_a_sealed_shard_restarts(cluster: SimulatedCluster) -> None:
-    """Its new process does not take the lease up again: the target is the next to lead."""
+    """Its new process does not campaign: the target is the next leader."""
     move_until(cluster, Phase.SEALED)
     cluster.dead.add("n-0")
     cluster.boot("n-0")
@@ -218,8 +220,8 @@
 
 
 def a_health_key_is_lost(cluster: SimulatedCluster) -> None:
-    """A late write of an earlier process takes it away: others take over, and the owner, whose
-    lease goes on, gives way; then its key comes back."""
+    """A late write of an earlier process removes it: others take the shard over, the owner resigns
+    although its lease still holds, and then its key comes back."""
     keep = ControllerHealth.keep
     health = cluster.coordinators["n-0"]._health
     health.keep = lambda: None  # type: ignore[method-assign]
@@ -233,7 +235,7 @@
 
 
 def cancelled_while_the_leader_hears_no_changes(cluster: SimulatedCluster) -> None:
-    """The leader of the job's own shard is told before its user is."""
+    """The leader of the job's shard learns of the cancel before the user gets an answer."""
     cluster.links["n-0"].watch_hangs = True
     assert cluster.cancel("n-2", "run-0") == 200
     cluster.ask_all("run-0")
@@ -241,8 +243,8 @@
     cluster.ask_all("run-0")
 
 
-def nobody_owns_it_for_a_minute(cluster: SimulatedCluster) -> None:
-    """The store turns every controller away in the middle of a move."""
+def a_shard_has_no_owner_for_a_minute(cluster: SimulatedCluster) -> None:
+    """The store refuses all controllers in the middle of a move."""
     move_until(cluster, Phase.SETTLED)
     for link in cluster.links.values():
         link.refused = True
@@ -265,7 +267,7 @@
 
 
 def an_owner_freezes(cluster: SimulatedCluster) -> None:
-    """Another controller takes its shard; thawed, it has no authority and gives way."""
+    """Another controller takes its shard over; when it goes on, it has no lease and resigns."""
     cluster.frozen.add("n-0")
     cluster.run(9.0)
     assert ownership_record(cluster, EAST).owner != "n-0"
@@ -284,20 +286,22 @@
         the_owner_of_a_sealed_shard_restarts,
         a_health_key_is_lost,
         cancelled_while_the_leader_hears_no_changes,
-        nobody_owns_it_for_a_minute,
+        a_shard_has_no_owner_for_a_minute,
         the_owner_can_reach_no_workers,
         an_owner_freezes,
     ],
 )
-def test_what_may_meet_a_move(divided: MakeCluster, scenario: Scenario) -> None:
+def test_no_rule_is_broken_by_what_happens_during_a_move(
+    divided: MakeCluster, scenario: Scenario
+) -> None:
     cluster = divided(moves_allowed=False)
-    jobs_in_both(cluster)
+    start_jobs_in_both_shards(cluster)
     scenario(cluster)
     assert verdict(cluster) == []
 
 
 def test_the_shards_of_a_lost_controller_come_back_to_it(divided: MakeCluster) -> None:
-    """The planner evens them out, once, and no sooner than they have settled."""
+    """The planner moves them once, after they have settled at other controllers."""
     cluster = divided(3, settle_s=20.0)
     start_divided_fleet(cluster)
     cluster.dead.add("n-1")
@@ -314,11 +318,11 @@
     assert [ownership_record(cluster, f"shard-{n + 1}").epoch for n in range(3)] == epochs
 
 
-@pytest.mark.parametrize("first", [1, 2])
+@pytest.mark.parametrize("first", [1, 2], ids=["undivided_first", "divided_first"])
 def test_controllers_that_divide_the_fleet_differently_do_not_lead(
     divided: MakeCluster, first: int
 ) -> None:
-    """Nor do undivided ones beside divided ones: only those who were first ever lead."""
+    """Nor do undivided ones beside divided ones: only the first ones ever lead."""
     cluster = divided(first)
     if first == 1:
         cluster.shards = None
@@ -339,10 +343,10 @@
     assert len(cluster.latest_leaders()) == first
 
 
-def test_two_controllers_that_plan_differently(divided: MakeCluster) -> None:
-    """One sees another set of healthy controllers: each shard goes one way, and its jobs go on."""
+def test_jobs_go_on_when_two_controllers_plan_differently(divided: MakeCluster) -> None:
+    """One of them sees another set of healthy controllers: each shard still has one owner."""
     cluster = divided(3, settle_s=0.0)
-    jobs_in_both(cluster)
+    start_jobs_in_both_shards(cluster)
     cluster.dead.add("n-2")
     cluster.run(10.0)
     cluster.boot("n-2")
@@ -355,4 +359,4 @@
         planner._act(seen._replace(healthy=healthy))
     cluster.run(20.0)
     assert all_shards_led(cluster)
-    all_done(cluster)
+    assert_all_done_at_first_attempt(cluster)
--- a/tests/sharding/test_sharded_loopback.py
+++ b/tests/sharding/test_sharded_loopback.py
@@ -17,25 +17,25 @@
 TASKS = 6
 
 
-class World:
-    """The controllers, and what an operator and users do with them."""
+class LoopbackProcesses:
+    """The controllers' processes, and what an operator and users do with them."""
 
     def __init__(self, folder: Path, port: int) -> None:
         self.port = port
         self._settings = folder / "n-2.json"
-        self._lines = folder / "world.txt"
-        with self._lines.open("wb") as lines:
+        self._output = folder / "output.txt"
+        with self._output.open("wb") as output:
             self.process = subprocess.Popen(
                 [
                     *(sys.executable, str(LOOPBACK)),
                     *("--port", str(port), "--shards", "zones:2", "--folder", str(folder)),
                 ],
-                stdout=lines,
+                stdout=output,
                 stderr=subprocess.DEVNULL,
             )
 
     def shards(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the operators' command."""
+        """Run the command `shards`."""
         return subprocess.run(
             [sys.executable, str(ROOT / "run.py"), "shards", str(self._settings), *arguments],
             capture_output=True,
@@ -44,7 +44,7 @@
         )
 
     def owners(self) -> dict[str, str]:
-        """Read who owns which shard, once all are owned."""
+        """Wait until all shards are owned; return the owner of each."""
         end = time.monotonic() + PATIENCE_S
         while time.monotonic() < end:
             rows = [line.split() for line in self.shards().stdout.splitlines()[1:]]
@@ -54,18 +54,19 @@
         raise AssertionError(self.shards())
 
     def kill(self, node: str) -> None:
-        """End a controller's process, by its number."""
-        found = re.search(rf"{node}: .*process (\d+)", self._lines.read_text())
+        """Kill a controller's process."""
+        found = re.search(rf"{node}: .*process (\d+)", self._output.read_text())
         assert found is not None
         subprocess.run(["kill", "-9", found.group(1)], check=True)
 
     def url(self, controller: int) -> str:
+        """Return the address at which a controller takes jobs."""
         return f"http://127.0.0.1:{self.port + 10 + 2 * controller}/v2/runs"
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    found = World(tmp_path, free_base())
+def processes(tmp_path: Path) -> Iterator[LoopbackProcesses]:
+    found = LoopbackProcesses(tmp_path, free_base())
     try:
         yield found
     finally:
@@ -73,9 +74,11 @@
         found.process.wait(30)
 
 
-def test_a_shard_moves_and_a_controller_ends_while_jobs_run(world: World) -> None:
-    """A gang and an array in each shard: both go on, and nothing runs twice."""
-    owners = world.owners()
+def test_jobs_go_on_while_a_shard_moves_and_a_controller_is_killed(
+    processes: LoopbackProcesses,
+) -> None:
+    """A gang and an array run in each shard, and each of their tasks is started once."""
+    owners = processes.owners()
     jobs = {}
     for number, (zone, shape) in enumerate(
         (zone, shape) for zone in "ab" for shape in ("batch", "group")
@@ -84,28 +87,28 @@
         jobs[ref] = msgspec.json.encode(
             submission(ref, shape=shape, zone=zone, task_count=TASKS, estimated_s=12.0)
         )
-        until(world.url(number % 3), "queued", jobs[ref])
+        until(processes.url(number % 3), "queued", jobs[ref])
     for ref in jobs:
-        until(f"{world.url(0)}/{ref}", "running")
+        until(f"{processes.url(0)}/{ref}", "running")
     target = next(node for node in ("n-0", "n-1", "n-2") if node not in owners.values())
-    moved = world.shards("--move", "shard-1", "--to", target)
+    moved = processes.shards("--move", "shard-1", "--to", target)
     assert moved.returncode == 0, moved
     assert f"shard shard-1: owned by {target}" in moved.stdout
     victim = owners["shard-2"]
-    world.kill(victim)
+    processes.kill(victim)
     alive = next(n for n in range(3) if f"n-{n}" != victim)
     for ref, body in jobs.items():
-        until(f"{world.url(alive)}/{ref}", "done")
-        assert ask(world.url(alive), body) == (200, {"ref": ref, "status": "done"})
-    assert victim not in world.owners().values()
-    _, starts = ask(f"http://127.0.0.1:{world.port + 1}/trouble/starts")
+        until(f"{processes.url(alive)}/{ref}", "done")
+        assert ask(processes.url(alive), body) == (200, {"ref": ref, "status": "done"})
+    assert victim not in processes.owners().values()
+    _, starts = ask(f"http://127.0.0.1:{processes.port + 1}/trouble/starts")
     assert starts == {f"{ref}/{number}": 1 for ref in jobs for number in range(TASKS)}
-    for arguments, code, told in (
+    for arguments, code, message in (
         (("--move", "west", "--to", target), 3, "unknown shard 'west'"),
         (("--move", "shard-1", "--to", "n-9"), 3, "n-9 is unknown or not healthy"),
         (("--move", "shard-1", "--to", victim), 3, "is unknown or not healthy"),
         (("--move", "shard-1", "--to", target), 3, "owns it already"),
         (("--move", "shard-1"), 2, "go together"),
     ):
-        refused = world.shards(*arguments)
-        assert (refused.returncode, told in refused.stderr) == (code, True), refused
+        refused = processes.shards(*arguments)
+        assert (refused.returncode, message in refused.stderr) == (code, True), refused
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -38,22 +38,26 @@
 @pytest.mark.parametrize(
     ("shards", "named"),
     [
-        ([], "there is none"),
-        ([("a", "abc")], None),
-        ([("a", "a"), ("b", "bc")], None),
-        ([("a", "ab"), ("b", "bc")], "'b' is in 'a' already"),
-        ([("a", "ab")], "no shard has zone 'c'"),
-        ([("a", "abcd")], "unknown zone 'd'"),
-        ([("a", "ab"), ("a", "c")], "is there twice"),
-        ([("a/b", "abc")], "letters, digits and hyphens"),
-        ([("a", "abc", "n-9")], "unknown controller 'n-9'"),
-        ([("a", "abc"), ("b", "")], "shards.b.zones: there is none"),
+        pytest.param([], "there is none", id="no_shards"),
+        pytest.param([("a", "abc")], None, id="one_shard"),
+        pytest.param([("a", "a"), ("b", "bc")], None, id="two_shards"),
+        pytest.param([("a", "ab"), ("b", "bc")], "'b' is in 'a' already", id="zone_in_two_shards"),
+        pytest.param([("a", "ab")], "no shard has zone 'c'", id="zone_in_no_shard"),
+        pytest.param([("a", "abcd")], "unknown zone 'd'", id="unknown_zone"),
+        pytest.param([("a", "ab"), ("a", "c")], "is there twice", id="name_used_twice"),
+        pytest.param([("a/b", "abc")], "letters, digits and hyphens", id="bad_name"),
+        pytest.param(
+            [("a", "abc", "n-9")], "unknown controller 'n-9'", id="pinned_to_unknown_controller"
+        ),
+        pytest.param(
+            [("a", "abc"), ("b", "")], "shards.b.zones: there is none", id="shard_without_zones"
+        ),
     ],
 )
-def test_a_division_of_the_fleet_is_checked(
+def test_the_check_command_names_what_is_wrong_with_a_division(
     tmp_path: Any, capsys: Any, shards: list[tuple[str, ...]], named: str | None
 ) -> None:
-    """By the command line, which names the problem and ends with an exit code other than 0."""
+    """A wrong division ends the command with an exit code other than 0."""
     (tmp_path / "s.json").write_bytes(msgspec.json.encode(RAW_SETTINGS))
     specs = [
         {"name": name, "zones": list(zones), "pinned_to": pinned[0] if pinned else None}
@@ -65,7 +69,7 @@
     assert (named or "good, shards") in "".join(capsys.readouterr())
 
 
-def test_controllers_that_divide_the_fleet_differently_say_so() -> None:
+def test_a_second_division_of_the_fleet_is_refused() -> None:
     registry = ShardRegistry(TimedStore(Clock()))  # type: ignore[arg-type]
     one = ShardSettings((ShardSpec("a", ("a", "b", "c")),))
     assert not list(problems(one, settings()))
@@ -78,18 +82,18 @@
 @pytest.mark.parametrize(
     ("record", "target"),
     [
-        (first_owner(NODES[0]), "n-0"),
-        (first_owner(NODES[0]), "n-9"),
-        (Ownership("n-0", 2, Phase.SEALED, "n-1"), "n-2"),
-        (Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-2"),
+        pytest.param(first_owner(NODES[0]), "n-0", id="to_its_owner"),
+        pytest.param(first_owner(NODES[0]), "n-9", id="to_unknown_controller"),
+        pytest.param(Ownership("n-0", 2, Phase.SEALED, "n-1"), "n-2", id="while_sealed"),
+        pytest.param(Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-2", id="while_settled"),
     ],
 )
-def test_moves_that_make_no_sense_are_refused(record: Ownership, target: str) -> None:
+def test_an_impossible_move_is_refused(record: Ownership, target: str) -> None:
     with pytest.raises(MoveRefusedError):
         begin_move(record, NodeName(target), set(NODES))
 
 
-def test_an_unreadable_record_is_its_own_shards_trouble() -> None:
+def test_an_unreadable_record_stops_steps_of_its_own_shard_only() -> None:
     store = TimedStore(Clock())
     registry = ShardRegistry(store)  # type: ignore[arg-type]
     store.write_raw(OWNER_PREFIX + SHARD, b'{"owner":7}')
@@ -103,21 +107,21 @@
 @pytest.mark.parametrize(
     ("record", "campaigns", "starts"),
     [
-        (Ownership("n-0", 1), "n-0", "n-0"),
-        (Ownership("n-0", 2, Phase.SEALED, "n-1"), None, None),
-        (Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-1", None),
+        pytest.param(Ownership("n-0", 1), "n-0", "n-0", id="owned"),
+        pytest.param(Ownership("n-0", 2, Phase.SEALED, "n-1"), None, None, id="sealed"),
+        pytest.param(Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-1", None, id="settled"),
     ],
 )
-def test_who_may_campaign_and_who_may_start(
+def test_who_may_campaign_and_start_tasks_follows_the_phase(
     record: Ownership, campaigns: str | None, starts: str | None
 ) -> None:
-    """Of a sealed shard nobody takes the lease up; of a settled one the target gathers first."""
+    """Nobody campaigns for a sealed shard; the target of a settled one has to reconcile first."""
     assert [node for node in NODES if record.may_campaign(node)] == [campaigns] * bool(campaigns)
     assert [node for node in NODES if record.may_start(node)] == [starts] * bool(starts)
 
 
-class Controllers:
-    """Three controllers that take the steps of one shard's record, over a store that fails."""
+class OwnershipSimulation:
+    """Three controllers that take the steps of one shard's record, over a store with faults."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -125,10 +129,10 @@
         self.links = {node: StoreLink(self.store) for node in NODES}
         self.healthy = set(NODES)
         self.leading: NodeName | None = None
-        """Who holds the shard's lease."""
+        """The controller that holds the shard's lease."""
 
     def act(self, node: NodeName, target: NodeName | None) -> None:
-        """One controller reads the record and takes the step that is its own, if any."""
+        """Let a controller read the record and take the step that is up to it, if any."""
         registry = ShardRegistry(self.links[node])  # type: ignore[arg-type]
         try:
             seen = registry.read([SHARD]).shards[SHARD]
@@ -157,8 +161,8 @@
             return finish(record, node) or repair(record, node, self.healthy)
         return repair(record, node, self.healthy)
 
-    def disturb(self) -> None:
-        """Something fails, or is whole again."""
+    def inject_or_heal(self) -> None:
+        """Begin or end one fault, chosen at random."""
         node = self.rng.choice(NODES)
         link = self.links[node]
         match self.rng.randrange(6):
@@ -179,38 +183,38 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_shard_ends_with_one_owner_whatever_fails_on_its_way(seed: int) -> None:
-    """Controllers die at any step, answers are lost, writes come late; then all is well again."""
+def test_a_shard_has_one_owner_after_faults_at_any_step(seed: int) -> None:
+    """Controllers die at any step, answers are lost, writes come late; then all faults end."""
     rng = random.Random(seed)
-    world = Controllers(rng)
+    simulation = OwnershipSimulation(rng)
     epoch = 0
     for _ in range(120):
         if rng.random() < 0.3:
-            world.disturb()
-        node = rng.choice(sorted(world.healthy))
-        world.act(node, rng.choice(NODES) if rng.random() < 0.15 else None)
-        found = ShardRegistry(world.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
+            simulation.inject_or_heal()
+        node = rng.choice(sorted(simulation.healthy))
+        simulation.act(node, rng.choice(NODES) if rng.random() < 0.15 else None)
+        found = ShardRegistry(simulation.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
         if found is not None:
             assert found.epoch >= epoch
             epoch = found.epoch
             assert sum(found.leads(node) for node in NODES) == 1
             assert [node for node in NODES if found.may_start(node)] in ([], [found.owner])
-    for link in world.links.values():
+    for link in simulation.links.values():
         link.apply_delayed()
         link.loses_answers = link.refused = False
     for _ in range(4):
-        for node in sorted(world.healthy):
-            world.act(node, None)
-    last = ShardRegistry(world.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
+        for node in sorted(simulation.healthy):
+            simulation.act(node, None)
+    last = ShardRegistry(simulation.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
     assert last is not None
     assert last.phase is Phase.OWNED
-    assert last.owner in world.healthy
-    assert world.leading == last.owner
+    assert last.owner in simulation.healthy
+    assert simulation.leading == last.owner
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_the_plan_is_the_best_there_is_and_stays(seed: int) -> None:
-    """Against every assignment there is; and planned again from there, nothing moves."""
+def test_the_plan_costs_the_least_and_is_stable(seed: int) -> None:
+    """No other assignment costs less, and a second plan from there moves nothing."""
     rng = random.Random(seed)
     inputs = random_inputs(rng, 5, 3)
     choices = [inputs.choices(shard) for shard in inputs.shards]
@@ -227,7 +231,7 @@
     assert planner.next_move(inputs, found) in {*moves(inputs, found), None}
 
 
-def test_without_a_solver_or_its_answer_the_plan_is_greedy(
+def test_the_plan_is_greedy_without_a_solver_or_a_solution(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     inputs = random_inputs(random.Random(3), 12, 4)
