--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -1,6 +1,6 @@
-"""Cancellations, ends and acceptances beside whatever else may happen to controllers and store.
+"""Jobs that are cancelled, end or are accepted while other things happen to controllers and store.
 
-Each row asserts the rules of the protocol by what users were told and workers ran.
+Each test case checks the rules of the protocol by what users were told and workers ran.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def cancelled_while_the_next_leader_reads(cluster: SimulatedCluster) -> None:
-    """A new leader has read the jobs but not yet the rest when the cancel is told to it."""
+    """A new leader has read the jobs but not yet the rest when it is notified of the cancel."""
     start_job(cluster)
     cluster.submit("n-0", "run-2", cpus=30.0)
     cluster.run(1.0)
@@ -45,7 +45,7 @@
 
 
 def cancelled_before_the_leader_knows_the_job(cluster: SimulatedCluster) -> None:
-    """The leader's watch lags: it hears of the cancel before it hears of the job."""
+    """The leader's watch lags: the notice of the cancel comes before the job itself."""
     start_leader(cluster)
     link = cluster.links["n-0"]
     link.stale_watch = Revision(cluster.store.revision)
@@ -59,7 +59,7 @@
 
 
 def cancelled_while_a_watch_brings_the_job(cluster: SimulatedCluster) -> None:
-    """The answer that brings the job was made before the cancel, and arrives after it was told."""
+    """The watch's answer with the job was made before the cancel, and arrives after its notice."""
     start_leader(cluster)
     assert cluster.submit("n-1") == 201
 
@@ -74,7 +74,7 @@
 
 
 def cancelled_before_its_acceptance_is_told(cluster: SimulatedCluster) -> None:
-    """The submission is written, repeated elsewhere and cancelled before its answer is there."""
+    """The submission is written, repeated elsewhere and cancelled before its answer arrives."""
     start_leader(cluster)
 
     def cancelled() -> None:
@@ -87,7 +87,7 @@
 
 
 def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
-    """It follows the store all the time; its peers' users must not wait for ever."""
+    """The leader follows the store all the time; users of other controllers must get an answer."""
     worker = start_job(cluster)
     worker.replies_lost = True  # so that the end of its task can't be written yet
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
@@ -100,8 +100,8 @@
     cluster.ask_all()
 
 
-def _written_but_not_told(cluster: SimulatedCluster) -> None:
-    """A cancel is in the store; the one who wrote it does not know, nor does the leader."""
+def _write_a_cancel_unnoticed(cluster: SimulatedCluster) -> None:
+    """A cancel is in the store, but neither its writer nor the leader knows."""
     start_job(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.links["n-1"].loses_answers = True
@@ -110,16 +110,16 @@
 
 
 def cancelled_as_a_poll_finds_it(cluster: SimulatedCluster) -> None:
-    """Who can't ask the leader reads the store, where the cancel is."""
-    _written_but_not_told(cluster)
+    """A controller that can't reach the leader reads the store, where the cancel is."""
+    _write_a_cancel_unnoticed(cluster)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.poll("n-2")
     cluster.poll("n-0")
 
 
 def cancelled_as_a_repeated_submission_finds_it(cluster: SimulatedCluster) -> None:
-    """A repeat of the submission never asks the leader."""
-    _written_but_not_told(cluster)
+    """A repeated submission finds the cancel in the store, without a request to the leader."""
+    _write_a_cancel_unnoticed(cluster)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.submit("n-2")
     cluster.submit("n-1")
@@ -128,7 +128,7 @@
 
 
 def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: SimulatedCluster) -> None:
-    """Its lease is in order, its watch hangs, and the others can't reach it."""
+    """Its lease is renewed, its watch hangs, and the other controllers can't reach it."""
     start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].watch_hangs = True
@@ -140,7 +140,7 @@
 
 
 def a_leader_that_can_renew_but_not_follow(cluster: SimulatedCluster) -> None:
-    """It may do nothing, and keeps others from it: it must make room."""
+    """It may do nothing, and while it holds the lease nobody else may: it must resign."""
     start_leader(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.run(5.0)
@@ -151,7 +151,7 @@
 
 
 def cancelled_by_a_clock_that_is_ahead(cluster: SimulatedCluster) -> None:
-    """The cancel's time of writing is long past: its transaction was carried out late."""
+    """The cancel carries a time long past: its transaction is applied late."""
     start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     link = cluster.links["n-1"]
@@ -165,7 +165,7 @@
 
 
 def cancelled_on_its_way_while_a_poll_waits(cluster: SimulatedCluster) -> None:
-    """The leader's answer to a poll is overtaken by a cancel told at the node that asked."""
+    """The leader's answer to a poll arrives after a cancel at the controller that asked."""
     start_job(cluster)
 
     def cancelled() -> None:
@@ -175,8 +175,8 @@
     cluster.poll("n-1")
 
 
-def cancelled_in_the_moment_of_the_take_over(cluster: SimulatedCluster) -> None:
-    """One controller's work changes hands twice while users cancel."""
+def cancelled_during_a_failover(cluster: SimulatedCluster) -> None:
+    """The leader changes several times while users cancel."""
     start_job(cluster)
     for number in range(2, 8):
         cluster.submit("n-1", f"run-{number}", cpus=2.0)
@@ -194,7 +194,7 @@
 
 
 def cancelled_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
-    """The end is written or about to be while users cancel, ask and repeat the submission."""
+    """The end is being written while users cancel, ask and repeat the submission."""
     for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
         ref = f"run-{number}"
         worker = start_job(cluster, ref)
@@ -217,7 +217,7 @@
 
 
 def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
-    """The end is written while a reader of the store looks for the job."""
+    """The end is written while another controller looks for the job in the store."""
     worker = start_job(cluster)
     cluster.end(worker)
     worker.send_heartbeat()
@@ -235,7 +235,7 @@
 
 
 def ended_by_a_write_that_comes_late(cluster: SimulatedCluster) -> None:
-    """The end's transaction gets no answer, another try meets a conflict, the first one comes."""
+    """The end's transaction gets no answer, a second one conflicts, then the first is applied."""
     worker = start_job(cluster)
     leader = cluster.leader("n-0")
     assert leader is not None
@@ -261,7 +261,7 @@
 
 
 def accepted_without_an_answer(cluster: SimulatedCluster) -> None:
-    """A submission is carried out and only its answer is lost, or it comes late."""
+    """A submission is applied and only its answer is lost, or it is applied late."""
     start_leader(cluster)
     for ref, lost in (("run-1", True), ("run-2", False)):
         link = cluster.links["n-1"]
@@ -296,7 +296,7 @@
     a_leader_that_can_renew_but_not_follow,
     cancelled_by_a_clock_that_is_ahead,
     cancelled_on_its_way_while_a_poll_waits,
-    cancelled_in_the_moment_of_the_take_over,
+    cancelled_during_a_failover,
     cancelled_as_the_last_task_ends,
     asked_as_the_last_task_ends,
     ended_by_a_write_that_comes_late,
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -1,7 +1,7 @@
-"""Compound failures: courses of events over controllers, store, workers and users.
+"""Compound failures: several faults of controllers, store, workers and network at once.
 
-Each row asserts the rules of the protocol by what users were told and workers ran.
-`docs/design.md`, "Compound failures", says which row stands for which.
+Each test case checks the rules of the protocol by what users were told and workers ran.
+`docs/design.md`, "Compound failures", says which test case stands for which failure.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from ryewing.wire.workers import ReportedTask
 
 
-def test_without_troubles(cluster: SimulatedCluster) -> None:
-    """The course of a job, at every controller."""
+def test_a_job_runs_to_its_end_without_faults(cluster: SimulatedCluster) -> None:
+    """Every controller answers for a job from its start to its end."""
     worker = start_job(cluster)
     cluster.ask_all()
     cluster.end(worker)
@@ -43,7 +43,7 @@
 def refused_alone(
     before_s: float, outage_s: float, apart: bool, who: str = "n-0", after: str = ""
 ) -> Scenario:
-    """The letter's gap: a controller is refused alone, others confirm cancels, then an outage."""
+    """The store refuses one controller, others confirm cancels, and then the store is down."""
 
     def scenario(cluster: SimulatedCluster) -> None:
         start_leader(cluster, machines=3)
@@ -88,7 +88,7 @@
 
 
 def cancelled_at_the_refusal(cluster: SimulatedCluster) -> None:
-    """As above, but the workers keep to the refused one, and one of them hangs meanwhile."""
+    """As above, but the workers can only reach the refused one, and one of them hangs meanwhile."""
     worker = start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].refused = True
@@ -109,8 +109,8 @@
 # -- changes of leader ----------------------------------------------------------------------------
 
 
-def an_old_report_reaches_the_next_leader(cluster: SimulatedCluster) -> None:
-    """Copies from before, of tasks that run elsewhere by now, as a new leader begins."""
+def an_old_heartbeat_reaches_the_next_leader(cluster: SimulatedCluster) -> None:
+    """Copies of a heartbeat with a task that runs elsewhere by now reach a new leader."""
     first = start_job(cluster)
     old = copy.deepcopy(first.send_heartbeat())
     second = cluster.worker("i-000002")
@@ -138,8 +138,8 @@
     cluster.run(30.0)
 
 
-def an_old_report_of_a_machine_that_is_gone(cluster: SimulatedCluster) -> None:
-    """It must not come back, be recorded, or keep a job from room."""
+def an_old_heartbeat_of_a_machine_that_is_gone(cluster: SimulatedCluster) -> None:
+    """The machine must not be added or recorded again, nor keep a job waiting."""
     first = start_job(cluster)
     old = copy.deepcopy(first.send_heartbeat())
     del cluster.workers[first.name]
@@ -166,8 +166,8 @@
     )
 
 
-def a_take_over_without_an_answer(cluster: SimulatedCluster) -> None:
-    """It is written, and its writer does not know: nobody may be without a leader for long."""
+def a_failover_without_an_answer(cluster: SimulatedCluster) -> None:
+    """The new term is written, and its writer does not know: there must soon be a leader."""
     start_job(cluster)
     cluster.dead.add("n-0")
     cluster.links["n-2"].refused = True
@@ -183,7 +183,7 @@
 
 
 def leaders_change_ten_times(cluster: SimulatedCluster) -> None:
-    """In two minutes, also inside an outage; each is back within a second."""
+    """In two minutes, also during an outage; each controller is back within a second."""
     start_leader(cluster, machines=2)
     for number in range(1, 9):
         cluster.submit("n-1", f"run-{number}", cpus=16.0)
@@ -202,7 +202,7 @@
 
 
 def all_controllers_away(cluster: SimulatedCluster) -> None:
-    """For longer than `lease_s`; meanwhile nothing is answered."""
+    """All processes are ended for longer than `lease_s`."""
     worker = start_job(cluster)
     cluster.dead |= set(CONTROLLERS)
     cluster.run(25.0)
@@ -214,7 +214,7 @@
 
 
 def new_machines_while_writes_lag(cluster: SimulatedCluster) -> None:
-    """Up at once and given work at once, and the leader ends before its writes are made."""
+    """A machine is up and given work at once, and the leader ends while its writes are late."""
     start_leader(cluster)
     cluster.workers["i-000001"].hangs = True
     link = cluster.links["n-0"]
@@ -234,7 +234,7 @@
 
 
 def limits_while_leaders_change(cluster: SimulatedCluster) -> None:
-    """A team is at its limit; its jobs are cancelled on machines that can't be asked."""
+    """A team is at its limit; its jobs are cancelled on machines that can't be reached."""
     for number in range(1, 5):
         cluster.worker(f"i-{number:06d}", machine_type="g4")
     cluster.run(4.0)
@@ -260,7 +260,7 @@
 
 
 def machines_that_hear_or_speak_only(cluster: SimulatedCluster) -> None:
-    """Mute and deaf ones, cancels, and a change of leader."""
+    """Machines whose heartbeats or replies are lost, cancels, and a change of leader."""
     start_leader(cluster, machines=4)
     for number in range(1, 5):
         cluster.submit("n-1", f"run-{number}", cpus=20.0)
@@ -276,7 +276,7 @@
 
 
 def tasks_end_far_apart(cluster: SimulatedCluster) -> None:
-    """A finish is told before, another one after a change of leader."""
+    """One task ends before a change of leader, the other one after it."""
     first = start_leader(cluster, machines=2)
     second = cluster.workers["i-000002"]
     cluster.submit("n-1", task_count=2, cpus=30.0)
@@ -295,7 +295,7 @@
 
 
 def a_leader_that_stands_still(cluster: SimulatedCluster) -> None:
-    """Its clocks run on; others lead and cancel meanwhile; then it goes on."""
+    """Its process is frozen while another controller leads and a user cancels; then it goes on."""
     worker = start_job(cluster)
     cluster.frozen.add("n-0")
     cluster.run(5.0)
@@ -308,7 +308,7 @@
 
 
 def apart_from_store_and_peers(cluster: SimulatedCluster) -> None:
-    """Workers and users still reach the old leader while jobs are cancelled at the new one."""
+    """Workers and users still reach the old leader while a job is cancelled at the new one."""
     worker = start_job(cluster)
     worker.unreachable |= {"n-1", "n-2"}
     cluster.cloud_down = True
@@ -322,7 +322,7 @@
 
 
 def one_zone_loses_machines(cluster: SimulatedCluster) -> None:
-    """An array bound to a zone; the machines there go one after the other."""
+    """An array is bound to a zone whose machines are lost one after the other."""
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}", zone="b")
     cluster.worker("i-000004", zone="a")
@@ -339,9 +339,9 @@
 
 SCENARIOS: list[Scenario] = [
     cancelled_at_the_refusal,
-    an_old_report_reaches_the_next_leader,
-    an_old_report_of_a_machine_that_is_gone,
-    a_take_over_without_an_answer,
+    an_old_heartbeat_reaches_the_next_leader,
+    an_old_heartbeat_of_a_machine_that_is_gone,
+    a_failover_without_an_answer,
     leaders_change_ten_times,
     all_controllers_away,
     new_machines_while_writes_lag,
@@ -364,10 +364,10 @@
 @pytest.mark.parametrize(
     "key", ["j/run-9", "d/7", "d/x", "m/7", "m/x", "h/r-1-1", "flavours/3", "f/run-9"]
 )
-def test_what_cannot_be_read_ends_no_term(
+def test_an_unreadable_value_ends_no_term(
     cluster: SimulatedCluster, key: str, garbage: bytes
 ) -> None:
-    """One value of the store is garbage: all else is served, also by the next leader."""
+    """One value in the store is garbage: everything else is served, also by the next leader."""
     worker = start_job(cluster)
     cluster.store.write_raw(key, garbage)
     cluster.run(2.0)
@@ -385,8 +385,8 @@
     assert cluster.verdict() == []
 
 
-def test_a_job_that_makes_no_sense_is_left_alone(cluster: SimulatedCluster) -> None:
-    """It reads as a record, and is not one of ours."""
+def test_an_invalid_job_record_is_ignored(cluster: SimulatedCluster) -> None:
+    """It can be decoded, but no controller can have written it."""
     start_leader(cluster)
     senseless: list[dict[str, Any]] = [
         {"priority": "vip"},
@@ -405,8 +405,10 @@
 
 
 @pytest.mark.parametrize("key", ["lead/holder", "lead/term"])
-def test_an_unreadable_leadership_is_waited_for(cluster: SimulatedCluster, key: str) -> None:
-    """Nobody takes over from somebody unknown, or under a term that may be too low."""
+def test_nobody_takes_over_from_an_unreadable_election_record(
+    cluster: SimulatedCluster, key: str
+) -> None:
+    """An unknown holder's lease must expire, and an unknown term number is never raised."""
     start_leader(cluster)
     holder = cluster.store.data["lead/holder"]
     cluster.store.write_raw(key, b"[1]", holder[2] if key == "lead/holder" else None)
@@ -419,7 +421,7 @@
 
 
 def test_single_tasks_four_a_second_at_the_lowest_write_rate(cluster: SimulatedCluster) -> None:
-    """A quarter is cancelled. Each job's end is one write; none is late, and none waits."""
+    """A quarter is cancelled. Each job's end is one write; none is late, and no job waits."""
     cluster.state_limits = {"write_rps": 15.0}
     for name in CONTROLLERS:
         cluster.boot(name)
@@ -457,19 +459,19 @@
 @pytest.mark.parametrize(
     ("before_s", "outage_s", "apart", "who", "after"),
     [
-        (0.0, 52.0, False, "n-0", ""),
-        (0.0, 52.0, True, "n-0", ""),
-        (0.5, 52.0, True, "n-0", ""),
-        (2.0, 52.0, False, "n-0", ""),
-        (2.0, 52.0, True, "n-0", ""),
-        (2.0, 20.0, True, "n-0", ""),
-        (2.0, 90.0, True, "n-0", ""),
-        (5.0, 52.0, True, "n-0", ""),
-        (2.0, 52.0, True, "n-1", ""),  # the refused one does not lead
-        (0.5, 90.0, True, "n-0", "dies"),
-        (2.0, 52.0, True, "n-0", "dies"),
-        (2.0, 52.0, False, "n-0", "frozen"),
-        (5.0, 90.0, True, "n-0", "frozen"),
+        pytest.param(0.0, 52.0, False, "n-0", "", id="at_once"),
+        pytest.param(0.0, 52.0, True, "n-0", "", id="at_once-cut_off"),
+        pytest.param(0.5, 52.0, True, "n-0", "", id="after_0.5s-cut_off"),
+        pytest.param(2.0, 52.0, False, "n-0", "", id="after_2s"),
+        pytest.param(2.0, 52.0, True, "n-0", "", id="after_2s-cut_off"),
+        pytest.param(2.0, 20.0, True, "n-0", "", id="after_2s-cut_off-short_outage"),
+        pytest.param(2.0, 90.0, True, "n-0", "", id="after_2s-cut_off-long_outage"),
+        pytest.param(5.0, 52.0, True, "n-0", "", id="after_5s-cut_off"),
+        pytest.param(2.0, 52.0, True, "n-1", "", id="follower-after_2s-cut_off"),
+        pytest.param(0.5, 90.0, True, "n-0", "dies", id="after_0.5s-cut_off-long_outage-dies"),
+        pytest.param(2.0, 52.0, True, "n-0", "dies", id="after_2s-cut_off-dies"),
+        pytest.param(2.0, 52.0, False, "n-0", "frozen", id="after_2s-freezes"),
+        pytest.param(5.0, 90.0, True, "n-0", "frozen", id="after_5s-cut_off-long_outage-freezes"),
     ],
 )
 def test_the_leader_refused_alone_and_then_an_outage(
--- a/tests/system/test_whole.py
+++ b/tests/system/test_whole.py
@@ -1,4 +1,4 @@
-"""The quick start of the README, as processes on loopback: no clock is faked here."""
+"""The quick start of the README, as processes on loopback with real clocks."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 @pytest.fixture(scope="module")
 def base() -> Iterator[int]:
+    """Run the quick start; the base of its ports."""
     port = free_base()
     process = subprocess.Popen(
         [sys.executable, str(LOOPBACK), "--port", str(port)],
@@ -30,7 +31,7 @@
         process.wait(30)
 
 
-def test_submit_run_and_cancel_through_any_controller(base: int) -> None:
+def test_any_controller_takes_answers_for_and_cancels_any_job(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
     body = msgspec.json.encode(submission("run-000001", estimated_s=0.5, task_count=5, spot=True))
     until(first, "queued", body)
@@ -54,7 +55,7 @@
 
 
 def until_serving(url: str, count: int) -> None:
-    """Ask until so many replicas run."""
+    """Ask until the service runs with this count of replicas."""
     end = time.monotonic() + PATIENCE_S
     answer: Any = None
     while time.monotonic() < end:
@@ -65,20 +66,20 @@
     raise AssertionError(f"{url}: last answer {answer}")
 
 
-def test_a_service_runs_through_ends_and_losses_until_it_is_cancelled(base: int) -> None:
+def test_a_service_keeps_its_replicas_through_failures_until_it_is_cancelled(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
-    trouble = f"http://127.0.0.1:{base + 1}/trouble"
+    faults = f"http://127.0.0.1:{base + 1}/trouble"
     service = submission(
         "run-000004", shape="daemon", priority="production", estimated_s=0.0, cpus=1.0, spread=True
     )
     until(first, "queued", msgspec.json.encode(service))
     until_serving(f"{last}/run-000004", 4)
     for cause in ("error", "done"):
-        assert ask(f"{trouble}/end?piece=run-000004/1&cause={cause}", b"")[0] == 200
-        time.sleep(1.5)  # the worker reports it
+        assert ask(f"{faults}/end?piece=run-000004/1&cause={cause}", b"")[0] == 200
+        time.sleep(1.5)  # until the worker's next heartbeat
         until_serving(f"{last}/run-000004", 4)
     _, machines = ask(f"http://127.0.0.1:{base + 1}/machines")
-    assert ask(f"{trouble}/lose?host={machines['hosts'][0]['ref']}", b"")[1] == {"lost": True}
+    assert ask(f"{faults}/lose?host={machines['hosts'][0]['ref']}", b"")[1] == {"lost": True}
     until_serving(f"{last}/run-000004", 4)
     until(f"{last}/run-000004/cancel", "cancelled", b"")
     assert until(f"{first}/run-000004", "cancelled")["status"] == "cancelled"
@@ -87,16 +88,18 @@
 @pytest.mark.parametrize(
     ("arguments", "code", "text"),
     [
-        (["--version"], 0, "ryewing 0.2.2"),
-        (["--help"], 0, "--config"),
-        (["check", "GOOD"], 0, "good for node n-0"),
-        (["check", "BAD"], 1, "api_addr"),
-        (["check", "/nowhere.json"], 1, "No such file"),
-        (["--policy", "LUA", "check", "GOOD"], 1, "unknown name"),
-        ([], 2, "--config"),
+        pytest.param(["--version"], 0, "ryewing 0.2.2", id="version"),
+        pytest.param(["--help"], 0, "--config", id="help"),
+        pytest.param(["check", "GOOD"], 0, "good for node n-0", id="good_settings"),
+        pytest.param(["check", "BAD"], 1, "api_addr", id="bad_settings"),
+        pytest.param(["check", "/nowhere.json"], 1, "No such file", id="no_settings"),
+        pytest.param(["--policy", "LUA", "check", "GOOD"], 1, "unknown name", id="bad_policy"),
+        pytest.param([], 2, "--config", id="no_arguments"),
     ],
 )
-def test_command_line(tmp_path: Path, arguments: list[str], code: int, text: str) -> None:
+def test_the_command_line_ends_with_code_and_message(
+    tmp_path: Path, arguments: list[str], code: int, text: str
+) -> None:
     (tmp_path / "GOOD").write_bytes(msgspec.json.encode(RAW_SETTINGS))
     (tmp_path / "BAD").write_bytes(msgspec.json.encode({**RAW_SETTINGS, "api_addr": "x"}))
     (tmp_path / "LUA").write_text("return {colour = 1}")
