--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -41,7 +41,7 @@
         self.refused: Counter[str] = Counter()
         self._bucket = TokenBucket(self.rps, self.rps, cluster.clock)
         self._cause = "service"
-        check, http = StoreLink._check, SimulatedCluster._http
+        check, http = StoreLink.check_available, SimulatedCluster.send_http_request
 
         def limited_check(link: StoreLink) -> None:
             check(link)
@@ -61,8 +61,8 @@
             finally:
                 self._cause = "service"
 
-        monkeypatch.setattr(StoreLink, "_check", limited_check)
-        monkeypatch.setattr(SimulatedCluster, "_http", attributed_http)
+        monkeypatch.setattr(StoreLink, "check_available", limited_check)
+        monkeypatch.setattr(SimulatedCluster, "send_http_request", attributed_http)
 
 
 def before_each_step(cluster: SimulatedCluster, act: Callable[[], None]) -> None:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -281,7 +281,7 @@
 
     def send_heartbeat(self, node: str, heartbeat: Heartbeat) -> tuple[int, Any]:
         """Deliver a heartbeat, or a copy of one, to a controller; return status and answer."""
-        return self._http(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
+        return self.send_http_request(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
 
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
         """Submit a job as a user, or repeat its submission; return the HTTP status."""
@@ -316,11 +316,12 @@
         assert is_job_id(ref)
         if node in self.dead | self.frozen:
             return 0
-        status, answer = self._http(node, method, path, body)
+        status, answer = self.send_http_request(node, method, path, body)
         self.rules.record_answer(node, ref, status, answer)
         return status
 
-    def _http(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+    def send_http_request(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+        """Do one request at a controller's API; return the status and the decoded answer."""
         seen: list[str] = []
         environ = {"REQUEST_METHOD": method, "PATH_INFO": path, "wsgi.input": io.BytesIO(body)}
         answer = b"".join(self.apis[node](environ, lambda status, _headers: seen.append(status)))
--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -78,18 +78,19 @@
         self.before_answer: Callable[[str], None] | None = None
         """Called with the key or prefix of each read, after the store has read it."""
 
-    def _check(self) -> None:
+    def check_available(self) -> None:
+        """Raise StoreUnavailableError if the store refuses this controller's requests."""
         if self.refused:
             raise StoreUnavailableError("503")
 
     def get(self, key: str) -> Entry | None:
-        self._check()
+        self.check_available()
         found = self._store.get(key)
         self._interrupt(key)
         return found
 
     def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
-        self._check()
+        self.check_available()
         found = self._store.listing(prefix)
         self._interrupt(prefix)
         return found
@@ -102,7 +103,7 @@
                 self.before_answer = hook
 
     def txn(self, conditions: dict[str, KeyVersion], writes: list[Put | Remove]) -> TxnResult:
-        self._check()
+        self.check_available()
         if self.delays_transactions:
             self.delayed_transactions.append((dict(conditions), copy.deepcopy(list(writes))))
             raise StoreUnavailableError("no answer")
@@ -125,19 +126,19 @@
                 pass  # its lease has expired: the store answers 400, and nobody waits for that
 
     def grant(self, ttl_s: float) -> int:
-        self._check()
+        self.check_available()
         return self._store.grant(ttl_s)
 
     def renew(self, lease: int, deadline_s: float) -> None:
-        self._check()
+        self.check_available()
         self._store.renew(lease, deadline_s)
 
     def resign(self, lease: int) -> None:
-        self._check()
+        self.check_available()
         self._store.expire(lease)
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
-        self._check()
+        self.check_available()
         if self.watch_hangs:
             raise StoreUnavailableError("deadline")
         found = self._store.watch(prefix, since, wait_s)
