--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -35,7 +35,7 @@
 
 
 class FakeNode:
-    """What the API needs of a node, with the answers set by the test."""
+    """What the interface needs of a node."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -77,7 +77,7 @@
 
 
 def policy() -> Policy:
-    """Return the default policy for these settings."""
+    """Give the default policy for these settings."""
     return defaults(settings())
 
 
