--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -177,7 +177,7 @@
         cluster.run(0.25)
     cluster.links["n-2"].refused = link.loses_answers = False
     cluster.run(1.0)
-    assert cluster.leader("n-1") is not None, "its own take-over is not known to it"
+    assert cluster.leader("n-1") is not None, "its own failover is not known to it"
     cluster.cancel("n-2")
     cluster.ask_all()
 
