--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -1,16 +1,16 @@
-"""Team limits over shards: the parts hold whatever is lost, late, cut off or refused."""
+"""Team limits over shards hold whatever is lost, late, cut off or refused."""
 
 from __future__ import annotations
 
 import random
 
 import pytest
-from support.cluster import Cluster
-from support.divided_fleet import EAST, WEST, MakeCluster, begin, bring_up, broken
+from support.divided_fleet import EAST, WEST, MakeCluster, add_machines, request_move, verdict
 from support.fakes import GPU
 from support.harness import LeaderHarness
 from support.scenarios import Scenario
-from support.timed_workers import NAMES
+from support.simulated_cluster import SimulatedCluster
+from support.timed_workers import CONTROLLERS
 
 from ryewing.clients.store import decode_stored
 from ryewing.config.settings import Team
@@ -24,14 +24,15 @@
 """The GPUs of team red."""
 
 
-def gpu_jobs(cluster: Cluster, zone: str, count: int, first: int = 0) -> None:
+def gpu_jobs(cluster: SimulatedCluster, zone: str, count: int, first: int = 0) -> None:
     """Submit arrays of four tasks with a GPU each."""
     for number in range(first, first + count):
-        name = NAMES[number % 3]
+        name = CONTROLLERS[number % 3]
         cluster.submit(name, f"run-{number}", zone=zone, gpus=1.0, cpus=1.0, task_count=4)
 
 
-def gpus_in_use(cluster: Cluster, zones: str = "abc") -> int:
+def gpus_in_use(cluster: SimulatedCluster, zones: str = "abc") -> int:
+    """Count the tasks that have not ended in some zones: each uses one GPU."""
     return sum(
         found.status != "ended"
         for worker in cluster.workers.values()
@@ -40,7 +41,8 @@
     )
 
 
-def parts(cluster: Cluster) -> Allowances:
+def allowances(cluster: SimulatedCluster) -> Allowances:
+    """Read the stored parts of team red's limit."""
     entry = cluster.store.get("allowance/red")
     assert entry is not None
     record = decode_stored(entry.data, Allowances, entry.key)
@@ -49,18 +51,17 @@
 
 
 @pytest.fixture
-def limited(divided: MakeCluster) -> Cluster:
+def limited(divided: MakeCluster) -> SimulatedCluster:
     """Two shards with more GPUs each than the team may use."""
     cluster = divided(moves_allowed=False)
-    bring_up(cluster, 0, with_gpus=12)
+    add_machines(cluster, 0, with_gpus=12)
     cluster.run(12.0)
     assert cluster.leader_of(EAST) == "n-0"
     return cluster
 
 
-def test_a_limit_follows_the_demand(limited: Cluster) -> None:
-    """All of it where the only work is; when other work comes and tasks end, half of it there, as
-    near as whole tasks come."""
+def test_the_parts_of_a_limit_follow_the_demand(limited: SimulatedCluster) -> None:
+    """All of it goes where the only work is; with work elsewhere too each gets half, to a task."""
     cluster = limited
     gpu_jobs(cluster, "a", 4)
     cluster.run(12.0)
@@ -81,7 +82,9 @@
     assert cluster.store.writes - writes < 30, "steady demand is written again and again"
 
 
-def test_a_gang_that_needs_the_whole_limit_starts_beside_a_steady_demand(limited: Cluster) -> None:
+def test_a_gang_that_needs_the_whole_limit_starts_beside_a_steady_demand(
+    limited: SimulatedCluster,
+) -> None:
     cluster = limited
     gpu_jobs(cluster, "a", 2)
     cluster.run(8.0)
@@ -94,39 +97,40 @@
                 if found.status == "running" and not key[0].startswith("run-50/"):
                     worker.end_task(key)
     assert cluster.rules.starts["run-50/0"] == 1
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
 
 
-def owner_gets_no_answers(cluster: Cluster) -> None:
-    """Raises and cuts are carried out, and the leader of one shard is not told."""
-    cluster.links["n-0"].answer_lost = True
+def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
+    """Changes of the parts are applied, and the leader of one shard gets no answers."""
+    cluster.links["n-0"].loses_answers = True
     gpu_jobs(cluster, "b", 4, first=20)
     for _ in range(10):
         cluster.run(1.0)
         cluster.end(random.Random(1).choice(list(cluster.workers.values())))
-    cluster.links["n-0"].answer_lost = False
+    cluster.links["n-0"].loses_answers = False
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(20.0)
 
 
-def a_cut_comes_late(cluster: Cluster) -> None:
-    """The part is given up by a write without an answer, and work comes back before it arrives."""
+def a_lowered_part_is_written_late(cluster: SimulatedCluster) -> None:
+    """A part is lowered by a write that is applied late, after new work has come."""
     gpu_jobs(cluster, "b", 4, first=20)
     link = cluster.links["n-0"]
-    link.late = True
+    link.delays_transactions = True
     for worker in cluster.workers.values():
         if worker.zone == "a":
             cluster.end(worker)
     cluster.run(2.5)
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(1.0)
-    link.late = False
+    link.delays_transactions = False
     cluster.run(1.5)
-    link.catch_up()
+    link.apply_delayed()
     cluster.run(20.0)
 
 
-def the_store_refuses_one_owner(cluster: Cluster) -> None:
+def the_store_refuses_one_owner(cluster: SimulatedCluster) -> None:
+    """The leader of one shard can change no parts for a while."""
     cluster.links["n-0"].refused = True
     gpu_jobs(cluster, "b", 4, first=20)
     cluster.run(20.0)
@@ -134,15 +138,17 @@
     cluster.run(20.0)
 
 
-def machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves(cluster: Cluster) -> None:
-    """What runs out of reach counts until its lease is over, whoever leads the shard."""
+def machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves(
+    cluster: SimulatedCluster,
+) -> None:
+    """Tasks on unreachable machines count until their lease is over, whoever leads the shard."""
     cut_off = [worker for worker in cluster.workers.values() if worker.zone == "a"]
     for number, worker in enumerate(cut_off):
-        worker.hangs, worker.mute = bool(number % 2), not number % 2
+        worker.hangs, worker.heartbeats_lost = bool(number % 2), not number % 2
     for number in range(4):
         cluster.cancel("n-1", f"run-{number}")
     gpu_jobs(cluster, "b", 4, first=20)
-    assert begin(cluster, EAST, "n-2")
+    assert request_move(cluster, EAST, "n-2")
     cluster.run(6.0)
     cluster.dead.add("n-2")
     cluster.run(30.0)
@@ -152,23 +158,23 @@
     "scenario",
     [
         owner_gets_no_answers,
-        a_cut_comes_late,
+        a_lowered_part_is_written_late,
         the_store_refuses_one_owner,
         machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves,
     ],
 )
-def test_no_team_is_above_its_limit(limited: Cluster, scenario: Scenario) -> None:
+def test_no_team_is_above_its_limit(limited: SimulatedCluster, scenario: Scenario) -> None:
     cluster = limited
     gpu_jobs(cluster, "a", 4)
     cluster.run(12.0)
     assert gpus_in_use(cluster) == LIMIT
     scenario(cluster)
-    assert broken(cluster) == []
-    assert parts(cluster).total().gpus <= LIMIT
+    assert verdict(cluster) == []
+    assert allowances(cluster).total().gpus <= LIMIT
 
 
 def test_a_part_counts_as_lowered_from_before_the_write_and_as_raised_after_it(
-    limited: Cluster,
+    limited: SimulatedCluster,
 ) -> None:
     """Without an answer the lower one counts, until a later write is confirmed."""
     cluster = limited
@@ -181,19 +187,21 @@
         return limits.teams()["red"].gpus_max
 
     assert part() == pytest.approx(LIMIT / 2)
-    cluster.links["n-0"].late = True  # its own part is lowered, the answer does not come
+    cluster.links[
+        "n-0"
+    ].delays_transactions = True  # its own part is lowered, the answer does not come
     gpu_jobs(cluster, "b", 3)
     cluster.run(4.0)
     low = part()
     assert low < LIMIT / 2
-    cluster.links["n-0"].late = False
+    cluster.links["n-0"].delays_transactions = False
     limits.read_records()
     assert limits.records["red"].record.of(ShardName(EAST)).gpus > low  # as the store has it
     assert part() == low
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
     assert part() <= LIMIT
-    assert broken(cluster) == []
+    assert verdict(cluster) == []
 
 
 RED = limit_of(Team("red", gpus_max=LIMIT))
@@ -203,20 +211,25 @@
 @pytest.mark.parametrize(
     ("demand", "claims", "targets"),
     [
-        ({}, {}, (4.0, 4.0)),
-        ({EAST: 6.0}, {}, (7.0, 1.0)),
-        ({EAST: 8.0, WEST: 8.0}, {}, (4.0, 4.0)),
-        ({EAST: 30.0, WEST: 2.0}, {}, (6.4, 1.6)),
-        ({EAST: 8.0, WEST: 8.0}, {WEST: (7.0, 5.0)}, (8 / 9, 64 / 9)),
-        ({EAST: 8.0, WEST: 8.0}, {WEST: (8.0, 5.0), EAST: (8.0, 4.0)}, (8.0, 0.0)),
+        pytest.param({}, {}, (4.0, 4.0), id="no_demand"),
+        pytest.param({EAST: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
+        pytest.param({EAST: 8.0, WEST: 8.0}, {}, (4.0, 4.0), id="equal_demand"),
+        pytest.param({EAST: 30.0, WEST: 2.0}, {}, (6.4, 1.6), id="unequal_demand"),
+        pytest.param({EAST: 8.0, WEST: 8.0}, {WEST: (7.0, 5.0)}, (8 / 9, 64 / 9), id="one_claim"),
+        pytest.param(
+            {EAST: 8.0, WEST: 8.0},
+            {WEST: (8.0, 5.0), EAST: (8.0, 4.0)},
+            (8.0, 0.0),
+            id="older_claim_first",
+        ),
     ],
 )
-def test_what_each_part_should_be(
+def test_the_target_of_each_part(
     demand: dict[str, float],
     claims: dict[str, tuple[float, float]],
     targets: tuple[float, float],
 ) -> None:
-    """Each shard comes to the same from one record: the oldest claim, then demand, then evenly."""
+    """Each shard derives the same from one record: the oldest claim, then demand, then evenly."""
     record = Allowances(
         {},
         {shard: Amount(gpus=gpus) for shard, gpus in demand.items()},
@@ -226,8 +239,10 @@
     assert found == pytest.approx(list(targets))
 
 
-def test_small_work_does_not_wait_for_ever_beside_room_that_a_gang_wants(limited: Cluster) -> None:
-    """A gang that could only start once all others have ended keeps room by turns."""
+def test_small_jobs_get_their_turn_beside_a_gang_that_needs_the_whole_limit(
+    limited: SimulatedCluster,
+) -> None:
+    """The gang can start only once all others have ended: room is kept for it in turns."""
     cluster = limited
     gpu_jobs(cluster, "a", 1)
     cluster.run(6.0)
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -1,4 +1,4 @@
-"""A client of the users' interface, over a fake node and store."""
+"""A client of the HTTP API, over a fake node, leader and store; no sockets are opened."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeLeader:
-    """A leader that knows some jobs' states."""
+    """A leader that knows the status of some jobs."""
 
     def __init__(self) -> None:
         self.states: dict[str, JobStatus] = {}
@@ -79,7 +79,7 @@
 
 
 class Client:
-    """Calls the interface as WSGI."""
+    """Calls the API as a WSGI server does."""
 
     def __init__(self) -> None:
         self.node = FakeNode()
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -1,4 +1,7 @@
-"""The parts of the service whose clocks a test moves by hand."""
+"""Clocks that a test moves: each module that reads a clock gets one in place of its own.
+
+The lists name the modules of `ryewing` that read a clock; a new one has to be added here.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 import pytest
 
 from ryewing.sharding.settings import by_zones
-from support.cluster import Cluster
 from support.fakes import RAW_SETTINGS, Clock
+from support.simulated_cluster import SimulatedCluster
 
 TERM_PARTS = (
     "clients.machine_listing",
@@ -46,7 +49,7 @@
 
 
 def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
-    """Give some parts of the service a monotonic clock that the test moves."""
+    """Replace the monotonic clock of some modules by one that the test moves; return it."""
     clock = Clock()
     for part in parts:
         monkeypatch.setattr(f"ryewing.{part}.monotonic_now", clock)
@@ -54,7 +57,7 @@
 
 
 def clock_of_cluster(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    """Give all parts of several controllers one clock; no loop runs by itself."""
+    """Replace all clocks of several controllers by one; no loop of a leader starts by itself."""
     clock = moved_by_hand(monkeypatch, *TERM_PARTS, *NODE_PARTS, *SHARDING_PARTS)
     for part in WALL_CLOCK_PARTS:
         monkeypatch.setattr(f"ryewing.{part}.wall_now", clock)
@@ -63,12 +66,12 @@
     return clock
 
 
-def divided_clusters(monkeypatch: pytest.MonkeyPatch) -> Callable[..., Cluster]:
-    """Give what makes a cluster whose fleet is divided into shards of whole zones."""
+def divided_clusters(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
+    """Return a function that makes a simulated cluster with a fleet divided by zones."""
     clock = clock_of_cluster(monkeypatch)
 
-    def make(count: int = 2, **settings: Any) -> Cluster:
+    def make(count: int = 2, **settings: Any) -> SimulatedCluster:
         shards = by_zones(count, RAW_SETTINGS["params"]["zones"])
-        return Cluster(clock, msgspec.structs.replace(shards, **settings))
+        return SimulatedCluster(clock, msgspec.structs.replace(shards, **settings))
 
     return make
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,28 +1,32 @@
-"""Scenarios: courses of events over a cluster, and how one is brought up."""
+"""What scenarios have in common: how a simulated cluster is started.
+
+A scenario is a function that lets things happen to a cluster. It states what it needs to be true on
+its way; the test that runs it checks the rules of the protocol afterwards.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from support.cluster import Cluster
-from support.timed_workers import NAMES, TimedWorker
+from support.simulated_cluster import SimulatedCluster
+from support.timed_workers import CONTROLLERS, TimedWorker
 
-Scenario = Callable[[Cluster], None]
+Scenario = Callable[[SimulatedCluster], None]
 
 
-def serving(cluster: Cluster, machines: int = 1) -> TimedWorker:
-    """Bring up a leader and machines that may be given work."""
+def start_leader(cluster: SimulatedCluster, machines: int = 1) -> TimedWorker:
+    """Start a leader and machines that may be given work; return the first machine."""
     for number in range(1, machines + 1):
         cluster.worker(f"i-{number:06d}")
     cluster.run(4.0)
-    assert cluster.leader_name == NAMES[0]
+    assert cluster.leader_name == CONTROLLERS[0]
     return cluster.workers["i-000001"]
 
 
-def running(cluster: Cluster, ref: str = "run-1") -> TimedWorker:
-    """Bring up a leader, and a job that runs on a machine."""
-    worker = serving(cluster)
-    cluster.submit(NAMES[0], ref)
+def start_job(cluster: SimulatedCluster, ref: str = "run-1") -> TimedWorker:
+    """Start a leader, and a job of one task that runs on a machine; return the machine."""
+    worker = start_leader(cluster)
+    cluster.submit(CONTROLLERS[0], ref)
     cluster.run(8.0)
     assert [reported for reported, _ in worker.tasks] == [f"{ref}/0"]
     return worker
--- a/tests/support/cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -1,15 +1,16 @@
-"""Several controllers, their store, workers and users, played step by step by a clock of the test.
+"""A simulated cluster: three controllers, store, workers and users, stepped by the test's clock.
 
-What happens goes by the code paths of the service: records in the store, heartbeats and their
-answers, frames between controllers, requests of users. Nothing waits and no thread runs; who can't
-reach whom is a switch. `RuleChecker` keeps what users were told and what workers ran.
+The code of the service runs: records in the store, heartbeats and their responses, messages
+between controllers, requests of users. Simulated are the store, the network and the workers, with
+switches for their faults. Left out are sockets, latency and greenlets: each loop of a controller
+runs once in a step, in a fixed order, and direct commands are sent within the step. `RuleChecker`
+records what users were told and what workers ran.
 """
 
 from __future__ import annotations
 
 import io
 import random
-from collections import defaultdict
 from collections.abc import Callable
 from typing import Any
 
@@ -34,28 +35,29 @@
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import MachineId, ShardName, is_job_id, parse_task
 from ryewing.wire.cloud import MachineTypeList
-from ryewing.wire.jobs import GANG, JobSpec
+from ryewing.wire.jobs import GANG
 from ryewing.wire.workers import Heartbeat
+from support import cluster_verdict
 from support.fakes import CPU, GPU, RAW_SETTINGS, Clock, FakeCloud, job_spec, settings, submission
 from support.harness import use_cloud
 from support.rule_checker import RuleChecker
 from support.timed_store import StoreLink, TimedStore
-from support.timed_workers import NAMES, STEP_S, DirectLink, TimedWorker
-
-PATIENCE_S = 10.0
-"""How long a user who is refused asks again; the rules allow 75 s."""
+from support.timed_workers import CONTROLLERS, STEP_S, DirectLink, TimedWorker
 
 
 class FakePeer:
-    """The way from one controller to another; what passes is encoded as on the wire."""
+    """Requests from one controller to another, encoded and decoded as on the wire."""
 
-    def __init__(self, cluster: Cluster, here: str, there: str) -> None:
+    def __init__(self, cluster: SimulatedCluster, here: str, there: str) -> None:
         self._cluster = cluster
         self._here, self._there = here, there
 
     def request(self, request: Request, _deadline_s: float) -> Response:
         cluster = self._cluster
-        if frozenset((self._here, self._there)) in cluster.cut or self._there in cluster.dead:
+        if (
+            frozenset((self._here, self._there)) in cluster.partitions
+            or self._there in cluster.dead
+        ):
             raise PeerUnavailableError("cut")
         if self._there in cluster.frozen or self._here in cluster.frozen:
             raise PeerUnavailableError("deadline")
@@ -67,8 +69,12 @@
         return msgspec.msgpack.decode(msgspec.msgpack.encode(answer), type=Response)
 
 
-class Cluster:
-    """Three controllers and what is round them."""
+class SimulatedCluster:
+    """Three controllers with their store, workers and users.
+
+    `partitions` are pairs of controllers that can't reach each other, `dead` are controllers whose
+    process has ended, and `frozen` those whose process stands still.
+    """
 
     def __init__(self, clock: Clock, shards: ShardSettings | None = None) -> None:
         self.clock = clock
@@ -79,7 +85,7 @@
         self.cloud = FakeCloud()
         self.cloud.release = self._release  # type: ignore[method-assign]
         self.cloud_down = False
-        self.cut: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.dead: set[str] = set()
         self.frozen: set[str] = set()
         self.before_peer_answer: dict[str, Callable[[], None]] = {}
@@ -89,19 +95,19 @@
         self.nodes: dict[str, Node] = {}
         self.apis: dict[str, Api] = {}
         self.state_limits: dict[str, float] = {}
-        """Limits of the store, other than in the settings, for controllers booted from now on."""
+        """Limits of the store that differ from the settings, for controllers booted from now on."""
         self.after_load: Callable[[], None] | None = None
         """Called when a new leader has read the store, before anything else."""
         types = msgspec.to_builtins(MachineTypeList([CPU, GPU]))
         self.store.txn({}, [Put("flavours", types)])
-        for name in NAMES:
+        for name in CONTROLLERS:
             self.boot(name)
 
     def boot(self, name: str) -> None:
-        """Start a controller's process, or start it again."""
+        """Start or restart a controller's process."""
         members = [
             {"node": other, "domain": "a", "address": f"127.0.0.1:{18082 + n}"}
-            for n, other in enumerate(NAMES)
+            for n, other in enumerate(CONTROLLERS)
             if other != name
         ]
         params = {**RAW_SETTINGS["params"]}
@@ -117,7 +123,7 @@
             elector.store = node.division.store_for(elector.scope, node.store)
         if shards is not None:
             self.coordinators[name] = coordinator(node, shards)
-        for other in NAMES:
+        for other in CONTROLLERS:
             if other != name:
                 node.peers.members[other] = FakePeer(self, name, other)  # type: ignore[assignment]
         self.links[name] = link
@@ -128,16 +134,16 @@
     # -- time -------------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let time pass, in steps of `STEP_S`."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.now += STEP_S
-            self.store.tend()
+            self.store.expire_leases()
             for name, node in self.nodes.items():
                 if name not in self.dead | self.frozen:
                     self._step_node(name, node)
             for worker in list(self.workers.values()):
-                worker.tend()
-            self.rules.look()
+                worker.step()
+            self.rules.check()
 
     def _step_node(self, name: str, node: Node) -> None:
         if name in self.coordinators:
@@ -176,7 +182,7 @@
                     pass
 
     def load(self, leader: Leader) -> bool:
-        """Let a new leader read the store."""
+        """Let a new leader read the store; return whether it could."""
         try:
             leader.load()
         except StoreUnavailableError:
@@ -227,8 +233,7 @@
             leader.direct_messages.schedule = leader.direct_messages.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
-        """Give a token bucket that goes by the clock of the test: one verdict whatever the
-        machine."""
+        """Return a token bucket by the test's clock, so that a slow machine changes no result."""
         return TokenBucket(bucket.rate, bucket.burst, self.clock)
 
     def _release(self, machines: list[MachineId]) -> None:
@@ -249,61 +254,62 @@
 
     @property
     def leader_name(self) -> str:
-        """The controller that holds the latest term."""
+        """Return the controller that holds the latest term."""
         return self.leader_of(None)
 
     def leader_of(self, shard: str | None) -> str:
-        """The controller that holds the latest term of a shard."""
-        found = [(self.leader(name, shard), name) for name in NAMES]
+        """Return the controller that holds the latest term of a shard."""
+        found = [(self.leader(name, shard), name) for name in CONTROLLERS]
         leading = [(leader.term.number, name) for leader, name in found if leader is not None]
-        return max(leading, default=(0, NAMES[0]))[1]
+        return max(leading, default=(0, CONTROLLERS[0]))[1]
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
-        """The term that a controller leads, if it does."""
+        """Return the leader in a controller's process, if it leads."""
         return self.nodes[name].electors[ShardName(shard) if shard else None].leader
 
     def latest_leaders(self) -> list[Leader]:
-        """The latest term of each shard."""
+        """Return the leader of the latest term of each shard."""
         found = [
-            self.leader(self.leader_of(shard), shard) for shard in self.nodes[NAMES[0]].electors
+            self.leader(self.leader_of(shard), shard)
+            for shard in self.nodes[CONTROLLERS[0]].electors
         ]
         return [leader for leader in found if leader is not None]
 
     def worker(self, name: str = "i-000001", **kind: Any) -> TimedWorker:
-        """Put up a machine."""
+        """Add a machine and its worker."""
         self.workers[name] = TimedWorker(self, name, **kind)
         return self.workers[name]
 
     def send_heartbeat(self, node: str, heartbeat: Heartbeat) -> tuple[int, Any]:
-        """Bring a heartbeat, or a copy of one, to a controller."""
-        return self._http(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
+        """Deliver a heartbeat, or a copy of one, to a controller; return status and answer."""
+        return self.send_http_request(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
 
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
-        """A user submits a job, or repeats its submission."""
+        """Submit a job as a user, or repeat its submission; return the HTTP status."""
         wanted = job_spec(ref, **{"task_count": 1, **changes})
-        self.rules.runs.setdefault(ref, wanted)
+        self.rules.job_specs.setdefault(ref, wanted)
         body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
         return self._with_final_state(node, ref, "POST", "/v2/runs", body)
 
     def poll(self, node: str, ref: str = "run-1") -> int:
-        """A user asks."""
+        """Ask for a job's status as a user; return the HTTP status."""
         return self._with_final_state(node, ref, "GET", f"/v2/runs/{ref}")
 
     def cancel(self, node: str, ref: str = "run-1") -> int:
-        """A user cancels."""
+        """Cancel a job as a user; return the HTTP status."""
         return self._with_final_state(node, ref, "POST", f"/v2/runs/{ref}/cancel")
 
     def ask_all(self, ref: str = "run-1") -> None:
-        """Users ask at all controllers, and repeat the submission there."""
-        for name in NAMES:
+        """Ask every controller for a job's status, and repeat its submission there."""
+        for name in CONTROLLERS:
             self.poll(name, ref)
             self.submit(name, ref)
 
     def end(self, worker: TimedWorker) -> None:
-        """What runs on a worker completes."""
+        """Finish all tasks of a worker, and let it send a heartbeat in the next step."""
         worker.finish()
-        self.rules.look()
-        worker.next_report = self.clock()
+        self.rules.check()
+        worker.next_heartbeat_at = self.clock()
 
     def _with_final_state(
         self, node: str, ref: str, method: str, path: str, body: bytes = b""
@@ -311,26 +317,27 @@
         assert is_job_id(ref)
         if node in self.dead | self.frozen:
             return 0
-        status, answer = self._http(node, method, path, body)
-        self.rules.told(node, ref, status, answer)
+        status, answer = self.send_http_request(node, method, path, body)
+        self.rules.record_answer(node, ref, status, answer)
         return status
 
-    def _http(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+    def send_http_request(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+        """Do one request at a controller's API; return the status and the decoded answer."""
         seen: list[str] = []
         environ = {"REQUEST_METHOD": method, "PATH_INFO": path, "wsgi.input": io.BytesIO(body)}
         answer = b"".join(self.apis[node](environ, lambda status, _headers: seen.append(status)))
         return int(seen[0].split()[0]), msgspec.json.decode(answer)
 
     def is_gang(self, reported: str) -> bool:
-        """Tell whether a task waits for the others of its job."""
+        """Return whether a task is one of a gang, and starts only with the others."""
         task = parse_task(reported)
-        wanted = self.rules.runs.get(task.job) if task is not None else None
+        wanted = self.rules.job_specs.get(task.job) if task is not None else None
         if wanted is None:
             return False
         return bool(wanted.shape == GANG) and bool(wanted.task_count > 1)
 
     def is_complete(self, key: tuple[str, int]) -> bool:
-        """Tell whether all tasks of a gang's attempt are on machines, or have been."""
+        """Return whether all tasks of a gang's attempt are on machines, or were."""
         task = parse_task(key[0])
         assert task is not None
         there = {
@@ -341,90 +348,8 @@
             and other[0].startswith(f"{task.job}/")
             and (found.status in ("gathering", "running") or found.cause == "done")
         }
-        return len(there) == int(self.rules.runs[task.job].task_count)
-
-    # -- at the end -------------------------------------------------------------------------
-
-    def settle(self, seconds: float = 60.0) -> None:
-        """All troubles are over."""
-        self.store.down = self.cloud_down = False
-        self.cut.clear()
-        self.frozen.clear()
-        self.after_load = None
-        for link in self.links.values():
-            link.refused = link.mute_watch = link.answer_lost = False
-            link.stale_watch = link.before_answer = None
-            link.catch_up()
-        for name in list(self.dead):
-            self.boot(name)
-        for worker in self.workers.values():
-            worker.hangs = worker.mute = worker.deaf = False
-            worker.unreachable.clear()
-        self.run(seconds)
-
-    def waiting_in_vain(self) -> list[str]:
-        """Name the jobs that wait although a machine that fits has room."""
-        leaders = self.latest_leaders()
-        assert len(leaders) == len(self.nodes[NAMES[0]].electors)
-        jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
-        used: dict[str, float] = defaultdict(float)
-        for worker in self.workers.values():
-            for task in (parse_task(reported) for reported, _ in worker.tasks):
-                if task is not None and task.job in jobs:
-                    used[jobs[task.job].spec.team] += jobs[task.job].spec.gpus
-        found = []
-        for leader in leaders:
-            for job in leader.term.job_table:
-                need = job.spec
-                limit = leader.term.teams[need.team].gpus_max
-                if job.shortfall <= 0 or job.backoff_s:
-                    continue
-                # A gang waits for all it needs of the limit, an array for one task's part.
-                max_in_flight = job.shortfall if job.is_gang else 1
-                if limit and used[need.team] + max_in_flight * need.gpus > limit:
-                    continue
-                found += [f"{job.id} beside {name}" for name in self._idle_for(leader, need)]
-        return found
-
-    def _waiting_for(self, seconds: float) -> list[str]:
-        """Name the jobs that wait in vain for all of a time."""
-        found = self.waiting_in_vain()
-        until = self.clock() + seconds
-        while found and self.clock() < until:
-            self.run(2.0)
-            waiting = {text.split()[0] for text in self.waiting_in_vain()}
-            found = [text for text in found if text.split()[0] in waiting]
-        return found
-
-    def _idle_for(self, leader: Leader, need: JobSpec) -> list[str]:
-        return [
-            machine.id
-            for machine in leader.term.cluster.machines.values()
-            if machine.id in self.workers
-            and self.workers[machine.id].tasks == {}
-            and need.cpus <= machine.machine_type.cpus
-            and need.gpus <= machine.machine_type.gpus
-            and (need.zone is None or need.zone == machine.zone)
-        ]
-
-    def _poll_until_answered(self, node: str, job: str) -> int:
-        """Ask as a user does, who is told 503 and when to come back; for a bounded time."""
-        for _ in range(round(PATIENCE_S / STEP_S)):
-            status = self.poll(node, job)
-            if status != 503:
-                break
-            self.run(STEP_S)
-        return status
+        return len(there) == int(self.rules.job_specs[task.job].task_count)
 
     def verdict(self, patience_s: float = 0.0) -> list[str]:
-        """Say which rules were broken, once troubles are over.
-
-        A job may wait beside room for no longer than the given time.
-        """
-        self.settle()
-        for job in sorted(self.rules.accepted):
-            answers = {self._poll_until_answered(name, job) for name in NAMES}
-            if answers != {200}:
-                self.rules._violation("forgotten", f"{job}: {answers}")
-        waits = [f"waits: {text}" for text in self._waiting_for(patience_s)]
-        return self.rules.broken + waits
+        """End all faults, and return the rules that were broken (`cluster_verdict`)."""
+        return cluster_verdict.verdict(self, patience_s)
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -1,23 +1,23 @@
-"""Cancellations, ends and acceptances beside whatever else may happen to controllers and store.
+"""Jobs that are cancelled, end or are accepted while other things happen to controllers and store.
 
-Each row asserts the rules of the protocol by what users were told and workers ran.
+Each test case checks the rules of the protocol by what users were told and workers ran.
 """
 
 from __future__ import annotations
 
 import msgspec
 import pytest
-from support.cluster import Cluster
-from support.scenarios import Scenario, running, serving
-from support.timed_workers import NAMES
+from support.scenarios import Scenario, start_job, start_leader
+from support.simulated_cluster import SimulatedCluster
+from support.timed_workers import CONTROLLERS
 
 from ryewing.clients.store import Put
 from ryewing.units import Revision
 
 
-def cancelled_while_the_next_leader_reads(cluster: Cluster) -> None:
-    """A new leader has read the jobs but not yet the rest when the cancel is told to it."""
-    running(cluster)
+def cancelled_while_the_next_leader_reads(cluster: SimulatedCluster) -> None:
+    """A new leader has read the jobs but not yet the rest when it is notified of the cancel."""
+    start_job(cluster)
     cluster.submit("n-0", "run-2", cpus=30.0)
     cluster.run(1.0)
     cluster.dead.add("n-0")
@@ -44,9 +44,9 @@
     cluster.ask_all("run-2")
 
 
-def cancelled_before_the_leader_knows_the_job(cluster: Cluster) -> None:
-    """The leader's watch lags: it hears of the cancel before it hears of the job."""
-    serving(cluster)
+def cancelled_before_the_leader_knows_the_job(cluster: SimulatedCluster) -> None:
+    """The leader's watch lags: the notice of the cancel comes before the job itself."""
+    start_leader(cluster)
     link = cluster.links["n-0"]
     link.stale_watch = Revision(cluster.store.revision)
     cluster.submit("n-1")
@@ -58,9 +58,9 @@
     cluster.run(5.0)
 
 
-def cancelled_while_a_watch_brings_the_job(cluster: Cluster) -> None:
-    """The answer that brings the job was made before the cancel, and arrives after it was told."""
-    serving(cluster)
+def cancelled_while_a_watch_brings_the_job(cluster: SimulatedCluster) -> None:
+    """The watch's answer with the job was made before the cancel, and arrives after its notice."""
+    start_leader(cluster)
     assert cluster.submit("n-1") == 201
 
     def cancelled() -> None:
@@ -73,9 +73,9 @@
     cluster.ask_all()
 
 
-def cancelled_before_its_acceptance_is_told(cluster: Cluster) -> None:
-    """The submission is written, repeated elsewhere and cancelled before its answer is there."""
-    serving(cluster)
+def cancelled_before_its_acceptance_is_told(cluster: SimulatedCluster) -> None:
+    """The submission is written, repeated elsewhere and cancelled before its answer arrives."""
+    start_leader(cluster)
 
     def cancelled() -> None:
         assert cluster.submit("n-1") == 200
@@ -86,63 +86,63 @@
     cluster.ask_all()
 
 
-def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: Cluster) -> None:
-    """It follows the store all the time; its peers' users must not wait for ever."""
-    worker = running(cluster)
-    worker.deaf = True  # so that the end of its task can't be written yet
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
+    """The leader follows the store all the time; users of other controllers must get an answer."""
+    worker = start_job(cluster)
+    worker.replies_lost = True  # so that the end of its task can't be written yet
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     for _ in range(16):
         if cluster.cancel("n-1") == 200:
             break
         cluster.run(1.0)
-    assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
     assert worker.tasks
     cluster.ask_all()
 
 
-def _written_but_not_told(cluster: Cluster) -> None:
-    """A cancel is in the store; the one who wrote it does not know, nor does the leader."""
-    running(cluster)
-    cluster.links["n-0"].mute_watch = True
-    cluster.links["n-1"].answer_lost = True
+def _write_a_cancel_unnoticed(cluster: SimulatedCluster) -> None:
+    """A cancel is in the store, but neither its writer nor the leader knows."""
+    start_job(cluster)
+    cluster.links["n-0"].watch_hangs = True
+    cluster.links["n-1"].loses_answers = True
     assert cluster.cancel("n-1") == 503
-    cluster.links["n-1"].answer_lost = False
+    cluster.links["n-1"].loses_answers = False
 
 
-def cancelled_as_a_poll_finds_it(cluster: Cluster) -> None:
-    """Who can't ask the leader reads the store, where the cancel is."""
-    _written_but_not_told(cluster)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+def cancelled_as_a_poll_finds_it(cluster: SimulatedCluster) -> None:
+    """A controller that can't reach the leader reads the store, where the cancel is."""
+    _write_a_cancel_unnoticed(cluster)
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.poll("n-2")
     cluster.poll("n-0")
 
 
-def cancelled_as_a_repeated_submission_finds_it(cluster: Cluster) -> None:
-    """A repeat of the submission never asks the leader."""
-    _written_but_not_told(cluster)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+def cancelled_as_a_repeated_submission_finds_it(cluster: SimulatedCluster) -> None:
+    """A repeated submission finds the cancel in the store, without a request to the leader."""
+    _write_a_cancel_unnoticed(cluster)
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.submit("n-2")
     cluster.submit("n-1")
     cluster.poll("n-0")
     cluster.submit("n-0")
 
 
-def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: Cluster) -> None:
-    """Its lease is in order, its watch hangs, and the others can't reach it."""
-    running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
-    cluster.links["n-0"].mute_watch = True
+def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: SimulatedCluster) -> None:
+    """Its lease is renewed, its watch hangs, and the other controllers can't reach it."""
+    start_job(cluster)
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+    cluster.links["n-0"].watch_hangs = True
     for _ in range(80):
         cluster.cancel("n-1")
         cluster.poll("n-0")
         cluster.run(0.5)
-    assert cluster.rules.final == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
 
 
-def a_leader_that_can_renew_but_not_follow(cluster: Cluster) -> None:
-    """It may do nothing, and keeps others from it: it must make room."""
-    serving(cluster)
-    cluster.links["n-0"].mute_watch = True
+def a_leader_that_can_renew_but_not_follow(cluster: SimulatedCluster) -> None:
+    """It may do nothing, and while it holds the lease nobody else may: it must resign."""
+    start_leader(cluster)
+    cluster.links["n-0"].watch_hangs = True
     cluster.run(5.0)
     assert cluster.submit("n-1") == 201
     cluster.run(30.0)
@@ -150,23 +150,23 @@
     assert cluster.workers["i-000001"].tasks
 
 
-def cancelled_by_a_clock_that_is_ahead(cluster: Cluster) -> None:
-    """The cancel's time of writing is long past: its transaction was carried out late."""
-    running(cluster)
-    cluster.cut |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
+def cancelled_by_a_clock_that_is_ahead(cluster: SimulatedCluster) -> None:
+    """The cancel carries a time long past: its transaction is applied late."""
+    start_job(cluster)
+    cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     link = cluster.links["n-1"]
-    link.late = True
+    link.delays_transactions = True
     cluster.cancel("n-1")
     cluster.run(30.0)
-    cluster.links["n-0"].mute_watch = True
-    link.catch_up()
+    cluster.links["n-0"].watch_hangs = True
+    link.apply_delayed()
     cluster.cancel("n-1")
     cluster.poll("n-0")
 
 
-def cancelled_on_its_way_while_a_poll_waits(cluster: Cluster) -> None:
-    """The leader's answer to a poll is overtaken by a cancel told at the node that asked."""
-    running(cluster)
+def cancelled_on_its_way_while_a_poll_waits(cluster: SimulatedCluster) -> None:
+    """The leader's answer to a poll arrives after a cancel at the controller that asked."""
+    start_job(cluster)
 
     def cancelled() -> None:
         assert cluster.cancel("n-1") == 200
@@ -175,9 +175,9 @@
     cluster.poll("n-1")
 
 
-def cancelled_in_the_moment_of_the_take_over(cluster: Cluster) -> None:
-    """One controller's work changes hands twice while users cancel."""
-    running(cluster)
+def cancelled_during_a_failover(cluster: SimulatedCluster) -> None:
+    """The leader changes several times while users cancel."""
+    start_job(cluster)
     for number in range(2, 8):
         cluster.submit("n-1", f"run-{number}", cpus=2.0)
     cluster.run(4.0)
@@ -185,7 +185,7 @@
         cluster.cancel(name, f"run-{number}")
         cluster.dead.add(name)
         for _ in range(20):
-            other = next(n for n in NAMES if n not in cluster.dead)
+            other = next(n for n in CONTROLLERS if n not in cluster.dead)
             cluster.cancel(other, f"run-{number + 3}")
             for ref in range(1, 8):
                 cluster.poll(other, f"run-{ref}")
@@ -193,13 +193,13 @@
         cluster.boot(name)
 
 
-def cancelled_as_the_last_task_ends(cluster: Cluster) -> None:
-    """The end is written or about to be while users cancel, ask and repeat the submission."""
+def cancelled_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
+    """The end is being written while users cancel, ask and repeat the submission."""
     for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
         ref = f"run-{number}"
-        worker = running(cluster, ref)
+        worker = start_job(cluster, ref)
         cluster.end(worker)
-        worker.report_now()
+        worker.send_heartbeat()
         leader = cluster.leader("n-0")
         assert leader is not None
         # The end is written after the cancel, and then between its reading and its writing.
@@ -213,17 +213,17 @@
         cluster.ask_all(ref)
         cluster.run(1.0)
         cluster.ask_all(ref)
-    assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
+    assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
-def asked_as_the_last_task_ends(cluster: Cluster) -> None:
-    """The end is written while a reader of the store looks for the job."""
-    worker = running(cluster)
+def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
+    """The end is written while another controller looks for the job in the store."""
+    worker = start_job(cluster)
     cluster.end(worker)
-    worker.report_now()
+    worker.send_heartbeat()
     leader = cluster.leader("n-0")
     assert leader is not None
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
 
     def ends(_key: str) -> None:
         leader.writer.write_once()
@@ -234,39 +234,40 @@
     cluster.ask_all()
 
 
-def ended_by_a_write_that_comes_late(cluster: Cluster) -> None:
-    """The end's transaction gets no answer, another try meets a conflict, the first one comes."""
-    worker = running(cluster)
+def ended_by_a_write_that_comes_late(cluster: SimulatedCluster) -> None:
+    """The end's transaction gets no answer, a second one conflicts, then the first is applied."""
+    worker = start_job(cluster)
     leader = cluster.leader("n-0")
     assert leader is not None
-    cluster.links["n-0"].late = True
+    link = cluster.links["n-0"]
+    link.delays_transactions = True
     cluster.end(worker)
     cluster.run(1.0)
-    late, cluster.links["n-0"]._held = cluster.links["n-0"]._held[:1], []
-    cluster.links["n-0"].late = False
+    late, link.delayed_transactions = link.delayed_transactions[:1], []
+    link.delays_transactions = False
     # A record that another transaction has changed meanwhile makes the next try fail as a whole.
     key = next(key for key in cluster.store.data if key.startswith("m/"))
     cluster.store.txn({}, [Put(key, msgspec.json.decode(cluster.store.data[key][0]))])
     cluster.worker("i-000002")
-    cluster.workers["i-000002"].report_now()
-    cluster.workers["i-000002"].report_now()
+    cluster.workers["i-000002"].send_heartbeat()
+    cluster.workers["i-000002"].send_heartbeat()
     leader.writer.write_once()
     for conditions, writes in late:
         cluster.store.txn(conditions, writes)
-    cluster.cut.add(frozenset(("n-0", "n-2")))
+    cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.ask_all()
     cluster.poll("n-2")
     cluster.poll("n-0")
 
 
-def accepted_without_an_answer(cluster: Cluster) -> None:
-    """A submission is carried out and only its answer is lost, or it comes late."""
-    serving(cluster)
+def accepted_without_an_answer(cluster: SimulatedCluster) -> None:
+    """A submission is applied and only its answer is lost, or it is applied late."""
+    start_leader(cluster)
     for ref, lost in (("run-1", True), ("run-2", False)):
         link = cluster.links["n-1"]
-        link.answer_lost, link.late = lost, not lost
+        link.loses_answers, link.delays_transactions = lost, not lost
         assert cluster.submit("n-1", ref) == 503
-        link.answer_lost = link.late = False
+        link.loses_answers = link.delays_transactions = False
         cluster.submit("n-2", ref)
         cluster.ask_all(ref)
         if lost:
@@ -276,11 +277,11 @@
             cluster.end(cluster.workers["i-000001"])
             cluster.run(2.0)
         cluster.ask_all(ref)
-        link.catch_up()
+        link.apply_delayed()
         cluster.boot("n-1")  # one that remembers nothing
         link = cluster.links["n-1"]
         cluster.ask_all(ref)
-    assert cluster.rules.final == {"run-1": "cancelled", "run-2": "done"}
+    assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
 SCENARIOS: list[Scenario] = [
@@ -295,7 +296,7 @@
     a_leader_that_can_renew_but_not_follow,
     cancelled_by_a_clock_that_is_ahead,
     cancelled_on_its_way_while_a_poll_waits,
-    cancelled_in_the_moment_of_the_take_over,
+    cancelled_during_a_failover,
     cancelled_as_the_last_task_ends,
     asked_as_the_last_task_ends,
     ended_by_a_write_that_comes_late,
@@ -304,6 +305,6 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
-def test_no_rule_is_broken(cluster: Cluster, scenario: Scenario) -> None:
+def test_no_rule_is_broken(cluster: SimulatedCluster, scenario: Scenario) -> None:
     scenario(cluster)
     assert cluster.verdict() == []
