--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -6,6 +6,7 @@
 from collections import Counter, OrderedDict
 from typing import NamedTuple
 
+from ryewing.state.image_fetches import ImageFetch
 from ryewing.state.jobs import Job
 from ryewing.units import (
     NEVER_HEARD,
@@ -113,17 +114,6 @@
         self.done = done
 
 
-class ImageFetch:
-    """An image on its way to a machine, as its tasks show it."""
-
-    __slots__ = ("alone", "began")
-
-    def __init__(self, began: MonotonicTime, alone: bool) -> None:
-        self.began = began
-        self.alone = alone
-        """No other image was fetched there meanwhile."""
-
-
 class MachineKind(NamedTuple):
     """What decides which jobs may use a machine."""
 
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -260,7 +260,7 @@
         parsed.append(text)
         return parse_task(text)
 
-    monkeypatch.setattr("ryewing.state.cluster_state.parse_task", counted)
+    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task", counted)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
