--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -23,7 +23,7 @@
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.worker_commands import PROBE_AFTER, WorkerCommands
-from ryewing.state.machine import TaskPhase
+from ryewing.state.attempts import TaskPhase
 from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
 from ryewing.wire.jobs import JobStatus
 from ryewing.wire.workers import Heartbeat, HeartbeatResponse
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -18,9 +18,10 @@
 from ryewing.leader.worker_commands import WorkerCommands
 from ryewing.scheduling import preemption, queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota, allows
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.failure_detector import AVOID_S
 from ryewing.state.jobs import Job
-from ryewing.state.machine import WARM, Assignment, Machine, TaskPhase
+from ryewing.state.machine import WARM, Assignment, Machine
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.state.resources import fits_machine_type
 from ryewing.units import (
--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -16,7 +16,8 @@
 from ryewing.clients.workers import Workers, WorkerUnavailableError
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
-from ryewing.state.machine import Assignment, Machine, TaskPhase
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Assignment, Machine
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
--- a/src/ryewing/scheduling/preemption.py
+++ b/src/ryewing/scheduling/preemption.py
@@ -8,8 +8,9 @@
 from collections.abc import Iterable
 
 from ryewing.config.settings import Team
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, TaskPhase
+from ryewing.state.machine import Assignment
 from ryewing.state.resources import EPSILON
 from ryewing.units import MonotonicTime
 
--- a/src/ryewing/state/assignment_table.py
+++ b/src/ryewing/state/assignment_table.py
@@ -9,9 +9,10 @@
 
 import logging
 
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, Machine, TaskPhase
+from ryewing.state.machine import Assignment, Machine
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId, TeamName
 from ryewing.wire.jobs import JobSpec
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -10,9 +10,10 @@
 import logging
 from typing import Protocol
 
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, Machine, TaskPhase, ran_for_a_while
+from ryewing.state.machine import Assignment, Machine, ran_for_a_while
 from ryewing.units import JobId, MachineId, MonotonicTime
 
 log = logging.getLogger(__name__)
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -1,8 +1,8 @@
 """Applies workers' heartbeats to the cluster state.
 
-Every heartbeat carries the worker's whole status (PROTOCOL, "POST /v1/report") and replaces what was
-known of that machine, if it is newer (safety arguments 4 and 5 in docs/design.md). Nothing here
-waits.
+Every heartbeat carries the whole status of its worker (PROTOCOL, "POST /v1/report"), and replaces
+what was known of that machine if it is newer (safety arguments 4 and 5 in docs/design.md). Nothing
+here waits.
 """
 
 from __future__ import annotations
@@ -10,17 +10,11 @@
 import logging
 
 from ryewing.state.assignment_table import AssignmentTable
+from ryewing.state.attempts import LIVE_PHASES, EndedAttempt, TaskPhase
 from ryewing.state.failure_detector import FailureDetector
 from ryewing.state.image_fetches import FetchContention
 from ryewing.state.jobs import Job
-from ryewing.state.machine import (
-    LIVE_PHASES,
-    Assignment,
-    EndedAttempt,
-    Machine,
-    TaskPhase,
-    ran_for_a_while,
-)
+from ryewing.state.machine import Assignment, Machine, ran_for_a_while
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
     NEVER_HEARD,
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -1,11 +1,14 @@
-"""One machine as far as the leader knows it: what runs there, its images and how well it does."""
+"""One machine as far as the leader knows it: its assignments, its images and how well it does.
+
+`Assignment` is in the same module because each of the two classes refers to the other.
+"""
 
 from __future__ import annotations
 
-import enum
 from collections import Counter, OrderedDict
 from typing import NamedTuple
 
+from ryewing.state.attempts import EndedAttempt, TaskPhase
 from ryewing.state.image_fetches import ImageFetch
 from ryewing.state.jobs import Job
 from ryewing.units import (
@@ -23,40 +26,29 @@
 from ryewing.wire.workers import ReportedTask
 
 RAN_FOR_A_WHILE_S = 15.0
-"""A replica that ran for so long did not fail at its start."""
-WARM, FETCHED_NOW, COLD = range(3)
-"""Whether a machine has an image, is fetching it, or neither: the smaller the sooner."""
+"""A replica that ran for this long did not fail at its start."""
+
+# Plain integers and no enum: scheduling compares and adds them for each machine that it examines.
+WARM = 0
+"""A value of `Machine.warmth`: the image is probably on the machine."""
+FETCHED_NOW = 1
+"""A value of `Machine.warmth`: the image is being fetched for another task."""
+COLD = 2
+"""A value of `Machine.warmth`: the image has to be fetched."""
+
 PACE_WEIGHT = 0.2
-"""How much one finished task counts for its machine's pace."""
+"""The weight of one finished task in the moving average of its machine's pace."""
 MAX_PACE = 3.0
-"""What one task may count at the most."""
+"""The upper bound of what one task may contribute to that average."""
 SLOW_PACE = 1.4
-"""Where tasks take so many times as long as elsewhere, the machine is slow."""
-SLOWDOWN_FROM_S = 5.0
-"""How long a fetch has to take to tell whether fetches share a machine's rate: a heartbeat tells of
-its end seconds late."""
-
-
-class TaskPhase(enum.StrEnum):
-    """Where a task attempt is: what the leader has decided, then what the worker reports."""
-
-    PLANNED = "planned"
-    SENT = "sent"
-    FETCHING = "fetching"
-    GATHERING = "gathering"
-    RUNNING = "running"
-    SAVING = "saving"
-    ENDED = "ended"
-
-
-LIVE_PHASES = frozenset(
-    (TaskPhase.FETCHING, TaskPhase.GATHERING, TaskPhase.RUNNING, TaskPhase.SAVING)
-)
-"""What a worker heartbeats of an attempt that is on its machine."""
+"""The pace above which a machine is slow: its tasks take this many times as long as elsewhere."""
+MEASURABLE_FETCH_S = 5.0
+"""The expected duration from which on a fetch is measured: its end shows in a heartbeat, which is
+seconds late."""
 
 
 class Assignment:
-    """One task attempt on a machine: planned, assumed, or reported."""
+    """One task attempt on a machine: planned, assumed (its start was sent), or reported."""
 
     __slots__ = (
         "attempt",
@@ -83,18 +75,24 @@
         self.task = task
         self.attempt = attempt
         self.job = job
+        """None if the leader knows no such job, or the job has no such task."""
         self.phase = phase
         self.planned_at = now
+        """When the leader planned it, or first heard of it."""
         self.sent_after: HeartbeatVersion | None = None
         """The heartbeat whose response carried the start; a later heartbeat settles it."""
         self.running_since: MonotonicTime | None = None
+        """When it was first seen to run."""
         self.start_observed = False
-        """Its run was seen to begin; a task found running after a take-over was not."""
+        """Whether it was seen in an earlier phase first; not so for a task that was found running,
+        as after a failover."""
 
 
 def ran_for_a_while(assignment: Assignment, now: MonotonicTime) -> bool:
-    """Tell whether a task ran for a while; of a replica that was found running nothing else is
-    known."""
+    """Return whether a task ran long enough not to have failed at its start.
+
+    A replica that was found running counts as such, since nothing else is known of it.
+    """
     if assignment.running_since is None:
         return False
     found_serving = (
@@ -103,17 +101,6 @@
     return found_serving or now - assignment.running_since >= RAN_FOR_A_WHILE_S
 
 
-class EndedAttempt:
-    """An ended attempt that the worker reports until it is cleared."""
-
-    __slots__ = ("attempt", "done", "task")
-
-    def __init__(self, task: TaskId, attempt: Attempt, done: bool) -> None:
-        self.task = task
-        self.attempt = attempt
-        self.done = done
-
-
 class MachineKind(NamedTuple):
     """What decides which jobs may use a machine."""
 
@@ -123,7 +110,11 @@
 
 
 class Machine:
-    """One machine as far as it is known."""
+    """One machine, which may be booting, in use, silent or about to be released.
+
+    `AssignmentTable` keeps the assignments and the free resources, and `HeartbeatApplier` applies
+    what the worker reports; the leader's parts set the flags of use and release.
+    """
 
     __slots__ = (
         "acknowledged",
@@ -162,65 +153,136 @@
         "zone",
     )
 
+    # What it is.
+    id: MachineId
+    machine_type: MachineType
+    zone: Zone
+    spot: bool
+    address: str
+    """Where its worker takes direct messages; empty until it has told."""
+    rented_at: MonotonicTime
+    recorded: bool
+    """Whether the store has it as heard, so that a successor knows that it may hold tasks."""
+
+    # Its heartbeats and its lease.
+    version: HeartbeatVersion
+    """The version of the newest heartbeat that was applied."""
+    heard_at: MonotonicTime | None
+    """When that heartbeat was applied; None if there was none in this term."""
+    expired_incarnation: int
+    """The newest incarnation that has certainly ended: a heartbeat of it is an old copy."""
+    may_hold_until: MonotonicTime | None
+    """Until when its lease may run; None if its worker was never answered, or its lease ended."""
+    notice_s: float | None
+    """Seconds until the cloud takes it back, as of its newest heartbeat; None without a notice."""
+    noticed_at: MonotonicTime
+    """When the notice was first seen."""
+
+    # Whether the leader's messages reach its worker (safety argument 4 in docs/design.md).
+    acknowledged: int
+    """The highest bump of this term's token that it has shown; -1 if it has shown none."""
+    required_acknowledgement: int
+    """The token bump that it has to show before it gets work: nothing else proves that our
+    responses reach it."""
+    unacknowledged_since: MonotonicTime | None
+    """Since when its heartbeats arrive although it doesn't acknowledge our token."""
+    token_bumps: int
+    """How often its token was raised in this term."""
+    token_bumped_at: MonotonicTime | None
+    """When its token was last raised to call for an early heartbeat."""
+
+    # Whether it is to be used.
+    being_released: bool
+    """Whether the cloud is being asked to take it back."""
+    cordoned: bool
+    """Whether no more work is wanted here: it is released once its tasks have ended."""
+    cordoned_since: MonotonicTime
+    quarantined: bool
+    """Whether it failed tasks of several healthy jobs, and takes no more."""
+    faults: set[JobId]
+    """Jobs that failed here since a task last finished, and that may be healthy themselves."""
+    pace: float
+    """How long tasks take here, relative to tasks of the same jobs elsewhere."""
+
+    # Its tasks.
+    assignments: dict[TaskId, Assignment]
+    idle_since: MonotonicTime
+    """When the last assignment was dropped, or else when the leader first knew the machine."""
+    cpus: float
+    """What its assignments leave free, planned ones included; so also `gpus` and `memory_gb`."""
+    gpus: float
+    memory_gb: float
+    last_reported: dict[tuple[str, int], ReportedTask]
+    """Attempts as its newest heartbeat showed them, by task id and attempt: only what differs in
+    the next heartbeat costs work."""
+    ended: dict[tuple[str, int], EndedAttempt]
+    """Ended attempts that its worker still reports, by task id and attempt."""
+
+    # Its images.
+    images: OrderedDict[str, float]
+    """Images that its worker probably has in its cache, with their sizes in GB; the most recently
+    used one is the last."""
+    images_in_use: Counter[str]
+    """Images of its assignments, so also those being fetched."""
+    fetches: dict[str, ImageFetch]
+    """Images that a heartbeat has shown to be fetched."""
+
     def __init__(
-        self, name: MachineId, machine_type: MachineType, zone: Zone, spot: bool, now: MonotonicTime
+        self,
+        machine_id: MachineId,
+        machine_type: MachineType,
+        zone: Zone,
+        spot: bool,
+        now: MonotonicTime,
     ) -> None:
-        self.id = name
+        self.id = machine_id
         self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
         self.address = ""
+        self.rented_at = now
+        self.recorded = False
+
         self.version = NEVER_HEARD
+        self.heard_at = None
         self.expired_incarnation = 0
-        """The newest incarnation that is surely over: what is said of it is an old copy."""
+        self.may_hold_until = None
+        self.notice_s = None
+        self.noticed_at = now
+
         self.acknowledged = -1
-        """The highest raise of our term's token that its messages have shown; -1: nothing of it."""
         self.required_acknowledgement = 0
-        """The token raise that it has to show before it gets work: nothing else tells that our
-        answers reach it."""
-        self.unacknowledged_since: MonotonicTime | None = None
-        """Since when its messages come although it doesn't hear ours."""
-        self.recorded = False
-        """The store holds the machine, so that a successor knows that it may have tasks."""
-        self.heard_at: MonotonicTime | None = None
-        self.may_hold_until: MonotonicTime | None = None
-        """Until then its lease may run. None: the worker was never answered by anybody."""
-        self.rented_at = now
-        self.idle_since = now
-        self.notice_s: float | None = None
-        self.noticed_at = now
-        self.pace = 1.0
-        """How long tasks take here, as against the same jobs' tasks elsewhere."""
+        self.unacknowledged_since = None
         self.token_bumps = 0
-        self.token_bumped_at: MonotonicTime | None = None
+        self.token_bumped_at = None
+
         self.being_released = False
         self.cordoned = False
-        """No more work is wanted here: it is returned once what runs has ended."""
         self.cordoned_since = now
         self.quarantined = False
-        self.assignments: dict[TaskId, Assignment] = {}
-        self.last_reported: dict[tuple[str, int], ReportedTask] = {}
-        """Attempts as its newest message showed them: only what differs in the next is news."""
-        self.ended: dict[tuple[str, int], EndedAttempt] = {}
-        self.images: OrderedDict[str, float] = OrderedDict()
-        self.images_in_use: Counter[str] = Counter()
-        """Images of the tasks that are here, so also of those being fetched."""
-        self.fetches: dict[str, ImageFetch] = {}
-        """Images seen to be fetched."""
-        self.faults: set[JobId] = set()
-        """Jobs that failed here since a task last finished, and that may be healthy themselves."""
+        self.faults = set()
+        self.pace = 1.0
+
+        self.assignments = {}
+        self.idle_since = now
         self.cpus = machine_type.cpus
         self.gpus = machine_type.gpus
         self.memory_gb = machine_type.memory_gb
+        self.last_reported = {}
+        self.ended = {}
+
+        self.images = OrderedDict()
+        self.images_in_use = Counter()
+        self.fetches = {}
 
     @property
     def handshaken(self) -> bool:
-        """Tell whether a message with our term's token came: it refuses older starts since."""
+        """Whether a message has shown this term's token: its worker refuses older starts since."""
         return self.acknowledged >= 0
 
     @property
     def acknowledges(self) -> bool:
-        """Tell whether it was seen to hear us, since something was last lost."""
+        """Whether its worker was seen to hear us since a message to it was last lost."""
         return self.acknowledged >= self.required_acknowledgement
 
     @property
@@ -229,7 +291,7 @@
         return MachineKind(self.machine_type.name, self.zone, self.spot)
 
     def usable(self) -> bool:
-        """Tell whether new tasks may be planned for it."""
+        """Return whether new tasks may be planned for it."""
         return (
             self.acknowledges
             and self.recorded
@@ -240,46 +302,56 @@
         )
 
     def record_pace(self, job: Job, took_s: float) -> None:
-        """Compare a finished task with what its job's tasks were seen to take so far."""
+        """Compare the run time of a finished task with its job's earlier tasks, on any machine."""
         if job.run_seen_s:
             ratio = min(MAX_PACE, took_s / job.run_seen_s)
             self.pace += PACE_WEIGHT * (ratio - self.pace)
 
+    def slow(self) -> bool:
+        """Return whether tasks take much longer here.
+
+        Machine types and chance make a difference of a tenth or two.
+        """
+        return self.pace > SLOW_PACE
+
     def record_fetch(self, spec: JobSpec, fetching: bool, now: MonotonicTime) -> float | None:
-        """Take note of a fetch's begin, or its end: then how much longer than thought it took.
+        """Record that a task's image is being fetched, or (`fetching` is false) no longer is.
 
-        Only of fetches beside others, since whether these share the machine's rate is not known.
+        At the end of a fetch that had others beside it, return its measured over its expected
+        duration, else None: whether fetches share the machine's rate shows only in those.
         """
         if fetching:
             if spec.image not in self.fetches and spec.image not in self.images:
-                for name in [n for n in self.fetches if not self.images_in_use[n]]:
-                    del self.fetches[name]  # given up
-                for other in self.fetches.values():
-                    other.alone = False
-                self.fetches[spec.image] = ImageFetch(now, not self.fetches)
+                self._begin_fetch(spec.image, now)
             return None
         fetch = self.fetches.pop(spec.image, None)
-        thought = spec.image_gb / max(self.machine_type.fetch_gb_per_s, 1e-3)
-        if fetch is None or fetch.alone or thought < SLOWDOWN_FROM_S:
+        expected_s = spec.image_gb / max(self.machine_type.fetch_gb_per_s, 1e-3)
+        if fetch is None or fetch.alone or expected_s < MEASURABLE_FETCH_S:
             return None
-        return (now - fetch.began) / thought
+        return (now - fetch.began) / expected_s
 
-    def slow(self) -> bool:
-        """Tell whether tasks take much longer here; types and chance make a tenth or two."""
-        return self.pace > SLOW_PACE
+    def _begin_fetch(self, image: str, now: MonotonicTime) -> None:
+        for name in [n for n in self.fetches if not self.images_in_use[n]]:
+            del self.fetches[name]  # no task waits for it any more: the worker has given it up
+        for other in self.fetches.values():
+            other.alone = False
+        self.fetches[image] = ImageFetch(now, not self.fetches)
 
     def warmth(self, image: str) -> int:
-        """Tell whether an image is probably here, is being fetched, or neither."""
+        """Return `WARM`, `FETCHED_NOW` or `COLD`: the smaller, the sooner a task can start."""
         if image in self.images:
             return WARM
         return FETCHED_NOW if self.images_in_use[image] > 0 else COLD
 
     def present_images(self) -> set[str]:
-        """Name the images that are probably here or are being fetched (`warmth` below COLD)."""
+        """Return the images that are probably here or being fetched: those not `COLD`."""
         return {*self.images, *(name for name, count in self.images_in_use.items() if count > 0)}
 
     def record_image(self, image: str, size_gb: float) -> None:
-        """A task of this image ran here: the image is cached, the least used ones may go."""
+        """Record that a task of this image ran here, so that the worker has it in its cache.
+
+        The least recently used images are assumed to be evicted once the cache is full.
+        """
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > self.machine_type.cache_gb:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -17,7 +17,7 @@
 from ryewing.leader.autoscaler import RELEASED_NAMES_KEPT
 from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
-from ryewing.state.machine import TaskPhase
+from ryewing.state.attempts import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
 from ryewing.wire.cloud import ListedMachine
 from ryewing.wire.workers import Command
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -14,8 +14,9 @@
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.election.leadership import campaign, read_election_record
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.job_records import JobRecord, final_key, live_key
-from ryewing.state.machine import COLD, WARM, TaskPhase
+from ryewing.state.machine import COLD, WARM
 from ryewing.units import KeyVersion, MachineId, NodeName, TermNumber, fencing_token
 from ryewing.wire.workers import ReportedTask
 
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -20,11 +20,11 @@
 from ryewing.leader.worker_commands import max_sends_in_flight
 from ryewing.process.node import API_SHARE, PEER_SHARE
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, live_key
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import TaskPhase
 from ryewing.state.paged_records import PagedRecords
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -17,7 +17,7 @@
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.election.leadership import campaign, may_campaign, read_election_record
 from ryewing.leader.worker_commands import MAX_COMMANDS
-from ryewing.state.machine import TaskPhase
+from ryewing.state.attempts import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, TermNumber, fencing_token
 from ryewing.wire.cloud import RentalRequest
 from ryewing.wire.workers import Heartbeat, ReportedTask
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -16,11 +16,12 @@
 from ryewing.config.settings import Team
 from ryewing.scheduling import queueing
 from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_records import JobRecord
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, TaskPhase
+from ryewing.state.machine import Assignment
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
     Attempt,
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -14,7 +14,8 @@
 from ryewing.autoscaling.planning import machines_to_cordon
 from ryewing.leader.scheduler import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
 from ryewing.scheduling import SHORT_WAIT_S
-from ryewing.state.machine import Assignment, Machine, TaskPhase
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Assignment, Machine
 from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
 
 # -- where replicas go --------------------------------------------------------------------------
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -10,11 +10,12 @@
 from ryewing import scheduling
 from ryewing.scheduling import queueing
 from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota
+from ryewing.state.attempts import TaskPhase
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_records import JobRecord
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, Machine, TaskPhase
+from ryewing.state.machine import Assignment, Machine
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
     Attempt,
