--- a/src/ryewing/state/attempts.py
+++ b/src/ryewing/state/attempts.py
@@ -1,4 +1,4 @@
-"""What a worker reports of a task attempt: its phase, and whether it ended well."""
+"""What a worker reports of a task attempt: its phase, and why it has ended."""
 
 from __future__ import annotations
 
@@ -33,6 +33,28 @@
 """The phases that a worker reports of an attempt which is on its machine."""
 
 
+class EndCause(enum.StrEnum):
+    """Why an attempt has ended, or its start was refused (`why` in PROTOCOL, "POST /v1/report").
+
+    A worker of a later version may report others, so they are compared as text, never converted.
+    """
+
+    DONE = "done"
+    """It has completed; the worker keeps the result."""
+    ERROR = "error"
+    """It failed, mostly by the fault of the machine."""
+    NO_ROOM = "no_room"
+    """Start refused: not enough free resources on the machine."""
+    IN_USE = "in_use"
+    """Start refused: the task is on the machine with another attempt."""
+    UNKNOWN = "unknown"
+    """Start refused: the worker does not know the job or the task."""
+
+
+REFUSALS = frozenset((EndCause.NO_ROOM, EndCause.IN_USE, EndCause.UNKNOWN))
+"""Why a worker refuses a start."""
+
+
 class EndedAttempt:
     """An ended attempt that the worker reports until it is told to clear it."""
 
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -10,11 +10,11 @@
 import logging
 
 from ryewing.state.assignment_table import AssignmentTable
-from ryewing.state.attempts import LIVE_PHASES, EndedAttempt, TaskPhase
+from ryewing.state.attempts import LIVE_PHASES, EndCause, EndedAttempt, TaskPhase
 from ryewing.state.failure_detector import FailureDetector
 from ryewing.state.image_fetches import FetchContention
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, Machine, ran_for_a_while
+from ryewing.state.machine import Assignment, Machine
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
     NEVER_HEARD,
@@ -210,7 +210,7 @@
         attempt = Attempt(reported.attempt)
         job = self._job_table.get(task.job)
         # A replica that exits has to run again, whatever its cause.
-        done = reported.cause == "done" and (job is None or not job.is_service)
+        done = reported.cause == EndCause.DONE and (job is None or not job.is_service)
         machine.ended[reported.task_id, reported.attempt] = EndedAttempt(task, attempt, done)
         assignment = machine.assignments.get(task)
         if assignment is not None and assignment.attempt != attempt:
@@ -224,7 +224,7 @@
         if done:
             self._record_finish(machine, job, task.number)
         elif assignment is not None:
-            self._judge_failure(job, assignment, reported.cause or "", now)
+            self._failure_detector.attempt_ended(job, assignment, reported.cause or "", now)
 
     def _learn_run_time(self, job: Job, assignment: Assignment, now: MonotonicTime) -> None:
         """Learn from a finished task whose start was observed how long the job's tasks run."""
@@ -241,14 +241,3 @@
             job.finish(number)
             job.backoff_s = 0.0
         self._job_table.touch(job)
-
-    def _judge_failure(
-        self, job: Job, assignment: Assignment, cause: str, now: MonotonicTime
-    ) -> None:
-        """Have the failure detector judge an attempt that ended without finishing its task."""
-        machine, planned_at = assignment.machine, assignment.planned_at
-        if job.is_service and cause in ("done", "error"):
-            ran_well = ran_for_a_while(assignment, now)
-            self._failure_detector.replica_ended(machine, job, cause, ran_well, planned_at, now)
-        else:
-            self._failure_detector.task_failed(machine, job, cause, planned_at, now)
