--- a/src/ryewing/state/machine_type_catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -1,9 +1,9 @@
-"""The machine types as the store keeps them, so that a submission can be judged without the cloud.
+"""The machine types as the store keeps them, so that submissions can be checked without the cloud.
 
-One value as long as they fit. Where the store won't take it, they are in several: `flavours`, and
-`flavours/1` and up. An earlier version reads the first alone, and would refuse what fits the others
-only; so they are split no sooner than the store asks for it, which it does not before every
-controller is of a version that reads all.
+They are one value, `flavours`, as long as the store takes it, else several: `flavours`, and
+`flavours/1` and up. An earlier version of this program reads the first alone, and would refuse jobs
+that fit only a type in the others. So they are split no sooner than the store demands it, which it
+doesn't before every controller is of a version that reads all.
 """
 
 from __future__ import annotations
@@ -19,45 +19,50 @@
 log = logging.getLogger(__name__)
 
 KEY = "flavours"
+"""The key of the first value, and the prefix of the others."""
 
 
 def read(store: TermStore) -> list[MachineType]:
-    """Read all types; none if nobody has written them yet."""
+    """Read all machine types; an empty list if nobody has written them yet.
+
+    Waits for the store. Raises `StoreUnavailableError`.
+    """
     entries, _ = store.listing(KEY)
     found: dict[str, MachineType] = {}
     for entry in entries:
-        kept = decode_stored(entry.data, MachineTypeList, entry.key)
-        for machine_type in kept.machine_types if kept is not None else ():
+        stored = decode_stored(entry.data, MachineTypeList, entry.key)
+        for machine_type in stored.machine_types if stored is not None else ():
             found[machine_type.name] = machine_type
     return list(found.values())
 
 
 def write(store: TermStore, fence: dict[str, KeyVersion], machine_types: list[MachineType]) -> None:
-    """Keep the types: in one value if the store takes it, else in as many as it needs."""
+    """Write the machine types: one value if the store takes it, else as many as it needs.
+
+    Each transaction is conditional on `fence`. Waits for the store. Raises `StoreUnavailableError`.
+    """
     try:
         store.txn(fence, [Put(KEY, MachineTypeList(machine_types))])
         parts = [machine_types]
     except RejectedError as error:
-        parts = part(machine_types, store.limits.value_kb * 1024)
+        parts = split(machine_types, store.limits.value_kb * 1024)
         log.info("event=machine-types-split values=%d reason=%s", len(parts), error)
-        # The first comes last: until then, what was there before is there still.
+        # The first value comes last: until then its earlier content is still there.
         for number in reversed(range(len(parts))):
             store.txn(fence, [Put(_key(number), MachineTypeList(parts[number]))])
     entries, _ = store.listing(KEY)
-    wanted = {_key(number) for number in range(len(parts))}
+    written = {_key(number) for number in range(len(parts))}
     for entry in entries:
-        if entry.key not in wanted:
+        if entry.key not in written:
             store.txn(fence, [Remove(entry.key)])
 
 
-def part(machine_types: list[MachineType], limit: float) -> list[list[MachineType]]:
-    """Share the types out to values of a size."""
+def split(machine_types: list[MachineType], limit_bytes: float) -> list[list[MachineType]]:
+    """Split machine types into lists that fit values of a size; a list has at least one."""
     parts: list[list[MachineType]] = [[]]
     for machine_type in machine_types:
-        if (
-            parts[-1]
-            and len(msgspec.json.encode(MachineTypeList([*parts[-1], machine_type]))) > limit
-        ):
+        extended = MachineTypeList([*parts[-1], machine_type])
+        if parts[-1] and len(msgspec.json.encode(extended)) > limit_bytes:
             parts.append([])
         parts[-1].append(machine_type)
     return parts
--- a/src/ryewing/state/resources.py
+++ b/src/ryewing/state/resources.py
@@ -1,4 +1,4 @@
-"""What tasks need against what there is: machine types, room, teams' limits."""
+"""Whether tasks fit: a machine type, some free resources, a team's limit."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ryewing.wire.jobs import GANG, SERVICE, JobSpec
 
 EPSILON = 1e-6
-"""Amounts are sums of decimal fractions: so much too little is still enough."""
+"""The tolerance of comparisons: amounts are sums of decimal fractions, and not exact."""
 
 
 def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Tell whether one task fits an empty machine of this type."""
+    """Return whether one task fits an empty machine of this type."""
     return (
         spec.cpus <= machine_type.cpus
         and spec.gpus <= machine_type.gpus
@@ -20,17 +20,20 @@
 
 
 def count_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, limit: int) -> int:
-    """Tell how many of a job's tasks fit into some room, up to a limit."""
-    for need, have in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
-        if need > 0:
-            limit = min(limit, int((have + EPSILON) / need)) if have > 0 else 0
+    """Return how many of a job's tasks fit into free resources, at most `limit`."""
+    for needed, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
+        if needed > 0:
+            limit = min(limit, int((free + EPSILON) / needed)) if free > 0 else 0
     return max(0, limit)
 
 
 def infeasibility_reason(
     spec: JobSpec, machine_types: dict[str, MachineType], teams: dict[str, Team]
 ) -> str | None:
-    """Say why a job can never run, or None if it can."""
+    """Return why a job can never run (PROTOCOL, "POST /v2/runs": 422), or None if it can.
+
+    The text is for the user, and names fields as the protocol does.
+    """
     team = teams.get(spec.team)
     if team is None:
         return f"owner: unknown team {spec.team!r}"
@@ -42,9 +45,9 @@
     ]
     if not any(fits_machine_type(spec, machine_type) for machine_type in allowed):
         return "a task fits no allowed machine type"
-    tasks = spec.task_count if spec.shape in (GANG, SERVICE) else 1
-    if team.cpus_max and spec.cpus * tasks > team.cpus_max:
+    tasks_at_once = spec.task_count if spec.shape in (GANG, SERVICE) else 1
+    if team.cpus_max and spec.cpus * tasks_at_once > team.cpus_max:
         return f"vcpus: above the limit of team {spec.team!r}"
-    if team.gpus_max and spec.gpus * tasks > team.gpus_max:
+    if team.gpus_max and spec.gpus * tasks_at_once > team.gpus_max:
         return f"cards: above the limit of team {spec.team!r}"
     return None
