--- a/src/ryewing/api/api.py
+++ b/src/ryewing/api/api.py
@@ -28,9 +28,9 @@
 from ryewing.clients.user_request_limiter import RateLimitExceededError, UserRequest
 from ryewing.leader.division import NoShardError, NotReadyError
 from ryewing.state.job_records import (
-    CANCELLED,
-    DONE,
+    FINAL_STATES,
     FinalRecord,
+    FinalState,
     JobRecord,
     final_key,
     live_key,
@@ -319,8 +319,8 @@
         job = JobId(record.spec.id)
         if not self._node.announce_cancel(job, _shard_of(record)):
             raise RefusedError(self._busy("the cancel is written but the leader has not heard it"))
-        self._node.final_states.put(job, CANCELLED)
-        return JobStatus(job, CANCELLED)
+        self._node.final_states.put(job, FinalState.CANCELLED)
+        return JobStatus(job, FinalState.CANCELLED)
 
     def _remember_shard(self, job: JobId, record: JobRecord) -> None:
         shard = _shard_of(record)
@@ -370,7 +370,7 @@
             state = self._read_state(job)
             if state is None:
                 return Response(404, {"error": "no such job"})
-            if state.status in (DONE, CANCELLED):
+            if state.status in FINAL_STATES:
                 return self._with_final_state(state)
             return None
         record = self._readable(read_record(entry.data, entry.key))
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -25,12 +25,11 @@
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.leader.term_context import TermContext
 from ryewing.state.job_records import (
-    CANCELLED,
-    DONE,
     FINISHED_PREFIX,
     LIVE_PREFIX,
     TASKS_PER_CHUNK,
     FinalRecord,
+    FinalState,
     final_key,
     finished_chunk_name,
     live_key,
@@ -206,10 +205,10 @@
     def _final_status(self, job: Job) -> str | None:
         """Tell how a job has ended; None while it has not, or may still have tasks somewhere."""
         if not job.cancelled:
-            return DONE if job.complete else None
+            return FinalState.DONE if job.complete else None
         if job.live or any(True for _ in self.term.cluster.unreconciled()):
             return None
-        return CANCELLED
+        return FinalState.CANCELLED
 
     def _put_finishes(self, job: Job, finished: dict[int, list[_Finished]]) -> None:
         """Bring the pages of a job's finished tasks up to date."""
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -40,7 +40,7 @@
 from ryewing.leader.division import Division, WholeFleet
 from ryewing.process.leader_elector import LeaderElector, ProcessParts
 from ryewing.state import machine_type_catalogue as catalogue
-from ryewing.state.job_records import CANCELLED, DONE
+from ryewing.state.job_records import FINAL_STATES
 from ryewing.units import JobId, MonotonicTime, NodeName, ShardName, Zone, monotonic_now
 from ryewing.wire.cloud import MachineType
 from ryewing.wire.jobs import JobSpec, JobStatus
@@ -197,7 +197,7 @@
                 continue
             if isinstance(answer.shard, str):
                 self.remember_shard(job, ShardName(answer.shard))
-            if answer.status in (DONE, CANCELLED):
+            if answer.status in FINAL_STATES:
                 self.final_states.put(job, answer.status)
             return JobStatus(job, answer.status, answer.done, answer.running)
         return None
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -231,7 +231,7 @@
         if assignment.running_since is not None and assignment.start_observed:
             took_s = now - assignment.running_since
             assignment.machine.record_pace(job, took_s)
-            self._job_table.took(job, took_s)
+            self._job_table.record_run_time(job, took_s)
 
     def _record_finish(self, machine: Machine, job: Job, number: int) -> None:
         """Record that a task is done; the machine and the job are at no fault then."""
--- a/src/ryewing/state/job_table.py
+++ b/src/ryewing/state/job_table.py
@@ -1,4 +1,4 @@
-"""All live jobs of a term, sorted into those that wait and those that the store lacks news of."""
+"""All live jobs of a term, and which of them need the scheduler or the state writer."""
 
 from __future__ import annotations
 
@@ -8,34 +8,48 @@
 from ryewing.state.jobs import Job
 from ryewing.units import JobId, KeyVersion
 
-ESTIMATE_FACTOR = (0.5, 2.0)
-"""Owners' guesses lie, but so may the few tasks seen: the correction is bounded."""
+ESTIMATE_FACTOR_MIN = 0.5
+"""The least by which a class's estimates are corrected: users' estimates are often wrong, but the
+few tasks seen may mislead as well."""
+ESTIMATE_FACTOR_MAX = 2.0
+"""The most by which they are corrected."""
+RUN_TIME_WEIGHT = 0.3
+"""The weight of one task in the moving average of its job's run time."""
+ESTIMATE_WEIGHT = 0.05
+"""The weight of one task in the moving average of its class's estimate factor."""
 
 
 class JobTable:
-    """The live jobs, and which of them have something to place or to write."""
+    """The live jobs, and which of them have something to place or to write.
+
+    Whoever changes a job calls `touch` afterwards, so that the sets stay right. Nothing here waits.
+    """
 
     def __init__(self) -> None:
         self.jobs: dict[JobId, Job] = {}
         self.waiting: set[JobId] = set()
-        """Jobs that may have a shortfall; kept so that no cycle looks at all jobs."""
+        """Jobs that may have a shortfall, so that no scheduling cycle looks at all jobs."""
         self.dirty: set[JobId] = set()
-        """Jobs with finishes, or a final state, to be written."""
-        self._factors: dict[str, float] = {}
+        """Jobs with finished tasks, or a final state, that the store lacks."""
+        self._estimate_factors: dict[str, float] = {}
+        """By job class: how much longer tasks ran than their users estimated, within bounds."""
 
     def __iter__(self) -> Iterator[Job]:
         return iter(self.jobs.values())
 
     def get(self, job: JobId) -> Job | None:
-        """Find a live job."""
+        """Return a live job, or None."""
         return self.jobs.get(job)
 
     def put(self, record: JobRecord, key_version: KeyVersion, inherited: bool = False) -> Job:
-        """Take a record from the store: a new job, or a cancel of a known one."""
+        """Apply a record from the store, which is a new job or a cancel of a known one.
+
+        An `inherited` job was accepted before this term.
+        """
         job = self.jobs.get(JobId(record.spec.id))
         if job is None:
             job = Job(record, key_version, inherited)
-            job.estimate_factor = self._factors.get(record.spec.job_class, 1.0)
+            job.estimate_factor = self._estimate_factors.get(record.spec.job_class, 1.0)
             self.jobs[job.id] = job
         else:
             job.key_version = max(job.key_version, key_version, key=int)
@@ -43,18 +57,21 @@
         self.touch(job)
         return job
 
-    def took(self, job: Job, seconds: float) -> None:
-        """Learn from a task that was seen from its start to its end."""
+    def record_run_time(self, job: Job, seconds: float) -> None:
+        """Learn from the run time of a task that was seen from its start to its end."""
         seen = job.run_seen_s
-        job.run_seen_s = seconds if seen is None else 0.7 * seen + 0.3 * seconds
+        job.run_seen_s = (
+            seconds if seen is None else (1 - RUN_TIME_WEIGHT) * seen + RUN_TIME_WEIGHT * seconds
+        )
         if job.spec.estimated_s > 0:
-            low, high = ESTIMATE_FACTOR
-            factor = min(high, max(low, seconds / job.spec.estimated_s))
-            old = self._factors.get(job.spec.job_class, 1.0)
-            self._factors[job.spec.job_class] = 0.95 * old + 0.05 * factor
+            ratio = seconds / job.spec.estimated_s
+            factor = min(ESTIMATE_FACTOR_MAX, max(ESTIMATE_FACTOR_MIN, ratio))
+            old = self._estimate_factors.get(job.spec.job_class, 1.0)
+            new = (1 - ESTIMATE_WEIGHT) * old + ESTIMATE_WEIGHT * factor
+            self._estimate_factors[job.spec.job_class] = new
 
     def touch(self, job: Job) -> None:
-        """Sort a job into the sets after a change; one that was dropped stays out."""
+        """Update the sets after a change of a job; one that was dropped stays out."""
         if self.jobs.get(job.id) is not job:
             return
         if job.shortfall > 0:
@@ -67,7 +84,7 @@
             self.dirty.discard(job.id)
 
     def drop(self, job: Job) -> None:
-        """A job's final state is written: forget it."""
+        """Forget a job whose final state is in the store."""
         self.jobs.pop(job.id, None)
         self.waiting.discard(job.id)
         self.dirty.discard(job.id)
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -367,7 +367,7 @@
     slow, other = world.machine("i-1"), world.machine("i-2")
     world.put(world.job("run-9", task_count=1), slow, 1)  # the fuller one, so first by rights
     many = world.job("run-8", task_count=50)
-    world.job_table.took(many, 20.0)
+    world.job_table.record_run_time(many, 20.0)
     for _ in range(2):
         slow.record_pace(many, 40.0)
     assert not slow.slow()  # two tasks are chance
--- a/tests/state/test_jobs.py
+++ b/tests/state/test_jobs.py
@@ -45,6 +45,6 @@
     job_table = JobTable()
     first = job_table.put(JobRecord(job_spec("run-1", estimated_s=10.0), 0.0), KeyVersion(1))
     for _ in range(500):
-        job_table.took(first, 10_000.0)
+        job_table.record_run_time(first, 10_000.0)
     later = job_table.put(JobRecord(job_spec("run-2", estimated_s=10.0), 0.0), KeyVersion(2))
     assert 15.0 < later.estimate_s() <= 20.0
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -5,7 +5,8 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from ryewing.state.job_records import CANCELLED, DONE
+from ryewing.state.attempts import EndCause
+from ryewing.state.job_records import FINAL_STATES, FinalState
 from ryewing.units import parse_task
 
 if TYPE_CHECKING:
@@ -43,11 +44,11 @@
         if job in self.final and state != self.final[job]:
             self._violation("went_back", f"{node}: {job} {self.final[job]} -> {state}")
         self.accepted.add(job)
-        if state in (DONE, CANCELLED):
+        if state in FINAL_STATES:
             self.final.setdefault(job, state)
-        if state == CANCELLED:
+        if state == FinalState.CANCELLED:
             self.told_cancelled.setdefault(job, self._cluster.clock())
-        if state == DONE and self.ended_done.get(job, set()) != set(
+        if state == FinalState.DONE and self.ended_done.get(job, set()) != set(
             range(self.runs[job].task_count)
         ):
             self._violation("not_done", f"{node}: {job}")
@@ -99,7 +100,7 @@
                 task = parse_task(reported)
                 assert task is not None
                 if found.status == "ended":
-                    if found.cause == DONE:
+                    if found.cause == EndCause.DONE:
                         self.ended_done.setdefault(task.job, set()).add(task.number)
                     continue
                 told = self.told_cancelled.get(task.job)
