--- a/src/ryewing/leader/worker_commands.py
+++ b/src/ryewing/leader/worker_commands.py
@@ -18,7 +18,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.state.attempts import TaskPhase
 from ryewing.state.machine import Assignment, Machine
-from ryewing.state.pending_terminations import TerminationReason
+from ryewing.state.pending_terminations import PendingTermination, TerminationReason
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
     HeartbeatVersion,
@@ -206,7 +206,7 @@
             self.term.cluster.drop(assignment, now)
             return
         if self.term.terminations.add(
-            machine.id, assignment.task, assignment.attempt, grace_s, reason, now
+            PendingTermination(machine.id, assignment.task, assignment.attempt, grace_s)
         ):
             log.info(
                 "event=stop task=%s machine=%s grace_s=%g reason=%s",
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -1,7 +1,8 @@
-"""Stops as pending terminations: kept and resent until the worker reports the task gone.
+"""Stops of tasks as pending terminations: kept and resent until the worker reports the task gone.
 
-Pure: the clock is passed in. A pending termination names one attempt on one machine, so that
-however late a copy of it arrives, it can't hit a later start of the same task.
+They are the tombstones of the paper (section 4.3). Each names one attempt on one machine, so that a
+late copy of it can't stop a later start of the same task (safety argument 6 in docs/design.md).
+Nothing here waits; the clock is passed in.
 """
 
 from __future__ import annotations
@@ -13,15 +14,18 @@
 from ryewing.wire.workers import Command
 
 RESEND_S = 1.0
+"""How long after it was last sent a stop is sent again."""
 
 
 class TerminationReason(enum.StrEnum):
-    """Why a task is stopped."""
+    """Why a task is stopped; for the log."""
 
     CANCELLED = "cancelled"
     PREEMPTED = "preempted"
     DRAIN = "drain"
+    """The cloud is about to take its machine back."""
     GANG_BROKEN = "gang-broken"
+    """Its gang has lost a member after it started."""
     UNWANTED = "unwanted"
     """Its job has ended, or is not known."""
     MOVED = "moved"
@@ -29,29 +33,21 @@
 
 
 class PendingTermination:
-    """One stop that is under way."""
-
-    __slots__ = ("attempt", "created_at", "grace_s", "machine", "reason", "sent_at", "task")
-
-    def __init__(
-        self,
-        machine: MachineId,
-        task: TaskId,
-        attempt: Attempt,
-        grace_s: float,
-        reason: TerminationReason,
-        now: MonotonicTime,
-    ) -> None:
+    """The stop of one attempt on one machine."""
+
+    __slots__ = ("attempt", "grace_s", "machine", "sent_at", "task")
+
+    def __init__(self, machine: MachineId, task: TaskId, attempt: Attempt, grace_s: float) -> None:
         self.machine = machine
         self.task = task
         self.attempt = attempt
         self.grace_s = grace_s
-        self.reason = reason
-        self.created_at = now
+        """The time that the task has to save its progress."""
         self.sent_at: MonotonicTime | None = None
+        """When it was last sent; None if it was not sent yet with this grace period."""
 
     def command(self) -> Command:
-        """Give the command that carries this stop."""
+        """Return the command to the worker that carries this stop."""
         return Command("halt", str(self.task), int(self.attempt), self.grace_s)
 
 
@@ -60,40 +56,35 @@
 
     def __init__(self) -> None:
         self._by_machine: dict[MachineId, dict[tuple[TaskId, Attempt], PendingTermination]] = {}
-
-    def add(
-        self,
-        machine: MachineId,
-        task: TaskId,
-        attempt: Attempt,
-        grace_s: float,
-        reason: TerminationReason,
-        now: MonotonicTime,
-    ) -> bool:
-        """Ask for a stop; a later ask can only shorten the grace period. True if it is news."""
-        terminations = self._by_machine.setdefault(machine, {})
-        old = terminations.get((task, attempt))
-        if old is None:
-            terminations[task, attempt] = PendingTermination(
-                machine, task, attempt, grace_s, reason, now
-            )
+        """A machine without pending terminations has no entry."""
+
+    def add(self, termination: PendingTermination) -> bool:
+        """Add the stop of an attempt; return whether that changes anything.
+
+        If the attempt is being stopped already, the grace period can only become shorter.
+        """
+        terminations = self._by_machine.setdefault(termination.machine, {})
+        key = (termination.task, termination.attempt)
+        pending = terminations.get(key)
+        if pending is None:
+            terminations[key] = termination
             return True
-        if grace_s < old.grace_s:
-            old.grace_s = grace_s
-            old.sent_at = None
+        if termination.grace_s < pending.grace_s:
+            pending.grace_s = termination.grace_s
+            pending.sent_at = None
             return True
         return False
 
     def has(self, machine: MachineId, task: TaskId, attempt: Attempt) -> bool:
-        """Tell whether this attempt is being stopped."""
+        """Return whether this attempt is being stopped."""
         return (task, attempt) in self._by_machine.get(machine, ())
 
     def any_on(self, machine: MachineId) -> bool:
-        """Tell whether anything on a machine is being stopped."""
+        """Return whether anything on a machine is being stopped."""
         return machine in self._by_machine
 
     def gone(self, machine: MachineId, task: TaskId, attempt: Attempt) -> None:
-        """The worker no longer has the attempt: the pending termination has done its work."""
+        """Forget the stop of an attempt that the worker no longer has."""
         terminations = self._by_machine.get(machine)
         if terminations is not None:
             terminations.pop((task, attempt), None)
@@ -101,11 +92,11 @@
                 del self._by_machine[machine]
 
     def machine_gone(self, machine: MachineId) -> None:
-        """Nothing is on the machine any more."""
+        """Forget all stops on a machine that has no tasks any more."""
         self._by_machine.pop(machine, None)
 
     def commands(self, machine: MachineId, now: MonotonicTime) -> list[Command]:
-        """Give every stop of a machine, for a heartbeat response."""
+        """Return the commands for all stops on a machine, and note that they are sent now."""
         terminations = self._by_machine.get(machine)
         if not terminations:
             return []
@@ -114,7 +105,10 @@
         return [termination.command() for termination in terminations.values()]
 
     def due(self, now: MonotonicTime) -> Iterator[MachineId]:
-        """Name the machines to which stops have to be (re)sent directly."""
+        """Yield the machines to which stops have to be sent, or sent again, by a direct message."""
         for machine, terminations in self._by_machine.items():
-            if any(s.sent_at is None or now - s.sent_at >= RESEND_S for s in terminations.values()):
+            if any(
+                termination.sent_at is None or now - termination.sent_at >= RESEND_S
+                for termination in terminations.values()
+            ):
                 yield machine
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -13,7 +13,7 @@
 from ryewing.leader.leader import CUT, CUT_PROBE_S
 from ryewing.leader.state_writer import MACHINE_PREFIX
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
-from ryewing.state.pending_terminations import TerminationReason
+from ryewing.state.pending_terminations import PendingTermination
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
 
@@ -224,9 +224,7 @@
     stopping = {machine.id for machine in machines[:60]}
     for name in sorted(stopping):
         task = TaskId(JobId("run-1"), 0)
-        harness.leader.term.terminations.add(
-            name, task, Attempt(1), 0.0, TerminationReason.CANCELLED, harness.clock()
-        )
+        harness.leader.term.terminations.add(PendingTermination(name, task, Attempt(1), 0.0))
     for machine in machines:
         worker_commands.schedule_direct_message(machine)
     worker_commands._senders.join()
