--- a/src/ryewing/state/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -1,25 +1,28 @@
-"""Many small records paged into few values of the store.
-
-The store counts changes, not bytes, so a record of its own for each machine or job costs most
-where there are most of them: hundreds of machines at a start took the write rate for many seconds.
-Every write names the version of the value that it replaces: one that got no answer and is applied
-late would else take back what came after it. For the same reason a value is never removed while
-its term lasts: emptied, its key keeps a version.
-
-A record stays in the value it was first put into, but for one case: a value that is larger than
-the store takes (it was written under wider limits, or has grown) gives some of its records to
-others. Those are written first, or in the same transaction, and only then the value without them:
-a crash in between leaves a record twice, never not at all. Whoever reads both takes both into
-account (finishes are a union, a machine was heard if either says so), so it doesn't matter which of
-them an earlier version of this program had gone on with.
-
-Pure: tells what has to be written; the caller writes it, and says so.
+"""Many small records kept in few values of the store, called pages.
+
+The store counts changes, not bytes, so a record of its own for each machine or job costs most where
+there are most of them: hundreds of machines at a start took all of the write rate for many seconds.
+
+Every write names the version of the page that it replaces. Otherwise one that got no answer and is
+applied late would take back what came after it. For the same reason a page is never removed while
+its term lasts: it is emptied, so that its key keeps a version (safety argument 3 in
+docs/design.md).
+
+A record stays in the page that it was first put into, with one exception: a page that is larger
+than the store takes (it was written under wider limits, or has grown) moves some of its records to
+other pages. Those are written first, or in the same transaction, and only then the page without
+them, so that a crash in between leaves a record twice, but never not at all. Whoever finds a record
+twice merges both copies (finished tasks are a union, a machine was heard if either copy says so).
+So it doesn't matter which of them an earlier version of this program has updated.
+
+Nothing here waits: the caller asks what has to be written, writes it, and says so.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterable, Iterator
+from typing import NamedTuple
 
 import msgspec
 
@@ -29,215 +32,282 @@
 
 log = logging.getLogger(__name__)
 
-FILL = 0.6
-"""How full a value may get by new records. The rest is for those in it that grow."""
-FULL = 0.95
-"""How full a value may get at all: the store may count a little more than we do."""
-LEAST_BYTES = 512
-"""However small the store's values seem to be, they aren't taken to be smaller than this."""
+FILL_SHARE = 0.6
+"""How full a page may become by new records. The rest is for records in it that grow."""
+FULL_SHARE = 0.95
+"""How full a page may become at all: the store may count a little more than we do."""
+MIN_PAGE_BYTES = 512
+"""The least size of a page, however small the store's values seem to be."""
 
 
 class Change:
-    """One transaction's worth of values: on which versions, and what it brings up to date."""
+    """One transaction, which brings one or more pages up to date."""
 
     __slots__ = ("conditions", "names", "ops", "size", "versions")
 
     def __init__(self) -> None:
         self.ops: list[Put] = []
         self.conditions: dict[str, KeyVersion] = {}
+        """The key versions that the pages must have for the transaction to be applied."""
         self.versions: dict[int, int] = {}
+        """By page number: the latest modification of the page that this writes."""
         self.names: dict[int, list[str]] = {}
+        """By page number: the names of the records that this writes."""
+        self.size = 0
+        """About how many bytes it has."""
+
+
+class LoadedRecords(NamedTuple):
+    """What `PagedRecords.load` has found in the store."""
+
+    records: list[tuple[str, msgspec.Raw]]
+    """Every record with its name, the one written last at the end."""
+    duplicated: set[str]
+    """Names of the records that were found twice: the caller has to put them again, merged."""
+
+
+class _Page:
+    """One page: what it should hold, and what the store has of it."""
+
+    __slots__ = (
+        "key_version",
+        "records",
+        "size",
+        "stored_modification",
+        "stored_names",
+        "written_after",
+    )
+
+    def __init__(self) -> None:
+        self.records: dict[str, msgspec.Raw] = {}
         self.size = 0
+        """About how many bytes the records take."""
+        self.key_version = KeyVersion(0)
+        self.stored_names: frozenset[str] = frozenset()
+        """Names of the records that the store has in it."""
+        self.stored_modification = 0
+        """The latest modification of it that is in the store."""
+        self.written_after: dict[int, int] = {}
+        """The pages that must be written before it, each with the modification that matters.
+        Their numbers are higher than its own, so that no two pages wait for each other."""
 
 
 class PagedRecords:
-    """Records under one prefix, by name."""
+    """Records by name, in pages with a common prefix of their keys: `<prefix><number>`."""
 
     def __init__(self, prefix: str, value_kb: float) -> None:
         self._prefix = prefix
-        self._bytes = value_kb * 1024
-        self._records: dict[int, dict[str, msgspec.Raw]] = {}
-        self._sizes: dict[int, int] = {}
-        self._where: dict[str, int] = {}
-        self._changes: dict[int, int] = {}
-        """Values that the store lacks, with a count of their changes."""
-        self._count = 0
-        self._key_versions: dict[int, KeyVersion] = {}
-        self._there: dict[int, frozenset[str]] = {}
-        """Names of the records that the store has in a value."""
-        self._stored: dict[int, int] = {}
-        """The newest change of a value that is in the store."""
-        self._after: dict[int, dict[int, int]] = {}
-        """Values that must not be written before others: those, and which change of them. Always
-        others of a higher number, so that no two wait for each other."""
-
-    @staticmethod
-    def _size(name: str, data: bytes | msgspec.Raw) -> int:
-        return len(name) + len(bytes(data)) + 4
-
-    def load(self, entries: Iterable[Entry]) -> tuple[list[tuple[str, msgspec.Raw]], set[str]]:
-        """Take up the values as the store has them, after a take-over.
-
-        Return every record found, the one written last at the end, and the names of those found
-        twice: the caller has to put them again, made of both.
+        self._page_bytes = value_kb * 1024
+        self._pages: dict[int, _Page] = {}
+        self._page_of: dict[str, int] = {}
+        """The number of the page of each record, by the record's name."""
+        self._modified: dict[int, int] = {}
+        """The pages that the store lacks, each with its latest modification."""
+        self._modifications = 0
+        """A count of the modifications of all pages, of which each one's number is unique."""
+
+    # -- records ----------------------------------------------------------------------------
+
+    def load(self, entries: Iterable[Entry]) -> LoadedRecords:
+        """Replace all records by those of the store, after a failover.
+
+        To be called again from the start if reading them had failed half-way.
         """
-        for kept in (self._records, self._sizes, self._where, self._changes):
-            kept.clear()  # a reading that failed half-way is done again
-        for known in (self._key_versions, self._stored, self._after, self._there):
-            known.clear()
-        found: list[tuple[str, msgspec.Raw]] = []
-        twice: set[str] = set()
+        self._pages.clear()
+        self._page_of.clear()
+        self._modified.clear()
+        loaded = LoadedRecords([], set())
         for entry in sorted(entries, key=lambda entry: entry.key_version):
             if not entry.key[len(self._prefix) :].isdecimal():
                 log.error("event=unreadable key=%s error=no number", entry.key)
                 continue
             number = int(entry.key[len(self._prefix) :])
-            records = {name: msgspec.Raw(bytes(record)) for name, record in _records(entry).items()}
-            self._there[number] = frozenset(records)
-            found.extend(records.items())
-            self._records[number] = records
-            self._key_versions[number] = KeyVersion(entry.key_version)
-            self._sizes[number] = sum(self._size(name, record) for name, record in records.items())
-            for name in list(records):
-                other = self._where.get(name)
-                self._where[name] = number if other is None else max(number, other)
-                if other is not None:
-                    twice.add(name)
-                    low, high = sorted((number, other))
-                    record = self._records[low].pop(name)
-                    self._sizes[low] -= self._size(name, record)
-                    self._touch(low)
-                    self._touch(high)
-                    self._wait_for(low, high)
-        for number in sorted(self._records):
+            self._load_page(number, entry, loaded)
+        for number in sorted(self._pages):
             self._spill(number)
-        return found, twice
+        return loaded
+
+    def _load_page(self, number: int, entry: Entry, loaded: LoadedRecords) -> None:
+        """Take over one page; of a record found twice, only the page of higher number keeps it."""
+        records = {name: msgspec.Raw(bytes(record)) for name, record in _records(entry).items()}
+        loaded.records.extend(records.items())
+        page = self._pages.setdefault(number, _Page())
+        page.records = records
+        page.size = sum(_record_size(name, record) for name, record in records.items())
+        page.key_version = KeyVersion(entry.key_version)
+        page.stored_names = frozenset(records)
+        for name in list(records):
+            other = self._page_of.get(name)
+            if other is None:
+                self._page_of[name] = number
+                continue
+            loaded.duplicated.add(name)
+            low, high = sorted((number, other))
+            self._page_of[name] = high
+            self._remove(low, name)
+            self._touch(low)
+            self._touch(high)
+            self._write_after(low, high)
 
     def put(self, name: str, record: object) -> int:
-        """Want a record to be kept; return the number of its value."""
+        """Add or replace a record; return the number of its page.
+
+        Nothing has to be written if the record is as before.
+        """
         data = msgspec.json.encode(record)
-        number = self._where.get(name)
+        number = self._page_of.get(name)
         if number is None:
-            number = self._with_room(self._size(name, data))
-            self._where[name] = number
+            number = self._page_with_room(_record_size(name, data))
+            self._page_of[name] = number
         else:
-            old = self._records[number][name]
-            if bytes(old) == data:
+            if bytes(self._pages[number].records[name]) == data:
                 return number
-            self._sizes[number] -= self._size(name, old)
-        self._sizes[number] += self._size(name, data)
-        self._records[number][name] = msgspec.Raw(data)
+            self._pages[number].size -= _record_size(name, self._pages[number].records[name])
+        page = self._pages[number]
+        page.size += _record_size(name, data)
+        page.records[name] = msgspec.Raw(data)
         self._touch(number)
         self._spill(number)
-        return self._where[name]
+        return self._page_of[name]
 
     def drop(self, name: str) -> None:
-        """Want a record to be forgotten."""
-        number = self._where.pop(name, None)
+        """Remove a record, if it is there."""
+        number = self._page_of.pop(name, None)
         if number is not None:
-            self._sizes[number] -= self._size(name, self._records[number].pop(name))
+            self._remove(number, name)
             self._touch(number)
 
-    def _with_room(self, size: int, above: int = -1) -> int:
-        for number, used in self._sizes.items():
-            if number > above and used + size <= FILL * self._bytes:
+    def _remove(self, number: int, name: str) -> msgspec.Raw:
+        """Take a record out of a page."""
+        page = self._pages[number]
+        record = page.records.pop(name)
+        page.size -= _record_size(name, record)
+        return record
+
+    # -- the size of pages ------------------------------------------------------------------
+
+    def _page_with_room(self, size: int, above: int = -1) -> int:
+        """Return the first page above a number that has room for a new record, or a new page."""
+        for number, page in self._pages.items():
+            if number > above and page.size + size <= FILL_SHARE * self._page_bytes:
                 return number
-        number = max(self._records, default=-1) + 1
-        self._records[number] = {}
-        self._sizes[number] = 0
+        number = max(self._pages, default=-1) + 1
+        self._pages[number] = _Page()
         return number
 
     def _spill(self, number: int) -> None:
-        """Give away records of a value that has become too large."""
-        if self._sizes[number] <= FULL * self._bytes:
+        """Move records of a page that is too large to pages of higher numbers, the last first."""
+        page = self._pages[number]
+        if page.size <= FULL_SHARE * self._page_bytes:
             return
-        records = self._records[number]
-        for name in list(records)[:0:-1]:
-            if self._sizes[number] <= FILL * self._bytes:
+        for name in list(page.records)[:0:-1]:
+            if page.size <= FILL_SHARE * self._page_bytes:
                 break
-            size = self._size(name, records[name])
-            other = self._with_room(size, number)
-            self._records[other][name] = records.pop(name)
-            self._where[name] = other
-            self._sizes[number] -= size
-            self._sizes[other] += size
+            size = _record_size(name, page.records[name])
+            other = self._page_with_room(size, number)
+            self._pages[other].records[name] = self._remove(number, name)
+            self._pages[other].size += size
+            self._page_of[name] = other
             self._touch(number)
             self._touch(other)
-            if name in self._there.get(number, ()):
-                self._wait_for(number, other)
+            if name in page.stored_names:
+                self._write_after(number, other)
 
     def lower(self, change: Change) -> bool:
-        """The store won't take values of this size: make them smaller; False if that's no help."""
-        largest = max((self._sizes[number] for number in change.versions), default=0)
-        if largest <= LEAST_BYTES or all(len(self._records[n]) < 2 for n in change.versions):
+        """Make pages smaller, since the store rejects a change; return False if that can't help."""
+        largest = max((self._pages[number].size for number in change.versions), default=0)
+        if largest <= MIN_PAGE_BYTES or all(
+            len(self._pages[number].records) < 2 for number in change.versions
+        ):
             return False
-        self._bytes = max(LEAST_BYTES, min(self._bytes, largest) / 2)
-        for number in sorted(self._records):
+        self._page_bytes = max(MIN_PAGE_BYTES, min(self._page_bytes, largest) / 2)
+        for number in sorted(self._pages):
             self._spill(number)
         return True
 
-    def _wait_for(self, number: int, other: int) -> None:
-        self._after.setdefault(number, {})[other] = self._changes[other]
+    # -- what has to be written -------------------------------------------------------------
 
     def _touch(self, number: int) -> None:
-        self._count += 1
-        self._changes[number] = self._count
+        """Record that a page was modified, and has to be written."""
+        self._modifications += 1
+        self._modified[number] = self._modifications
+
+    def _write_after(self, number: int, other: int) -> None:
+        """Have a page written only after the present modification of another one."""
+        self._pages[number].written_after[other] = self._modified[other]
 
     def changed(self) -> Iterator[int]:
-        """Name the values that the store lacks."""
-        yield from self._changes
+        """Yield the numbers of the pages that the store lacks."""
+        yield from self._modified
 
     def lacks(self, number: int) -> bool:
-        """Tell whether a value is still to be written."""
-        return number in self._changes
+        """Return whether a page has still to be written."""
+        return number in self._modified
 
     def key(self, number: int) -> str:
-        """Name the key of a value."""
+        """Return the key of a page."""
         return f"{self._prefix}{number}"
 
-    def _needed(self, number: int, found: dict[int, None]) -> None:
-        """Name a value after all that must be written before it."""
-        for other, version in self._after.get(number, {}).items():
-            if self._stored.get(other, 0) < version:
-                self._needed(other, found)
-        found[number] = None
-
     def change(self, number: int, ops_max: int, bytes_max: int) -> Change:
-        """Give the transaction that brings a value up to date, or the first part of the way."""
+        """Return the transaction that brings a page up to date.
+
+        If other pages must be written before it, and all of them don't fit into one transaction,
+        return the first part of the way.
+        """
         needed: dict[int, None] = {}
-        self._needed(number, needed)
+        self._add_needed(number, needed)
         change = Change()
         for each in needed:
-            size = self._sizes[each] + len(self.key(each))
+            page = self._pages[each]
+            size = page.size + len(self.key(each))
             if change.ops and (len(change.ops) >= ops_max or change.size + size > bytes_max):
                 break
-            change.ops.append(Put(self.key(each), dict(self._records[each])))
-            change.conditions[self.key(each)] = self._key_versions.get(each, KeyVersion(0))
-            change.versions[each] = self._changes.get(each, 0)
-            change.names[each] = list(self._records[each])
+            change.ops.append(Put(self.key(each), dict(page.records)))
+            change.conditions[self.key(each)] = page.key_version
+            change.versions[each] = self._modified.get(each, 0)
+            change.names[each] = list(page.records)
             change.size += size
         return change
 
+    def _add_needed(self, number: int, needed: dict[int, None]) -> None:
+        """Add a page to `needed`, after all that must be written before it."""
+        for other, modification in self._pages[number].written_after.items():
+            if self._pages[other].stored_modification < modification:
+                self._add_needed(other, needed)
+        needed[number] = None
+
+    # -- what the store has answered --------------------------------------------------------
+
     def written(self, change: Change, revision: Revision) -> None:
-        """The change is in the store."""
-        for number, version in change.versions.items():
-            self._key_versions[number] = KeyVersion(revision)
-            self._stored[number] = version
-            self._there[number] = frozenset(change.names[number])
-            if self._changes.get(number) == version:
-                del self._changes[number]
-                self._after.pop(number, None)
+        """Record that the store has applied a change, at a revision."""
+        for number, modification in change.versions.items():
+            page = self._pages[number]
+            page.key_version = KeyVersion(revision)
+            page.stored_modification = modification
+            page.stored_names = frozenset(change.names[number])
+            if self._modified.get(number) == modification:
+                del self._modified[number]
+                page.written_after.clear()
 
     def found(self, key: str, entry: Entry | None) -> None:
-        """The store has another version: an earlier write of ours was applied after all."""
+        """Record that the store has another version of a page than the change had named.
+
+        An earlier write, whose answer was lost, was applied after all.
+        """
         number = int(key[len(self._prefix) :])
-        self._key_versions[number] = KeyVersion(entry.key_version if entry is not None else 0)
-        self._there[number] = frozenset(_records(entry) if entry is not None else ())
+        page = self._pages[number]
+        page.key_version = KeyVersion(entry.key_version if entry is not None else 0)
+        page.stored_names = frozenset(_records(entry) if entry is not None else ())
         self._touch(number)
-        for name in self._there[number]:
-            other = self._where.get(name, number)
-            if other > number and other in self._changes:
-                self._wait_for(number, other)
+        for name in page.stored_names:
+            other = self._page_of.get(name, number)
+            if other > number and other in self._modified:
+                self._write_after(number, other)
+
+
+def _record_size(name: str, data: bytes | msgspec.Raw) -> int:
+    """Return about how many bytes a record takes of its page."""
+    return len(name) + len(bytes(data)) + 4
 
 
 def _records(entry: Entry) -> dict[str, msgspec.Raw]:
