--- a/src/ryewing/state/__init__.py
+++ b/src/ryewing/state/__init__.py
@@ -1,5 +1,7 @@
-"""What a leader knows: jobs, machines, assignments, stops, and judgements of failures.
+"""What a leader knows: jobs, machines, assignments, pending terminations and judged failures.
 
-Everything is in memory and changed only by calls; the forms of stored records stand here as well.
-It imports `wire`, `config` and `clients.store`; scheduling reads it, the leader changes it.
+It owns this state, all of it in memory and changed only by calls that never wait, and the form of
+the records of jobs, machine types and record pages in the store. It may import `units`, `wire`,
+`config` and `clients`. The leader changes it; scheduling and autoscaling read it, and the API,
+process and sharding use its record forms.
 """
