--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -27,7 +27,6 @@
     fencing_token,
 )
 from ryewing.wire.cloud import MachineType
-from ryewing.wire.workers import Heartbeat
 
 LEASE_MARGIN_S = 0.5
 """How much longer than its lease a worker is assumed to keep its tasks."""
@@ -53,6 +52,9 @@
         self._heartbeats = HeartbeatApplier(
             term, self, self.failure_detector, self._fetch_contention
         )
+        self.apply_heartbeat = self._heartbeats.apply
+        """Applies a worker's message; see `HeartbeatApplier.apply`. It is bound here, without a
+        method around it, as it is called for every heartbeat of every machine."""
         self._hold_s = lease_s * (1 + DRIFT) + LEASE_MARGIN_S
         """How long after a 200 response a worker may still hold its tasks."""
 
@@ -109,14 +111,6 @@
             if machine.recorded and not machine.handshaken and machine.may_hold_until is not None:
                 yield machine
 
-    # -- heartbeats -------------------------------------------------------------------------
-
-    def apply_heartbeat(
-        self, machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, is_heartbeat: bool
-    ) -> bool:
-        """Apply a worker's message; see `HeartbeatApplier.apply`."""
-        return self._heartbeats.apply(machine, heartbeat, now, is_heartbeat)
-
     def restarted(self, machine: Machine, now: MonotonicTime) -> None:
         """Start over with a restarted worker; see `HeartbeatApplier.forget_worker`."""
         self._heartbeats.forget_worker(machine, now)
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("full", [False, True])
-def test_a_gang_that_fits_is_placed_in_the_first_pass(size: int, full: bool) -> None:
+def test_a_gang_that_fits_is_placed_in_the_first_cycle(size: int, full: bool) -> None:
     """In a sample of all machines it hardly ever found enough of one type in one zone."""
     fleet = Fleet(size)
     ordinary = sum(
@@ -230,7 +230,7 @@
     assert all(one.done_count == 1 for one in harness.leader.term.job_table)
 
 
-def test_finishes_of_jobs_that_are_gone_do_not_stop_a_take_over(harness: LeaderHarness) -> None:
+def test_finishes_of_jobs_that_are_gone_do_not_stop_a_failover(harness: LeaderHarness) -> None:
     """Found on a rough day: dropping them while reading ended every term at its beginning."""
     for n in range(3):
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("tasks", [4, 16, 64])
-def test_an_unchanged_report_costs_nothing_a_task(
+def test_an_unchanged_heartbeat_costs_nothing_a_task(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch, tasks: int
 ) -> None:
     worker = harness.ready_worker()
@@ -301,14 +301,14 @@
     assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
 
 
-# -- records that share a value -----------------------------------------------------------------
+# -- records that share a page -----------------------------------------------------------------
 
 
-def written(packed: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
+def written(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
     """Make every wanted change; return how many."""
     count = 0
-    while wanted := list(packed.changed()):
-        change = packed.change(wanted[0], STATE.txn_ops, 48 * 1024)
+    while wanted := list(pages.changed()):
+        change = pages.change(wanted[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
             assignment = store.get(key)
             assert condition == (assignment.key_version if assignment is not None else 0)
@@ -319,22 +319,22 @@
         assert sum(len(bytes(store[put.key].data)) for put in change.ops) <= change.size + 2 * len(
             change.ops
         )
-        packed.written(change, Revision(key_version))
+        pages.written(change, Revision(key_version))
         count += len(change.ops)
     return count
 
 
 @pytest.mark.parametrize("count", [1, 50, 500])
-def test_packed_records_come_back_and_go(count: int) -> None:
-    packed = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
+def test_paged_records_come_back_and_go(count: int) -> None:
+    pages = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     store: dict[str, Entry] = {}
     for n in range(count):
-        packed.put(f"i-{n:06d}", {"flavour": "c32", "n": n})
-    changes = written(packed, store, 1)
+        pages.put(f"i-{n:06d}", {"flavour": "c32", "n": n})
+    changes = written(pages, store, 1)
     assert changes <= count // 50 + 1
     for n in range(count):  # records that grow beyond the value go to others
-        packed.put(f"i-{n:06d}", {"flavour": "c32", "n": n, "addr": "10.1.0.2:9000"})
-    assert changes <= written(packed, store, 2) <= 2 * changes
+        pages.put(f"i-{n:06d}", {"flavour": "c32", "n": n, "addr": "10.1.0.2:9000"})
+    assert changes <= written(pages, store, 2) <= 2 * changes
     again = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     records, twice = again.load(store.values())
     names = [name for name, _record in records]
@@ -347,13 +347,13 @@
 
 
 def test_a_change_made_while_a_write_is_under_way_is_written_too() -> None:
-    packed = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
-    number = packed.put("run-1/0", "AA==")
-    change = packed.change(number, 8, 1024)
-    packed.put("run-1/0", "gA==")
-    packed.written(change, Revision(7))
-    assert packed.lacks(number)
-    assert packed.change(number, 8, 1024).conditions == {packed.key(number): 7}
+    pages = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
+    number = pages.put("run-1/0", "AA==")
+    change = pages.change(number, 8, 1024)
+    pages.put("run-1/0", "gA==")
+    pages.written(change, Revision(7))
+    assert pages.lacks(number)
+    assert pages.change(number, 8, 1024).conditions == {pages.key(number): 7}
 
 
 def hear(harness: LeaderHarness, worker: FakeWorker) -> None:
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -41,8 +41,8 @@
     return job
 
 
-def set_aside(harness: LeaderHarness) -> list[str]:
-    """Name the machines that are thought to be faulty."""
+def quarantined(harness: LeaderHarness) -> list[str]:
+    """Return the ids of the machines that are thought to be faulty."""
     return [m.id for m in harness.leader.term.cluster.machines.values() if m.quarantined]
 
 
@@ -136,7 +136,7 @@
 
 
 def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
-    """A sound job that met several faulty machines finds out sooner."""
+    """A healthy job that met several faulty machines finds out sooner."""
     workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=60)
     harness.place()
@@ -151,7 +151,7 @@
     ]
 
 
-def test_a_sound_job_that_meets_one_faulty_machine_goes_on(harness: LeaderHarness) -> None:
+def test_a_healthy_job_that_meets_one_faulty_machine_goes_on(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=60)
     harness.place()
@@ -164,25 +164,25 @@
     assert not harness.assignments(workers[0].name)
 
 
-@pytest.mark.parametrize("sound", [True, False])
-def test_jobs_that_fail_everywhere_set_no_machine_aside(
-    harness: LeaderHarness, sound: bool
+@pytest.mark.parametrize("healthy", [True, False])
+def test_jobs_that_fail_everywhere_quarantine_no_machine(
+    harness: LeaderHarness, healthy: bool
 ) -> None:
-    """Found in inc-f5fb: a new leader set eleven sound machines aside within two seconds."""
+    """Found in inc-f5fb: a new leader quarantined eleven healthy machines within two seconds."""
     workers = harness.ready_workers(9)
     jobs = [live_job(harness, f"run-{n}", task_count=24, cpus=1.0) for n in (1, 2)]
     harness.place()
     for worker in workers * 2:
         harness.exchange(worker)
-    if sound:
+    if healthy:
         for job in jobs:
             job.finish(23)
     on_both = [w for w in workers if len({key[0].split("/")[0] for key in w.tasks}) == 2]
     assert on_both
-    for worker in workers[:2] if sound else workers:
+    for worker in workers[:2] if healthy else workers:
         worker.finish("error")
         harness.exchange(worker)
-    assert bool(set_aside(harness)) is sound
+    assert bool(quarantined(harness)) is healthy
 
 
 def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(
@@ -202,17 +202,17 @@
     """Found in replays: each new leader let a whole batch of such jobs fail once more."""
     workers = harness.ready_workers(4)
     job = failed_job(harness, workers)
-    sound = live_job(harness, "run-2", task_count=2)
-    sound.finish(0)
-    harness.leader.term.job_table.touch(sound)
+    healthy = live_job(harness, "run-2", task_count=2)
+    healthy.finish(0)
+    harness.leader.term.job_table.touch(healthy)
     harness.write()
     told = harness.leader.image_locality()
     assert told.failing == {job.id: BACKOFF_MIN_S}
-    told.failing[sound.id] = 60.0  # it has finished something since
+    told.failing[healthy.id] = 60.0  # it has finished something since
     told.failing["run-999"] = 60.0  # gone meanwhile
     again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
     leader = harness.new_leader(6, again)
-    assert not leader.term.job_table.jobs[sound.id].backoff_s
+    assert not leader.term.job_table.jobs[healthy.id].backoff_s
     harness.ready(*workers)
     harness.place()
     inherited = leader.term.job_table.jobs[JobId("run-1")]
@@ -221,7 +221,7 @@
     assert inherited.backoff_s == 2 * BACKOFF_MIN_S
 
 
-def test_a_machine_that_fails_several_jobs_is_set_aside(harness: LeaderHarness) -> None:
+def test_a_machine_that_fails_several_jobs_is_quarantined(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     for n in (1, 2):
         harness.begin(worker, f"run-{n}", task_count=1)
