--- a/src/ryewing/state/attempts.py
+++ b/src/ryewing/state/attempts.py
@@ -6,11 +6,14 @@
 
 from ryewing.units import Attempt, TaskId
 
+ReportedKey = tuple[str, int]
+"""What a worker's heartbeat names an attempt by: the task id as text, and the attempt."""
+
 
 class TaskPhase(enum.StrEnum):
     """Where a task attempt is: what the leader has decided, then what the worker reports.
 
-    The values from `FETCHING` on are the protocol's `status` (PROTOCOL, "POST /v1/report").
+    The values from `FETCHING` on are the protocol's task states (PROTOCOL, "POST /v1/report").
     """
 
     PLANNED = "planned"
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from ryewing.state.assignment_table import AssignmentTable
 from ryewing.state.failure_detector import FailureDetector
@@ -32,6 +33,15 @@
 """How much longer than its lease a worker is assumed to keep its tasks."""
 
 
+class CachedImages(NamedTuple):
+    """Which images are in the caches of which machines, with every name once."""
+
+    images: list[tuple[str, float]]
+    """All images that are known to be anywhere, with their sizes in GB."""
+    machines: dict[str, list[int]]
+    """For each machine that has any, its images as indexes into `images`."""
+
+
 class ClusterState(AssignmentTable):
     """All machines of one term, with their assignments and the life cycle of their leases.
 
@@ -126,12 +136,8 @@
         """Return whether images fetched at once seem to share a machine's rate."""
         return self._fetch_contention.is_rate_shared()
 
-    def images(self) -> tuple[list[tuple[str, float]], dict[str, list[int]]]:
-        """Return the image locality that other controllers are told of.
-
-        First all known images, each with its size in GB; then, for each machine that has any, its
-        images as indexes into that list.
-        """
+    def images(self) -> CachedImages:
+        """Return the image locality, of which other controllers are told."""
         indexes: dict[str, int] = {}
         images: list[tuple[str, float]] = []
         machines: dict[str, list[int]] = {}
@@ -142,7 +148,7 @@
                     images.append((image, size_gb))
             if machine.images:
                 machines[machine.id] = [indexes[image] for image in machine.images]
-        return images, machines
+        return CachedImages(images, machines)
 
     def restore_images(
         self, images: list[tuple[str, float]], machines: dict[str, list[int]]
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -10,7 +10,7 @@
 import logging
 
 from ryewing.state.assignment_table import AssignmentTable
-from ryewing.state.attempts import LIVE_PHASES, EndCause, EndedAttempt, TaskPhase
+from ryewing.state.attempts import LIVE_PHASES, EndCause, EndedAttempt, ReportedKey, TaskPhase
 from ryewing.state.failure_detector import FailureDetector
 from ryewing.state.image_fetches import FetchContention
 from ryewing.state.jobs import Job
@@ -136,7 +136,7 @@
         This runs for every task of every heartbeat: the first loop calls no function of ours.
         """
         previous = machine.last_reported
-        current: dict[tuple[str, int], ReportedTask] = {}
+        current: dict[ReportedKey, ReportedTask] = {}
         changed: list[ReportedTask] = []
         for reported in heartbeat.tasks:
             key = (reported.task_id, reported.attempt)
@@ -159,8 +159,8 @@
     def _drop_unreported(
         self,
         machine: Machine,
-        previous: dict[tuple[str, int], ReportedTask],
-        current: dict[tuple[str, int], ReportedTask],
+        previous: dict[ReportedKey, ReportedTask],
+        current: dict[ReportedKey, ReportedTask],
         now: MonotonicTime,
     ) -> None:
         """Drop the attempts that the previous heartbeat showed and this one does not."""
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -8,7 +8,7 @@
 from collections import Counter, OrderedDict
 from typing import NamedTuple
 
-from ryewing.state.attempts import EndedAttempt, TaskPhase
+from ryewing.state.attempts import EndedAttempt, ReportedKey, TaskPhase
 from ryewing.state.image_fetches import ImageFetch
 from ryewing.state.jobs import Job
 from ryewing.units import (
@@ -212,11 +212,10 @@
     """What its assignments leave free, planned ones included; so also `gpus` and `memory_gb`."""
     gpus: float
     memory_gb: float
-    last_reported: dict[tuple[str, int], ReportedTask]
-    """Attempts as its newest heartbeat showed them, by task id and attempt: only what differs in
-    the next heartbeat costs work."""
-    ended: dict[tuple[str, int], EndedAttempt]
-    """Ended attempts that its worker still reports, by task id and attempt."""
+    last_reported: dict[ReportedKey, ReportedTask]
+    """Attempts as its newest heartbeat showed them: only changes cost work in the next one."""
+    ended: dict[ReportedKey, EndedAttempt]
+    """Ended attempts that its worker still reports."""
 
     # Its images.
     images: OrderedDict[str, float]
