--- a/src/ryewing/api/cancellation.py
+++ b/src/ryewing/api/cancellation.py
@@ -11,8 +11,7 @@
 from ryewing.clients.store import Put, RejectedError, StoreUnavailableError, TxnResult
 from ryewing.clients.user_request_limiter import UserRequest
 from ryewing.state.job_records import (
-    CANCELLED,
-    DONE,
+    FINAL_STATES,
     JobRecord,
     live_key,
     read_record,
@@ -72,7 +71,7 @@
         status = self._queries.read_status(job)
         if status is None:
             return no_such_job()
-        if status.status in (DONE, CANCELLED):
+        if status.status in FINAL_STATES:
             return self._queries.with_final_state(status)
         return None
 
--- a/src/ryewing/api/job_queries.py
+++ b/src/ryewing/api/job_queries.py
@@ -20,8 +20,8 @@
 from ryewing.clients.store import StoreUnavailableError, decode_stored
 from ryewing.clients.user_request_limiter import UserRequest
 from ryewing.state.job_records import (
-    CANCELLED,
     FinalRecord,
+    FinalState,
     JobRecord,
     final_key,
     live_key,
@@ -109,8 +109,8 @@
         if not self._node.announce_cancel(job, shard_of(record)):
             reason = "the cancel is written but the leader has not heard it"
             raise RefusedError(unavailable(self._node.policy, reason))
-        self._node.final_states.put(job, CANCELLED)
-        return JobStatus(job, CANCELLED)
+        self._node.final_states.put(job, FinalState.CANCELLED)
+        return JobStatus(job, FinalState.CANCELLED)
 
     def remember_shard(self, job: JobId, record: JobRecord) -> None:
         """Note the shard of a job whose record was read or written."""
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -12,7 +12,8 @@
 from ryewing.leader.commands import clear_commands
 from ryewing.leader.direct_messages import DirectMessages
 from ryewing.leader.term_context import TermContext
-from ryewing.state.machine import Machine, TaskPhase
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Machine
 from ryewing.units import MAX_TOKEN_BUMPS, MonotonicTime
 
 TOKEN_BUMP_EVERY = 0.51
--- a/src/ryewing/leader/final_states.py
+++ b/src/ryewing/leader/final_states.py
@@ -16,7 +16,7 @@
 from ryewing.leader.finished_task_records import FinishedTaskWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.write import Write
-from ryewing.state.job_records import CANCELLED, DONE, FinalRecord, final_key, live_key
+from ryewing.state.job_records import FinalRecord, FinalState, final_key, live_key
 from ryewing.state.jobs import Job
 from ryewing.units import JobId, KeyVersion, Revision
 
@@ -68,10 +68,10 @@
     def status(self, job: Job) -> str | None:
         """Return how a job has ended; None if it has not, or may still have tasks somewhere."""
         if not job.cancelled:
-            return DONE if job.complete else None
+            return FinalState.DONE if job.complete else None
         if job.live or any(True for _ in self._term.cluster.unreconciled()):
             return None
-        return CANCELLED
+        return FinalState.CANCELLED
 
     def begin(self, jobs: Iterable[JobId]) -> None:
         """Note that the final states of these jobs are being written."""
--- a/src/ryewing/leader/heartbeat_effects.py
+++ b/src/ryewing/leader/heartbeat_effects.py
@@ -10,7 +10,8 @@
 
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.terminations import TaskTerminator
-from ryewing.state.machine import Machine, TaskPhase
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Machine
 from ryewing.state.pending_terminations import TerminationReason
 from ryewing.units import MonotonicTime
 
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -13,7 +13,8 @@
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.term_end_reason import TermEndReason
-from ryewing.state.machine import Machine, TaskPhase
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Machine
 from ryewing.units import (
     HeartbeatVersion,
     MachineId,
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -33,7 +33,8 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.terminations import TaskTerminator
-from ryewing.state.machine import Machine, TaskPhase
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Machine
 from ryewing.units import JobId, KeyVersion, MonotonicTime, monotonic_now
 from ryewing.wire.jobs import JobStatus
 from ryewing.wire.workers import Heartbeat, HeartbeatResponse
--- a/src/ryewing/leader/terminations.py
+++ b/src/ryewing/leader/terminations.py
@@ -6,8 +6,9 @@
 
 from ryewing.leader.direct_messages import DirectMessages
 from ryewing.leader.term_context import TermContext
-from ryewing.state.machine import Assignment, Machine, TaskPhase
-from ryewing.state.pending_terminations import TerminationReason
+from ryewing.state.attempts import TaskPhase
+from ryewing.state.machine import Assignment, Machine
+from ryewing.state.pending_terminations import PendingTermination, TerminationReason
 from ryewing.units import MonotonicTime
 
 log = logging.getLogger(__name__)
@@ -35,9 +36,8 @@
         if assignment.phase == TaskPhase.PLANNED:
             self._term.cluster.drop(assignment, now)
             return
-        if self._term.terminations.add(
-            machine.id, assignment.task, assignment.attempt, grace_s, reason, now
-        ):
+        termination = PendingTermination(machine.id, assignment.task, assignment.attempt, grace_s)
+        if self._term.terminations.add(termination):
             log.info(
                 "event=stop task=%s machine=%s grace_s=%g reason=%s",
                 assignment.task,
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -15,7 +15,7 @@
 from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.term_end_reason import TermEndReason
 from ryewing.leader.worker_reachability import CUT_PROBE_S
-from ryewing.state.pending_terminations import TerminationReason
+from ryewing.state.pending_terminations import PendingTermination
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
 
@@ -227,9 +227,7 @@
     stopping = {machine.id for machine in machines[:60]}
     for name in sorted(stopping):
         task = TaskId(JobId("run-1"), 0)
-        harness.leader.term.terminations.add(
-            name, task, Attempt(1), 0.0, TerminationReason.CANCELLED, harness.clock()
-        )
+        harness.leader.term.terminations.add(PendingTermination(name, task, Attempt(1), 0.0))
     for machine in machines:
         direct_messages.schedule(machine)
     direct_messages.senders.join()
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -9,7 +9,8 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from ryewing.state.job_records import CANCELLED, DONE
+from ryewing.state.attempts import EndCause
+from ryewing.state.job_records import FINAL_STATES, FinalState
 from ryewing.units import parse_task
 
 if TYPE_CHECKING:
@@ -51,11 +52,11 @@
         if job in self.final_states and state != self.final_states[job]:
             self.add_violation("went_back", f"{node}: {job} {self.final_states[job]} -> {state}")
         self.accepted.add(job)
-        if state in (DONE, CANCELLED):
+        if state in FINAL_STATES:
             self.final_states.setdefault(job, state)
-        if state == CANCELLED:
+        if state == FinalState.CANCELLED:
             self.cancelled_at.setdefault(job, self._cluster.clock())
-        if state == DONE and self.ended_done.get(job, set()) != set(
+        if state == FinalState.DONE and self.ended_done.get(job, set()) != set(
             range(self.job_specs[job].task_count)
         ):
             self.add_violation("not_done", f"{node}: {job}")
@@ -107,7 +108,7 @@
                 task = parse_task(reported)
                 assert task is not None
                 if found.status == "ended":
-                    if found.cause == DONE:
+                    if found.cause == EndCause.DONE:
                         self.ended_done.setdefault(task.job, set()).add(task.number)
                     continue
                 told = self.cancelled_at.get(task.job)
