--- /dev/null
+++ b/src/ryewing/election/campaign.py
@@ -0,0 +1,108 @@
+"""Campaigning for the lease.
+
+The winner sets the lease holder and the next term in one transaction, on the versions of both keys
+that it has read: of several controllers that campaign at once only one succeeds.
+"""
+
+from __future__ import annotations
+
+from ryewing.clients.store import (
+    LeaseLostError,
+    Put,
+    StoreUnavailableError,
+    TermStore,
+    ThrottledError,
+)
+from ryewing.election.election_record import (
+    HOLDER_KEY,
+    TERM_KEY,
+    ElectionRecord,
+    LeaseHolder,
+    TermRecord,
+    read_election_record,
+)
+from ryewing.election.identity import ProcessIdentity
+from ryewing.election.leadership import Leadership
+from ryewing.election.lease_validity import LeaseValidity
+from ryewing.units import KeyVersion, TermNumber, monotonic_now
+
+
+def may_campaign(election: ElectionRecord, candidate: ProcessIdentity) -> bool:
+    """Return whether a process may campaign for the lease.
+
+    Without a holder the lease has expired. A holder that is an earlier process of the same node is
+    dead, since a node runs one process at a time; what it still sends is fenced by the term.
+    """
+    if election.holder is None:
+        return True
+    holder = election.holder
+    return holder.node == candidate.node and holder.boot_id != candidate.boot_id
+
+
+def campaign(
+    store: TermStore,
+    election: ElectionRecord,
+    candidate: ProcessIdentity,
+    lease_s: float,
+    hold_s: float,
+) -> Leadership | None:
+    """Try to win the term after that of `election`.
+
+    Args:
+        store: Where the lease is; in a divided fleet the shard's part of the store.
+        election: The latest reading of the election record.
+        candidate: The process that campaigns.
+        lease_s: Lifetime of the lease, in seconds.
+        hold_s: See `LeaseValidity`, in seconds.
+
+    Returns:
+        The leadership that was won, or None if another process was first.
+
+    Raises:
+        StoreUnavailableError: The store refused, or it is not known what became of the campaign.
+    """
+    sent_at = monotonic_now()
+    lease = store.grant(lease_s)
+    term = TermNumber(election.term + 1)
+    holder = LeaseHolder(candidate.node, candidate.boot_id, term)
+    term_key_version = _write_holder_and_term(store, election, holder, lease)
+    if term_key_version is None:
+        return None
+    lease_validity = LeaseValidity(lease_s, hold_s)
+    lease_validity.confirm_renewal(sent_at)
+    return Leadership(term, term_key_version, lease, lease_validity)
+
+
+def _write_holder_and_term(
+    store: TermStore, election: ElectionRecord, holder: LeaseHolder, lease: int
+) -> KeyVersion | None:
+    """Return the version of `lead/term` as written; None if another process was first."""
+    unanswered: StoreUnavailableError | None = None
+    try:
+        result = store.txn(
+            {HOLDER_KEY: election.holder_key_version, TERM_KEY: election.term_key_version},
+            [Put(HOLDER_KEY, holder, lease), Put(TERM_KEY, TermRecord(holder.term))],
+        )
+        if result.ok:
+            return KeyVersion(result.revision)
+    except LeaseLostError:
+        return None
+    except ThrottledError:
+        raise
+    except StoreUnavailableError as error:
+        unanswered = error
+    # The transaction may have been executed although its answer was lost, and been sent once more
+    # through a peer. A process that holds the lease without knowing it leaves everybody without a
+    # leader until the lease has expired.
+    found = read_election_record(store)
+    if _was_written(found, holder):
+        return found.term_key_version
+    if unanswered is not None:
+        raise unanswered
+    return None
+
+
+def _was_written(election: ElectionRecord, written: LeaseHolder) -> bool:
+    """Return whether the holder in the store is the one that this process tried to write."""
+    found = election.holder
+    return found is not None and (found.boot_id, found.term) == (written.boot_id, written.term)
--- /dev/null
+++ b/src/ryewing/election/election_record.py
@@ -0,0 +1,75 @@
+"""The election record: what the store holds about the lease and the term.
+
+There are two keys. `lead/holder` is attached to a lease of the store and names the leading process,
+so it disappears when the lease expires. `lead/term` stays and counts the terms. Every reading of
+both gives an `ElectionRecord`.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from ryewing.clients.store import StoreUnavailableError, TermStore, decode_stored
+from ryewing.units import KeyVersion, Revision, TermNumber
+from ryewing.wire.store import Entry
+
+ELECTION_PREFIX = "lead/"
+HOLDER_KEY = "lead/holder"
+TERM_KEY = "lead/term"
+
+
+class LeaseHolder(msgspec.Struct, rename={"boot_id": "boot"}):
+    """The value of `lead/holder`: which process leads, and in which term."""
+
+    node: str
+    boot_id: str
+    term: int
+
+
+class TermRecord(msgspec.Struct):
+    """The value of `lead/term`: the number of the current or latest term."""
+
+    term: int
+
+
+class ElectionRecord(msgspec.Struct):
+    """The lease holder and the term as one reading of the store found them."""
+
+    holder: LeaseHolder | None
+    """None if nobody holds the lease."""
+    holder_key_version: KeyVersion
+    term: TermNumber
+    """0 if there has been no term yet."""
+    term_key_version: KeyVersion
+    revision: Revision
+    """The store's revision at the reading: a watch continues from here."""
+
+
+UNKNOWN_HOLDER = LeaseHolder("", "", 0)
+"""Stands for a holder whose record can't be decoded: somebody holds the lease and is waited for."""
+
+
+def read_election_record(store: TermStore) -> ElectionRecord:
+    """Read the lease holder and the term from the store.
+
+    Raises:
+        StoreUnavailableError: The store gave no answer, or the term in it can't be decoded.
+    """
+    entries, revision = store.listing(ELECTION_PREFIX)
+    election = ElectionRecord(None, KeyVersion(0), TermNumber(0), KeyVersion(0), revision)
+    for entry in entries:
+        if entry.key == HOLDER_KEY:
+            election.holder = decode_stored(entry.data, LeaseHolder, entry.key) or UNKNOWN_HOLDER
+            election.holder_key_version = KeyVersion(entry.key_version)
+        elif entry.key == TERM_KEY:
+            election.term = _decode_term(entry)
+            election.term_key_version = KeyVersion(entry.key_version)
+    return election
+
+
+def _decode_term(entry: Entry) -> TermNumber:
+    record = decode_stored(entry.data, TermRecord, entry.key)
+    if record is None:
+        # Guessing is no way out: workers would ignore the tokens of a term that is too low.
+        raise StoreUnavailableError("the term can't be read")
+    return TermNumber(record.term)
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -26,22 +26,21 @@
 from ryewing.clients.store import StoreUnavailableError, TermStore, WatchExpiredError, decode_stored
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import (
+from ryewing.election.campaign import campaign, may_campaign
+from ryewing.election.election_record import (
+    ELECTION_PREFIX,
     HOLDER_KEY,
-    PREFIX,
     ElectionRecord,
     LeaseHolder,
-    campaign,
-    may_campaign,
     read_election_record,
 )
+from ryewing.election.identity import ProcessIdentity
 from ryewing.leader.leader import CUT, UNFOLLOWED, Leader
 from ryewing.leader.scope import TermScope
 from ryewing.leader.term_context import TermContext
 from ryewing.units import (
     JobId,
     MonotonicTime,
-    NodeName,
     Revision,
     ShardName,
     TermNumber,
@@ -67,15 +66,15 @@
         self,
         settings: Settings,
         policy: Policy,
-        boot_id: str,
+        identity: ProcessIdentity,
         peers: Peers,
         on_final: Callable[[JobId, str], None],
         on_machine_types: Callable[[list[MachineType]], None],
     ) -> None:
         self.settings = settings
         self.policy = policy
-        self.name = NodeName(settings.node)
-        self.boot_id = boot_id
+        self.identity = identity
+        self.name = identity.node
         self.peers = peers
         self.on_final = on_final
         self.on_machine_types = on_machine_types
@@ -136,7 +135,7 @@
                 gevent.sleep(min(wait, 0.5))
                 election = read_election_record(self.store)
                 continue
-            if may_campaign(election, self._process.name, self._process.boot_id):
+            if may_campaign(election, self._process.identity):
                 if not self.eligible():
                     self._await_eligibility()
                 elif self.campaign(election):
@@ -144,7 +143,7 @@
                 election = read_election_record(self.store)
                 continue
             try:
-                changes = self.store.watch(PREFIX, election.revision, WATCH_S)
+                changes = self.store.watch(ELECTION_PREFIX, election.revision, WATCH_S)
             except WatchExpiredError:
                 return
             if changes.log:
@@ -164,8 +163,7 @@
         leadership = campaign(
             self.store,
             election,
-            process.name,
-            process.boot_id,
+            process.identity,
             process.policy.store_lease_s,
             process.policy.hold_s,
         )
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -36,7 +36,7 @@
 from ryewing.clients.user_request_limiter import UserRequestLimiter
 from ryewing.config.policy import Policy
 from ryewing.config.settings import Settings, parse_address
-from ryewing.election.leadership import new_boot_id
+from ryewing.election.identity import ProcessIdentity, new_boot_id
 from ryewing.leader.division import Division, WholeFleet
 from ryewing.process.leader_elector import LeaderElector, ProcessParts
 from ryewing.state import machine_type_catalogue as catalogue
@@ -69,7 +69,7 @@
         self.settings = settings
         self.policy = policy
         self.name = NodeName(settings.node)
-        self.boot_id = new_boot_id()
+        self.identity = ProcessIdentity(self.name, new_boot_id())
         limits = settings.params.state.strictest()
         self.division = division or WholeFleet()
         scopes = self.division.scopes()
@@ -103,7 +103,7 @@
         parts = ProcessParts(
             self.settings,
             self.policy,
-            self.boot_id,
+            self.identity,
             self.peers,
             self.final_states.put,
             self._set_machine_types,
@@ -117,7 +117,12 @@
         """Run until the process is killed."""
         self._http_server.start()
         self._peer_server.start()
-        log.info("event=serving node=%s boot=%s version=%s", self.name, self.boot_id, __version__)
+        log.info(
+            "event=serving node=%s boot=%s version=%s",
+            self.name,
+            self.identity.boot_id,
+            __version__,
+        )
         first, *others = self.electors.values()
         for elector in others:
             gevent.spawn(elector.run)
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ryewing.clients.store import Put, Store, decode_stored
-from ryewing.election.leadership import TERM_KEY
+from ryewing.election.election_record import TERM_KEY
 from ryewing.sharding.health import healthy_nodes
 from ryewing.sharding.ownership import Ownership
 from ryewing.sharding.settings import ShardSettings
--- a/src/ryewing/sharding/serve.py
+++ b/src/ryewing/sharding/serve.py
@@ -24,7 +24,9 @@
     division = node.division
     if not isinstance(division, ShardDivision):
         raise TypeError("the controller's fleet is not divided")
-    health = ControllerHealth(node.store, node.name, node.boot_id, node.policy.store_lease_s)
+    health = ControllerHealth(
+        node.store, node.name, node.identity.boot_id, node.policy.store_lease_s
+    )
     electors = {
         ShardName(shard): elector for shard, elector in node.electors.items() if shard is not None
     }
--- a/tests/election/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -6,13 +6,10 @@
 from support.fakes import policy, settings
 from support.placement_world import T0
 
-from ryewing.election.leadership import (
-    JOBS_KNOWN_MAX_AGE_S,
-    ElectionRecord,
-    LeaseHolder,
-    LeaseValidity,
-    may_campaign,
-)
+from ryewing.election.campaign import may_campaign
+from ryewing.election.election_record import ElectionRecord, LeaseHolder
+from ryewing.election.identity import ProcessIdentity
+from ryewing.election.lease_validity import JOBS_KNOWN_MAX_AGE_S, LeaseValidity
 from ryewing.units import KeyVersion, MonotonicTime, NodeName, Revision, TermNumber
 
 
@@ -74,4 +71,4 @@
 )
 def test_who_may_campaign(holder: LeaseHolder | None, expected: bool) -> None:
     view = ElectionRecord(holder, KeyVersion(3), TermNumber(4), KeyVersion(3), Revision(9))
-    assert may_campaign(view, NodeName("n-0"), "me") is expected
+    assert may_campaign(view, ProcessIdentity(NodeName("n-0"), "me")) is expected
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -12,7 +12,9 @@
 
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
-from ryewing.election.leadership import campaign, read_election_record
+from ryewing.election.campaign import campaign
+from ryewing.election.election_record import read_election_record
+from ryewing.election.identity import ProcessIdentity
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
 from ryewing.state.job_records import JobRecord, final_key, live_key
 from ryewing.state.machine import COLD, WARM, TaskPhase
@@ -444,8 +446,8 @@
 def test_one_of_two_candidates_wins(harness: LeaderHarness) -> None:
     store: Any = harness.store
     election = read_election_record(store)
-    first = campaign(store, election, NodeName("n-0"), "b0", 3.0, 15.0)
-    second = campaign(store, election, NodeName("n-1"), "b1", 3.0, 15.0)
+    first = campaign(store, election, ProcessIdentity(NodeName("n-0"), "b0"), 3.0, 15.0)
+    second = campaign(store, election, ProcessIdentity(NodeName("n-1"), "b1"), 3.0, 15.0)
     assert first is not None
     assert second is None
     assert first.term == 6
@@ -453,7 +455,9 @@
     assert again.holder is not None
     assert again.holder.node == "n-0"
     harness.store.expire(first.lease)
-    third = campaign(store, read_election_record(store), NodeName("n-1"), "b1", 3.0, 15.0)
+    third = campaign(
+        store, read_election_record(store), ProcessIdentity(NodeName("n-1"), "b1"), 3.0, 15.0
+    )
     assert third is not None
     assert third.term == 7
 
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -15,7 +15,9 @@
 
 from ryewing.clients.http_client import Reply
 from ryewing.clients.store import Store, StoreUnavailableError
-from ryewing.election.leadership import campaign, may_campaign, read_election_record
+from ryewing.election.campaign import campaign, may_campaign
+from ryewing.election.election_record import read_election_record
+from ryewing.election.identity import ProcessIdentity
 from ryewing.leader.worker_commands import MAX_COMMANDS
 from ryewing.state.machine import TaskPhase
 from ryewing.units import JobId, MachineId, NodeName, TermNumber, fencing_token
@@ -405,16 +407,16 @@
     store.txn = recorded
     node = NodeName("n-0")
     with pytest.raises(StoreUnavailableError):
-        campaign(store, read_election_record(store), node, "before", 3.0, 15.0)
-    won = campaign(store, read_election_record(store), node, "after", 3.0, 15.0)
+        campaign(store, read_election_record(store), ProcessIdentity(node, "before"), 3.0, 15.0)
+    won = campaign(store, read_election_record(store), ProcessIdentity(node, "after"), 3.0, 15.0)
     assert won is not None
     for conditions, writes in [*sent, *sent]:
         assert not real(conditions, writes).ok
     election = read_election_record(store)
     assert election.holder is not None
     assert (election.holder.boot_id, election.term) == ("after", won.term)
-    assert not may_campaign(election, node, "after")
-    assert may_campaign(election, node, "again")
+    assert not may_campaign(election, ProcessIdentity(node, "after"))
+    assert may_campaign(election, ProcessIdentity(node, "again"))
 
 
 @pytest.mark.parametrize("old_first", [True, False])
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -7,7 +7,7 @@
 from support.harness import LeaderHarness, starts
 
 from ryewing.clients.store import Put
-from ryewing.election.leadership import HOLDER_KEY, read_election_record
+from ryewing.election.election_record import HOLDER_KEY, read_election_record
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.shard_store import ShardStore
 from ryewing.state.job_records import live_key
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -15,7 +15,7 @@
 TERM_PARTS = (
     "clients.machine_listing",
     "clients.token_bucket",
-    "election.leadership",
+    "election.campaign",
     "leader.autoscaler",
     "leader.job_watcher",
     "leader.leader",
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -22,7 +22,8 @@
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.config.policy import defaults
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import may_campaign, read_election_record
+from ryewing.election.campaign import may_campaign
+from ryewing.election.election_record import read_election_record
 from ryewing.leader.leader import Leader
 from ryewing.process.leader_elector import LeaderElector
 from ryewing.process.node import Node
@@ -211,7 +212,7 @@
         try:
             election = read_election_record(elector.store)
             elector.note(election)
-            if may_campaign(election, node.name, node.boot_id) and elector.eligible():
+            if may_campaign(election, node.identity) and elector.eligible():
                 elector.campaign(election)
         except StoreUnavailableError:
             return
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -22,7 +22,8 @@
 )
 from ryewing.config.policy import Policy, defaults
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import Leadership, LeaseValidity
+from ryewing.election.leadership import Leadership
+from ryewing.election.lease_validity import LeaseValidity
 from ryewing.state.job_records import JobRecord
 from ryewing.state.jobs import Job
 from ryewing.units import KeyVersion, MachineId, MonotonicTime, Revision, TermNumber
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -9,7 +9,8 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put
 from ryewing.config.settings import NextLimits
-from ryewing.election.leadership import TERM_KEY, LeaseValidity
+from ryewing.election.election_record import TERM_KEY
+from ryewing.election.lease_validity import LeaseValidity
 from ryewing.leader.leader import Leader
 from ryewing.leader.scope import WHOLE_FLEET
 from ryewing.leader.term_context import TermContext
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,7 +15,7 @@
 
 from ryewing.clients import peers
 from ryewing.clients.store import Put
-from ryewing.election.leadership import LeaseHolder, TermRecord
+from ryewing.election.election_record import LeaseHolder, TermRecord
 from ryewing.leader.state_writer import MACHINE_PREFIX, MachineRecord
 from ryewing.state.job_records import (
     FINISHED_PREFIX,
