--- a/src/ryewing/cli.py
+++ b/src/ryewing/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: runs a controller, checks settings, lists the shards or moves one."""
 
 from __future__ import annotations
 
@@ -8,40 +8,51 @@
 import sys
 
 from ryewing import __version__
-from ryewing.config import policy as policies
-from ryewing.config.settings import Settings, SettingsError
-from ryewing.config.settings import load as load_settings
+from ryewing.config.errors import ConfigError
+from ryewing.config.policy import Policy, default_policy, load_policy
+from ryewing.config.settings import Settings
+from ryewing.config.settings_file import load_settings
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVEL_VARIABLE = "LOG_LEVEL"
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 POLICY_VARIABLE = "RYEWING_POLICY"
+SHARDS_METAVAR = "FILE|zones:N"
 
+EXIT_OK = 0
+EXIT_UNUSABLE_CONFIG = 1
 
-def parser() -> argparse.ArgumentParser:
-    """Describe the command line."""
-    top = argparse.ArgumentParser(
+
+def make_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
+    parser = argparse.ArgumentParser(
         prog="ryewing",
         description="One controller of the ryewing cluster scheduler.",
         epilog="LOG_LEVEL (error, info, debug) sets the amount of logging on standard error.",
     )
-    top.add_argument("--version", action="version", version=f"ryewing {__version__}")
-    top.add_argument(
+    parser.add_argument("--version", action="version", version=f"ryewing {__version__}")
+    parser.add_argument(
         "--policy",
         metavar="LUA",
         default=os.environ.get(POLICY_VARIABLE),
         help=f"operators' Lua script (default: the variable {POLICY_VARIABLE})",
     )
-    top.add_argument("--config", metavar="FILE", help="run a controller with this settings file")
-    top.add_argument(
+    parser.add_argument("--config", metavar="FILE", help="run a controller with this settings file")
+    parser.add_argument(
         "--shards",
-        metavar="FILE|zones:N",
+        metavar=SHARDS_METAVAR,
         help="divide the fleet among the controllers: by a file, or into N shards of whole zones",
     )
-    commands = top.add_subparsers(dest="command", metavar="COMMAND")
+    _add_commands(parser)
+    return parser
+
+
+def _add_commands(parser: argparse.ArgumentParser) -> None:
+    commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     check = commands.add_parser("check", help="check a settings file and the Lua script, and end")
     check.add_argument("file", help="the settings file")
     check.add_argument(
         "--shards",
-        metavar="FILE|zones:N",
+        metavar=SHARDS_METAVAR,
         dest="checked_shards",
         help="a division of the fleet to check as well",
     )
@@ -49,49 +60,47 @@
     shards.add_argument("file", help="the settings file of any controller")
     shards.add_argument("--move", metavar="SHARD", help="a shard to be led by another controller")
     shards.add_argument("--to", metavar="NODE", help="the controller that is to lead it")
-    return top
 
 
 def _log_to_stderr() -> None:
-    name = os.environ.get("LOG_LEVEL", "info").lower()
+    level = os.environ.get(LOG_LEVEL_VARIABLE, "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(name, logging.INFO),
+        level=LOG_LEVELS.get(level, logging.INFO),
         format="time=%(asctime)s level=%(levelname)s part=%(name)s %(message)s",
     )
 
 
-def _load(path: str, script: str | None) -> tuple[Settings, policies.Policy]:
-    settings = load_settings(path)
-    if script:
-        return settings, policies.load(script, settings)
-    return settings, policies.defaults(settings)
-
-
-def _check_shards(text: str, settings: Settings) -> None:
-    from ryewing.sharding.check import describe  # only who asks for it pays for the import
-
-    for line in describe(text, settings):
-        print(line)
-
-
-def _command(
-    arguments: argparse.Namespace, settings: Settings, top: argparse.ArgumentParser
+def _run_command(
+    arguments: argparse.Namespace, settings: Settings, parser: argparse.ArgumentParser
 ) -> int:
+    """Run a command other than the controller; return the exit code."""
     if arguments.command == "check":
-        if arguments.checked_shards is not None:
-            _check_shards(arguments.checked_shards, settings)
-        print(f"{arguments.file}: good for node {settings.node}")
-        return 0
+        return _check(arguments, settings)
     if (arguments.move is None) != (arguments.to is None):
-        top.error("--move SHARD and --to NODE go together")
+        parser.error("--move SHARD and --to NODE go together")
+    # The import is paid for only by who asks for this command.
     from ryewing.sharding import command
 
     return command.run(settings, arguments.move, arguments.to)
 
 
-def _serve(arguments: argparse.Namespace, settings: Settings, policy: policies.Policy) -> None:
-    # Only a controller pays for these imports, and for shards only one that leads some.
+def _check(arguments: argparse.Namespace, settings: Settings) -> int:
+    if arguments.checked_shards is not None:
+        # The import is paid for only by who asks for this check.
+        from ryewing.sharding.check import describe
+
+        for line in describe(arguments.checked_shards, settings):
+            print(line)
+    print(f"{arguments.file}: good for node {settings.node}")
+    return EXIT_OK
+
+
+def _serve(arguments: argparse.Namespace, settings: Settings, policy: Policy) -> None:
+    """Run a controller until the process is killed.
+
+    Only a controller pays for these imports, and for those of shards only one that leads some.
+    """
     if arguments.shards is not None:
         from ryewing.sharding import serve
         from ryewing.sharding.settings import shards_from
@@ -107,18 +116,24 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line; return the exit code."""
-    top = parser()
-    arguments = top.parse_args(argv)
+    """Run the command line and return the exit code.
+
+    Without `argv` the process's own arguments are used. Wrong usage ends the process with
+    argparse's exit code 2.
+    """
+    parser = make_parser()
+    arguments = parser.parse_args(argv)
     path = arguments.file if arguments.command is not None else arguments.config
     if path is None:
-        top.error("give --config FILE to run a controller, or a command")
+        parser.error("give --config FILE to run a controller, or a command")
     try:
-        settings, policy = _load(path, arguments.policy)
+        settings = load_settings(path)
+        script = arguments.policy
+        policy = load_policy(script, settings) if script else default_policy(settings)
         if arguments.command is not None:
-            return _command(arguments, settings, top)
+            return _run_command(arguments, settings, parser)
         _serve(arguments, settings, policy)
-    except (SettingsError, policies.PolicyError) as error:
+    except ConfigError as error:
         print(f"ryewing: {error}", file=sys.stderr)
-        return 1
-    return 0
+        return EXIT_UNUSABLE_CONFIG
+    return EXIT_OK
--- a/src/ryewing/config/settings.py
+++ b/src/ryewing/config/settings.py
@@ -1,21 +1,21 @@
-"""The platform's settings file, checked: the first errors, each with its field's path."""
+"""The platform's settings as typed values.
 
-from __future__ import annotations
+The names are those of the fields in the settings file, which is JSON; fields that are not known
+here are ignored. Times are in seconds unless a name says otherwise. `settings_file` reads the file.
+"""
 
-import math
-from collections.abc import Iterator
-from pathlib import Path
-from typing import Any
+from __future__ import annotations
 
 import msgspec
 
-from ryewing.wire.codec import UNREADABLE
+from ryewing.config.errors import ConfigError
 
 Address = tuple[str, int]
+"""An IPv4 address in dotted notation, and a port."""
 
 
-class SettingsError(ValueError):
-    """The settings can't be used; the message names the field."""
+class SettingsError(ConfigError):
+    """Settings can't be used; the message names the file and the field."""
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -24,47 +24,66 @@
     node: str
     domain: str
     address: str
+    """Where it answers other controllers: `10.0.0.2:8081`."""
 
 
 class Endpoints(msgspec.Struct, frozen=True):
-    """Where the cloud and the state service are."""
+    """The addresses of the cloud and of the store."""
 
     cloud: str
     state: str
+    """The store's."""
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; 0 means none."""
+    """What a team is guaranteed, and what its tasks may use at most at any moment; 0 means none."""
 
     name: str
     cpus: float = 0.0
+    """Guaranteed."""
     cpus_max: float = 0.0
+    """The limit."""
     gpus: float = 0.0
+    """Guaranteed."""
     gpus_max: float = 0.0
+    """The limit."""
+
+
+OBJECTIVE_KINDS = ("wait", "finished", "deadline")
+"""The kinds of objectives that the order of jobs goes by: begun within a time, finished within a
+time, and finished by the job's deadline. Others are ignored."""
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """One aim of the users."""
+    """A service-level objective: what share of a class's jobs should start or finish in time."""
 
     kind: str
+    """One of OBJECTIVE_KINDS."""
     share: float = 0.0
     job_class: str | None = None
     within_s: float | None = None
+    """For `wait` and `finished`: in what time after the submission."""
     times: float | None = None
+    """For `deadline`: the job's deadline counts multiplied by this."""
 
 
 class WorkerTimes(msgspec.Struct, frozen=True):
-    """The times that workers keep to."""
+    """The times that workers keep to, in seconds (PROTOCOL, "Workers -> controller nodes")."""
 
     report_s: float
+    """Between two heartbeats, plus or minus a quarter."""
     lease_s: float
+    """A worker whose last answered heartbeat was sent longer ago kills all its tasks."""
     gang_wait_s: float
+    """How long a task of a gang waits for the others before it exits."""
     gang_peer_s: float
+    """Within what time the tasks of a running gang notice that one of them is gone."""
     cancel_s: float
+    """When its user has been told that a job is cancelled, its tasks must be gone in this time."""
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """What the state service will take from some moment on; what isn't named stays as it is."""
+    """What the store will take from some moment on; a limit that isn't named stays as it is."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -73,18 +92,22 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """What the state service takes, all controllers together."""
+    """What the store takes from all controllers together."""
 
     rps: float
+    """Requests a second; renewals of leases and the opening of watches count."""
     write_rps: float
+    """Puts and deletes a second."""
     value_kb: float
+    """The size of one value, in KiB."""
     txn_ops: int
+    """Puts and deletes in one transaction."""
     next: NextLimits | None = None
 
     def strictest(self) -> StateLimits:
-        """Give what may be asked both now and once the announced limits hold.
+        """Return the limits that hold both now and once the announced ones apply.
 
-        No notice of the change comes, so this is what a controller lives by from its start.
+        Nobody tells when they begin to apply, so a controller keeps to these from its start.
         """
         later = self.next
         if later is None:
@@ -98,161 +121,64 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """What the cloud takes, all controllers together."""
+    """What the cloud takes from all controllers together, and how old its list may be."""
 
     rps: float
+    """Requests a second."""
     list_lag_s: float
+    """How far the list of machines usually lags behind; at times it is twice that."""
 
 
 class Resources(msgspec.Struct, frozen=True):
     """What this process may use."""
 
     core_share: float = 1.0
+    """The part of one core."""
     mem_mb: float = 256.0
+    """Memory, in megabytes."""
     fd_limit: int = 1024
+    """Open sockets, or other file descriptors."""
 
 
 class Params(msgspec.Struct, frozen=True):
-    """What is the same for every controller."""
+    """The settings that are the same for every controller."""
 
     zones: list[str]
     teams: list[Team]
     workers: WorkerTimes
     state: StateLimits
+    """What the store takes."""
     cloud: CloudLimits
     count: int = 1
+    """How many controllers there are."""
     objectives: list[Objective] = []
     resources: Resources = Resources()
     clock_off_ms: float = 0.0
+    """How far the time of day of a machine may be off, in milliseconds."""
 
 
 class Settings(msgspec.Struct, frozen=True):
     """One controller's settings."""
 
     node: str
+    """The controller's name."""
     domain: str
+    """The zone that it is in."""
     api_addr: str
+    """Where it answers users, workers and health checks."""
     mesh_addr: str
+    """Where it answers the other controllers."""
     members: list[Member]
+    """The other controllers."""
     endpoints: Endpoints
     params: Params
 
 
 def parse_address(text: str) -> Address:
-    """Read `10.0.0.1:8080`; raise ValueError if it is something else."""
+    """Parse an address such as `10.0.0.1:8080`; raise ValueError if it is something else."""
     host, colon, port = text.rpartition(":")
     parts = host.split(".")
-    numeric = len(parts) == 4 and all(p.isdecimal() and int(p) < 256 for p in parts)
+    numeric = len(parts) == 4 and all(part.isdecimal() and int(part) < 256 for part in parts)
     if not colon or not numeric or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is not an IPv4 address with a port")
     return host, int(port)
-
-
-_POSITIVE = (
-    ("workers", ("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s")),
-    ("state", ("rps", "write_rps", "value_kb", "txn_ops")),
-    ("cloud", ("rps",)),
-    ("resources", ("core_share", "mem_mb", "fd_limit")),
-)
-
-
-def check(settings: Settings) -> list[str]:
-    """Return every problem found, each with the path of its field."""
-    params = settings.params
-    errors = [*_check_addresses(settings), *_check_amounts(params), *_check_teams(params)]
-    if params.workers.cancel_s <= params.workers.lease_s:
-        errors.append("params.workers.cancel_s: must be above params.workers.lease_s")
-    return errors
-
-
-def _check_addresses(settings: Settings) -> Iterator[str]:
-    addresses = {
-        "api_addr": settings.api_addr,
-        "mesh_addr": settings.mesh_addr,
-        "endpoints.cloud": settings.endpoints.cloud,
-        "endpoints.state": settings.endpoints.state,
-    }
-    seen = {settings.node}
-    for i, member in enumerate(settings.members):
-        addresses[f"members[{i}].address"] = member.address
-        if member.node in seen:
-            yield f"members[{i}].node: {member.node!r} appears twice"
-        seen.add(member.node)
-    for path, address in addresses.items():
-        try:
-            parse_address(address)
-        except ValueError as error:
-            yield f"{path}: {error}"
-
-
-def _is_positive(value: float) -> bool:
-    return math.isfinite(value) and value > 0
-
-
-def _check_amounts(params: Params) -> Iterator[str]:
-    for group, names in _POSITIVE:
-        for name in names:
-            if not _is_positive(getattr(getattr(params, group), name)):
-                yield f"params.{group}.{name}: must be above 0"
-    if params.state.next is not None:
-        for name in NextLimits.__struct_fields__:
-            value = getattr(params.state.next, name)
-            if value is not None and not _is_positive(value):
-                yield f"params.state.next.{name}: must be above 0"
-    for path, limits in (("state", params.state), ("state.next", params.state.next)):
-        if limits is not None and limits.txn_ops == 1:
-            # A take-over sets two keys at once, and so does a job's end.
-            yield f"params.{path}.txn_ops: must be at least 2"
-
-
-def _check_teams(params: Params) -> Iterator[str]:
-    seen: set[str] = set()
-    for i, team in enumerate(params.teams):
-        if team.name in seen:
-            yield f"params.teams[{i}].name: {team.name!r} appears twice"
-        seen.add(team.name)
-        for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            if getattr(team, name) < 0:
-                yield f"params.teams[{i}].{name}: must not be negative"
-
-
-KINDS = ("wait", "finished", "deadline")
-"""The kinds of objectives that the order of jobs goes by."""
-
-
-def _convert(raw: dict[str, Any]) -> Settings:
-    """Accept `resources` and `clock_off_ms` at the top level as well as under `params`.
-
-    Objectives of other kinds than those used are left out unread, whatever fields they have.
-    """
-    params = raw.get("params")
-    if isinstance(params, dict):
-        objectives = params.get("objectives")
-        if isinstance(objectives, list):
-            params["objectives"] = [
-                o for o in objectives if not isinstance(o, dict) or o.get("kind") in KINDS
-            ]
-        for name in ("resources", "clock_off_ms"):
-            if name not in params and name in raw:
-                params[name] = raw[name]
-    return msgspec.convert(raw, Settings)
-
-
-def load(path: str | Path) -> Settings:
-    """Read and check a settings file; raise SettingsError with the first errors."""
-    try:
-        raw = msgspec.json.decode(Path(path).read_bytes())
-    except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
-    except UNREADABLE as error:
-        raise SettingsError(f"{path}: not JSON: {error}") from None
-    if not isinstance(raw, dict):
-        raise SettingsError(f"{path}: not an object")
-    try:
-        settings = _convert(raw)
-    except msgspec.ValidationError as error:
-        raise SettingsError(f"{path}: {str(error).replace('`$.', '`')}") from None
-    errors = check(settings)
-    if errors:
-        raise SettingsError("; ".join(f"{path}: {e}" for e in errors[:5]))
-    return settings
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -8,9 +8,9 @@
 import pytest
 from support.fakes import RAW_SETTINGS, policy, settings
 
-from ryewing.config.policy import PolicyError, load
+from ryewing.config.policy import PolicyError, load_policy
 from ryewing.config.settings import Settings, SettingsError
-from ryewing.config.settings import load as load_settings
+from ryewing.config.settings_file import load_settings
 
 
 @pytest.mark.parametrize(
@@ -68,14 +68,14 @@
     file = tmp_path / "p.lua"
     file.write_text(script)
     with pytest.raises(PolicyError, match=reason) as error:
-        load(file, settings())
+        load_policy(file, settings())
     assert "p.lua" in str(error.value)
 
 
 def test_good_lua_changes_only_what_it_names(tmp_path: Any) -> None:
     file = tmp_path / "p.lua"
     file.write_text("return {idle_return_s = math.max(90, 30), sample = 16}")
-    changed = load(file, settings())
+    changed = load_policy(file, settings())
     assert (changed.idle_return_s, changed.sample) == (90.0, 16)
     assert (
         msgspec.structs.replace(
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -12,7 +12,8 @@
 from support.harness import LeaderHarness
 
 from ryewing.clients.store import Put, RejectedError, StoreUnavailableError
-from ryewing.config.settings import SettingsError, load
+from ryewing.config.settings import SettingsError
+from ryewing.config.settings_file import load_settings
 from ryewing.leader.autoscaler import REQUEST_PREFIX
 from ryewing.leader.state_writer import ASIDE_S, MACHINE_PREFIX, MachineRecord
 from ryewing.state import machine_type_catalogue as catalogue
@@ -43,7 +44,7 @@
 def test_the_stricter_of_now_and_next_counts(tmp_path: Any, later: Any, expected: Any) -> None:
     file = tmp_path / "settings.json"
     file.write_bytes(msgspec.json.encode(raw_settings(next=later)))
-    limits = load(file).params.state.strictest()
+    limits = load_settings(file).params.state.strictest()
     assert (limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops) == expected
 
 
@@ -62,7 +63,7 @@
     file = tmp_path / "settings.json"
     file.write_bytes(msgspec.json.encode(raw_settings(next=later)))
     with pytest.raises(SettingsError, match=field):
-        load(file)
+        load_settings(file)
 
 
 def test_objectives_of_other_kinds_do_no_harm(tmp_path: Any) -> None:
@@ -74,7 +75,7 @@
     ]
     file = tmp_path / "settings.json"
     file.write_bytes(msgspec.json.encode(raw))
-    assert len(load(file).params.objectives) == known
+    assert len(load_settings(file).params.objectives) == known
 
 
 # -- values that are too large for what comes ----------------------------------------------------
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -20,7 +20,7 @@
 from ryewing.clients.peers import PeerUnavailableError, Request, Response
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.token_bucket import TokenBucket
-from ryewing.config.policy import defaults
+from ryewing.config.policy import default_policy
 from ryewing.config.settings import Settings
 from ryewing.election.campaign import may_campaign
 from ryewing.election.election_record import read_election_record
@@ -109,7 +109,9 @@
         raw = {**RAW_SETTINGS, "node": name, "members": members, "params": params}
         own = msgspec.convert(raw, Settings)
         shards = self.shards
-        node = Node(own, defaults(own), ShardDivision(shards, random.Random(1)) if shards else None)
+        node = Node(
+            own, default_policy(own), ShardDivision(shards, random.Random(1)) if shards else None
+        )
         link = StoreLink(self.store)
         link.on_throttled = node.store.on_throttled
         node.store = link  # type: ignore[assignment]
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -20,7 +20,7 @@
     TxnResult,
     WatchExpiredError,
 )
-from ryewing.config.policy import Policy, defaults
+from ryewing.config.policy import Policy, default_policy
 from ryewing.config.settings import Settings
 from ryewing.election.leadership import Leadership
 from ryewing.election.lease_validity import LeaseValidity
@@ -79,7 +79,7 @@
 
 def policy() -> Policy:
     """Give the default policy for these settings."""
-    return defaults(settings())
+    return default_policy(settings())
 
 
 def job_spec(ref: str = "run-1", **changes: Any) -> JobSpec:
