--- a/src/ryewing/wire/cloud.py
+++ b/src/ryewing/wire/cloud.py
@@ -1,6 +1,7 @@
-"""What the cloud is asked and answers: machine types, rental requests, lists of machines.
+"""What the cloud is sent and answers: machine types, rental requests, lists of machines.
 
-The protocol's own names (`flavour`, `site`, ...) are only the keys of the JSON.
+The source is PROTOCOL, "Controller nodes -> cloud". Its own names (`flavour`, `site`, ...) are only
+the keys of the JSON.
 """
 
 from __future__ import annotations
@@ -19,22 +20,28 @@
 
 
 class MachineType(msgspec.Struct, frozen=True, rename=_MACHINE_TYPE_KEYS):
-    """A machine type of the cloud."""
+    """A type of machine that the cloud rents."""
 
     name: str
     cpus: float
     memory_gb: float
     price: float
+    """Of an ordinary machine, per hour, charged by the second from the rental request on."""
     zones: tuple[str, ...]
+    """The zones where it can be rented."""
     gpus: float = 0.0
     spot_price: float | None = None
+    """The current price of a spot machine, per hour; None if the cloud gives none."""
     cache_gb: float = 0.0
+    """The room for the images that a machine keeps."""
     fetch_gb_per_s: float = 1.0
+    """How fast a machine fetches an image, give or take a third; fetches at once may share it."""
     boot_s: float = 30.0
+    """The usual time in seconds from the rental request until the worker reports."""
 
 
 class MachineTypeList(msgspec.Struct, rename={"machine_types": "flavours"}):
-    """The answer of `/machine_types`; also how the types are kept in the store."""
+    """The answer of `GET /machine_types`; the store keeps the types in this form, too."""
 
     machine_types: list[MachineType]
 
@@ -49,17 +56,21 @@
 
 
 class RentalRequest(msgspec.Struct, rename=_RENTAL_KEYS):
-    """A request for machines. Its id is never used for another one."""
+    """The body of `POST /machines`: a request for machines of one type in one zone.
+
+    Its id is never used for another request: the cloud answers a repetition as it did the first.
+    """
 
     id: str
     machine_type: str
     zone: str
     spot: bool
     count: int
+    """At most 50; the cloud may rent fewer."""
 
 
 class MachineNames(msgspec.Struct, rename={"machines": "hosts"}):
-    """Names of machines, rented or to be released."""
+    """Names of machines: those rented, or those to be released."""
 
     machines: list[str]
 
@@ -74,19 +85,23 @@
 
 
 class ListedMachine(msgspec.Struct, rename=MACHINE_KEYS):
-    """One line of the cloud's machine list."""
+    """One machine in the cloud's list, which lags behind."""
 
     id: str
     machine_type: str
     zone: str
     status: str
+    """`booting`, `running` or `failed`; a failed one stopped on its own."""
     address: str = ""
+    """Where its worker takes direct messages."""
     spot: bool = False
     age_s: float = 0.0
+    """Seconds since the rental request, as of the moment that the list describes."""
 
 
 class MachinePage(msgspec.Struct, rename={"machines": "hosts"}):
-    """One page of the machine list."""
+    """One page of the cloud's list, in the order of the machines' names."""
 
     machines: list[ListedMachine]
     has_next: bool = False
+    """Whether the list goes on after the last machine of this page."""
--- a/src/ryewing/wire/codec.py
+++ b/src/ryewing/wire/codec.py
@@ -1,4 +1,4 @@
-"""Decoding of JSON from outside, and the error for what can't be read."""
+"""Decoding JSON from outside, and the errors for what can't be decoded."""
 
 from __future__ import annotations
 
@@ -7,18 +7,21 @@
 import msgspec
 
 T = TypeVar("T")
+
 BODY_LIMIT = 64 * 1024
+"""The largest body of a request, in bytes (PROTOCOL)."""
+
 UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""What decoding raises. Deep nesting is a RecursionError: found by a table, where one answer of the
-store ended the process."""
+"""What msgspec raises while decoding. Deep nesting gives a RecursionError: found by a table of test
+cases, where one answer of the store ended the process."""
 
 
 class MalformedError(ValueError):
-    """A body that no retry can make right."""
+    """A body that no retry can make right; the message says what is wrong with it."""
 
 
 def decode(data: bytes | msgspec.Raw, kind: type[T]) -> T:
-    """Decode JSON from outside, or raise MalformedError whatever is wrong with it."""
+    """Decode JSON as a message of a type; raise MalformedError whatever is wrong with it."""
     try:
         return msgspec.json.decode(data, type=kind)
     except UNREADABLE as error:
@@ -26,7 +29,7 @@
 
 
 def read_object(body: bytes) -> dict[str, Any]:
-    """Decode a JSON object, or raise MalformedError."""
+    """Decode a JSON object; raise MalformedError if it is not JSON, or something else."""
     try:
         value = msgspec.json.decode(body)
     except UNREADABLE as error:
