--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -1,7 +1,8 @@
-"""Ids, versions and times as small types of their own.
+"""Ids, versions and times as types of their own, and the numbers that are made of them.
 
-Mixing up a monotonic time with a time of day, or a term with a stamp, is the kind of
-mistake that only shows during a failure; the type checker finds it before that.
+A monotonic time taken for a time of day, or a term number for a key version, is the kind of mistake
+that shows only during a failure; with these types the type checker finds it before that. The module
+imports nothing of ryewing, and every package may use it.
 """
 
 from __future__ import annotations
@@ -11,40 +12,46 @@
 from typing import NamedTuple, NewType
 
 JobId = NewType("JobId", str)
+"""Chosen by the job's user, in the form `run-000412`."""
 MachineId = NewType("MachineId", str)
+"""The name that the cloud gave a machine."""
 TeamName = NewType("TeamName", str)
 NodeName = NewType("NodeName", str)
+"""The name of a controller."""
 ShardName = NewType("ShardName", str)
 Zone = NewType("Zone", str)
 
 TermNumber = NewType("TermNumber", int)
-"""Who may command: raised by every new leader."""
+"""The number of one leadership: each new leader has a higher one."""
 FencingToken = NewType("FencingToken", int)
-"""What workers compare: the term, and below it a count of raises for this worker."""
+"""What workers compare: the term number, and below it a count of raises for this worker."""
 KeyVersion = NewType("KeyVersion", int)
-"""The state service's version of one key; 0 says that the key does not exist."""
+"""The store's version of one key; 0 means that the key does not exist."""
 Revision = NewType("Revision", int)
-"""The state service's change counter."""
+"""The store's count of changes."""
 Attempt = NewType("Attempt", int)
+"""The number of one start of a task, or of all tasks of a gang; it is never used again."""
 
 MonotonicTime = NewType("MonotonicTime", float)
-"""A reading of this process's monotonic clock: for deadlines and leases."""
+"""A reading of this process's monotonic clock in seconds: for deadlines and leases."""
 WallTime = NewType("WallTime", float)
-"""A time of day: for ages that must outlive a process; off by up to the settings' bound."""
+"""A time of day in seconds since 1970: for ages that must outlive a process. It is off by up to the
+bound in the settings (`clock_off_ms`)."""
 
 DRIFT = 0.001
-"""Twice the 0.05% by which two machines' monotonic clocks may drift apart."""
+"""Twice the 0.05% by which the monotonic clocks of two machines may drift apart."""
 
 _JOB_ID = re.compile(r"run-[0-9]{1,18}")
 _ATTEMPT_BITS = 24
 MAX_ATTEMPTS = (1 << _ATTEMPT_BITS) - 1
-"""Attempts that one term can give out: at a thousand starts a second, for four hours."""
+"""How many attempts one term can give out: enough for four hours of a thousand starts a second."""
 _TOKEN_BUMP_BITS = 20
 MAX_TOKEN_BUMPS = (1 << _TOKEN_BUMP_BITS) - 1
+"""How often the token for one worker can be raised in one term."""
 
 
 class TaskId(NamedTuple):
-    """One task: its job and its number in it."""
+    """One task: its job, and its number within the job, from 0."""
 
     job: JobId
     number: int
@@ -54,55 +61,65 @@
 
 
 class HeartbeatVersion(NamedTuple):
-    """Orders a worker's messages: the larger one is the newer one."""
+    """The order of a worker's messages: the larger version is the newer message."""
 
     incarnation: int
+    """Which life of the worker."""
     sequence: int
+    """Which message in that life."""
 
 
 NEVER_HEARD = HeartbeatVersion(0, 0)
+"""Older than every message of a worker."""
 
 
 def monotonic_now() -> MonotonicTime:
-    """Read the monotonic clock."""
+    """Return the current reading of the monotonic clock, in seconds."""
     return MonotonicTime(monotonic())
 
 
 def wall_now() -> WallTime:
-    """Read the time of day."""
+    """Return the current time of day, in seconds since 1970."""
     return WallTime(time())
 
 
 def is_job_id(text: object) -> bool:
-    """Tell whether this is a job id in the form that users always use."""
+    """Return whether `text` is a job id in the form that users always use: `run-000412`."""
     return isinstance(text, str) and _JOB_ID.fullmatch(text) is not None
 
 
 def parse_task(text: str) -> TaskId | None:
-    """Read `run-000412/3`; None if it is nothing of the kind."""
-    job, slash, index = text.partition("/")
-    if not slash or not index.isdecimal() or not is_job_id(job):
+    """Parse a task id such as `run-000412/3`; None if the text is not one."""
+    job, slash, number = text.partition("/")
+    if not slash or not number.isdecimal() or not is_job_id(job):
         return None
-    return TaskId(JobId(job), int(index))
+    return TaskId(JobId(job), int(number))
 
 
 def attempt_of(term: TermNumber, counter: int) -> Attempt:
-    """Derive an attempt number that no other term can give out."""
+    """Return the attempt number for a term's `counter`, which no other term can give out.
+
+    This is safety argument 6 of `docs/design.md`. Raise ValueError if the counter is negative or
+    above MAX_ATTEMPTS.
+    """
     if not 0 <= counter <= MAX_ATTEMPTS:
         raise ValueError(f"attempt {counter} would be another term's")
     return Attempt((int(term) << _ATTEMPT_BITS) | counter)
 
 
 def fencing_token(term: TermNumber, token_bumps: int = 0) -> FencingToken:
-    """Make a token: any of a later term is higher than all of an earlier one."""
+    """Return the token for a worker whose token was raised `token_bumps` times in this term.
+
+    Any token of a later term is higher than every token of an earlier one.
+    """
     return FencingToken((int(term) << _TOKEN_BUMP_BITS) | min(token_bumps, MAX_TOKEN_BUMPS))
 
 
 def term_of_token(token: int) -> TermNumber:
-    """Tell whose token it is."""
+    """Return the number of the term whose token it is."""
     return TermNumber(token >> _TOKEN_BUMP_BITS)
 
 
 def bumps_of_token(token: int) -> int:
-    """Tell how often the worker was nudged under the token's term."""
+    """Return how often the token for the worker had been raised in the token's term."""
     return token & MAX_TOKEN_BUMPS
