--- a/tests/election/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("renewed_s", "followed_s", "start", "answer"),
+    ("since_renewal_s", "since_jobs_known_s", "may_start", "may_answer"),
     [
         (0.0, 0.0, True, True),
         (2.9, 2.9, True, True),
@@ -31,26 +31,29 @@
         (None, 0.0, False, False),
     ],
 )
-def test_authority_by_time_since_renewal_and_since_the_jobs_are_known(
-    renewed_s: float | None, followed_s: float | None, start: bool, answer: bool
+def test_lease_validity_by_time_since_renewal_and_since_the_jobs_are_known(
+    since_renewal_s: float | None,
+    since_jobs_known_s: float | None,
+    may_start: bool,
+    may_answer: bool,
 ) -> None:
     lease_validity = LeaseValidity(3.0, 15.0)
     now = MonotonicTime(T0 + 1000.0)
-    if renewed_s is not None:
-        lease_validity.confirm_renewal(MonotonicTime(now - renewed_s))
-    if followed_s is not None:
-        lease_validity.confirm_jobs(MonotonicTime(now - followed_s))
+    if since_renewal_s is not None:
+        lease_validity.confirm_renewal(MonotonicTime(now - since_renewal_s))
+    if since_jobs_known_s is not None:
+        lease_validity.confirm_jobs(MonotonicTime(now - since_jobs_known_s))
     assert (lease_validity.may_start(now), lease_validity.may_answer_workers(now)) == (
-        start,
-        answer,
+        may_start,
+        may_answer,
     )
 
 
-def test_authority_counts_from_the_latest_send() -> None:
+def test_lease_validity_counts_from_the_latest_send() -> None:
     lease_validity = LeaseValidity(3.0, 15.0)
-    for note in (lease_validity.confirm_renewal, lease_validity.confirm_jobs):
-        note(MonotonicTime(T0 + 2.0))
-        note(T0)  # an older renewal's answer that came later
+    for confirm in (lease_validity.confirm_renewal, lease_validity.confirm_jobs):
+        confirm(MonotonicTime(T0 + 2.0))
+        confirm(T0)  # an older renewal's answer that came later
     assert lease_validity.may_start(MonotonicTime(T0 + 4.5))
     assert lease_validity.may_answer_workers(MonotonicTime(T0 + 16.5))
 
@@ -70,5 +73,5 @@
     ],
 )
 def test_who_may_campaign(holder: LeaseHolder | None, expected: bool) -> None:
-    view = ElectionRecord(holder, KeyVersion(3), TermNumber(4), KeyVersion(3), Revision(9))
-    assert may_campaign(view, ProcessIdentity(NodeName("n-0"), "me")) is expected
+    election = ElectionRecord(holder, KeyVersion(3), TermNumber(4), KeyVersion(3), Revision(9))
+    assert may_campaign(election, ProcessIdentity(NodeName("n-0"), "me")) is expected
