--- a/src/ryewing/process/cancel_announcer.py
+++ b/src/ryewing/process/cancel_announcer.py
@@ -45,8 +45,8 @@
             self._found_at.popitem(last=False)
         self._user_limiter.charge()
         # Where the holder is dead, or cut off from here: one that can reach the store sees the
-        # cancellation in its watch; one that can't loses its authority. So once that time has
-        # passed since the mark was seen here, no answer is needed. The time is counted by our own
+        # cancellation in its watch; one that can't may no longer start or answer. So once that time
+        # has passed since the mark was seen here, no answer is needed. It is counted by our own
         # monotonic clock: when it was counted from the time at which the cancellation was meant to
         # be written, a user was told of one carried out late before the leader could know of it.
         waited_s = monotonic_now() - found_at
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections import OrderedDict
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 
 from ryewing import __version__
 from ryewing.api.api import Api
@@ -24,7 +24,7 @@
 from ryewing.clients.store import Store, StoreUnavailableError
 from ryewing.clients.user_request_limiter import UserRequestLimiter
 from ryewing.config.policy import Policy
-from ryewing.config.settings import Settings, parse_address
+from ryewing.config.settings import Member, Settings, parse_address
 from ryewing.election.identity import ProcessIdentity, new_boot_id
 from ryewing.leader.division import Division, WholeFleet
 from ryewing.process.cancel_announcer import CancelAnnouncer
@@ -83,10 +83,7 @@
         self._job_shards: OrderedDict[JobId, ShardName] = OrderedDict()
         sockets = settings.params.resources.fd_limit
         peer_sockets = max(PEER_SOCKETS_MIN, int(PEER_SHARE * sockets))
-        max_in_flight = max_requests_in_flight(peer_sockets, len(settings.members))
-        self.peers = Peers(
-            {m.node: PeerClient(parse_address(m.address), max_in_flight) for m in settings.members}
-        )
+        self.peers = _make_peers(settings.members, peer_sockets)
         self.electors = self._make_electors()
         self._cancel_announcer = CancelAnnouncer(
             self.electors, self.user_limiter, policy.store_lease_s
@@ -250,3 +247,13 @@
             if isinstance(answer, RelayResponse) and answer.status:
                 return Reply(answer.status, answer.body)
         return None
+
+
+def _make_peers(members: Sequence[Member], sockets: int) -> Peers:
+    max_in_flight = max_requests_in_flight(sockets, len(members))
+    return Peers(
+        {
+            member.node: PeerClient(parse_address(member.address), max_in_flight)
+            for member in members
+        }
+    )
