--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -18,7 +18,7 @@
 TERM_PARTS = (
     "clients.machine_listing",
     "clients.token_bucket",
-    "election.leadership",
+    "election.campaign",
     "leader.autoscaler",
     "leader.cloud_inventory",
     "leader.machine_releaser",
@@ -35,7 +35,14 @@
     "leader.state_writer",
     "leader.term_context",
 )
-NODE_PARTS = ("api.submissions", "process.leader_elector", "process.node")
+NODE_PARTS = (
+    "api.submissions",
+    "process.cancel_announcer",
+    "process.image_locality_exchange",
+    "process.leader_elector",
+    "process.leader_load",
+    "process.node",
+)
 SHARDING_PARTS = (
     "sharding.coordinator",
     "sharding.health",
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -20,9 +20,10 @@
     TxnResult,
     WatchExpiredError,
 )
-from ryewing.config.policy import Policy, defaults
+from ryewing.config.policy import Policy, default_policy
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import Leadership, LeaseValidity
+from ryewing.election.leadership import Leadership
+from ryewing.election.lease_validity import LeaseValidity
 from ryewing.state.job_records import JobRecord
 from ryewing.state.jobs import Job
 from ryewing.units import KeyVersion, MachineId, MonotonicTime, Revision, TermNumber
@@ -78,7 +79,7 @@
 
 def policy() -> Policy:
     """Give the default policy for these settings."""
-    return defaults(settings())
+    return default_policy(settings())
 
 
 def job_spec(ref: str = "run-1", **changes: Any) -> JobSpec:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -21,9 +21,10 @@
 from ryewing.clients.peers import PeerUnavailableError, Request, Response
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.token_bucket import TokenBucket
-from ryewing.config.policy import defaults
+from ryewing.config.policy import default_policy
 from ryewing.config.settings import Settings
-from ryewing.election.leadership import may_campaign, read_election_record
+from ryewing.election.campaign import may_campaign
+from ryewing.election.election_record import read_election_record
 from ryewing.leader.leader import Leader
 from ryewing.process.leader_elector import LeaderElector
 from ryewing.process.node import Node
@@ -62,7 +63,7 @@
         if self._there in cluster.frozen or self._here in cluster.frozen:
             raise PeerUnavailableError("deadline")
         sent = msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=Request)
-        answer = cluster.nodes[self._there].handle_peer_request(sent)
+        answer = cluster.nodes[self._there].peer_requests.handle(sent)
         interrupt = cluster.before_peer_answer.pop(self._there, None)
         if interrupt is not None:
             interrupt()
@@ -115,7 +116,9 @@
         raw = {**RAW_SETTINGS, "node": name, "members": members, "params": params}
         own = msgspec.convert(raw, Settings)
         shards = self.shards
-        node = Node(own, defaults(own), ShardDivision(shards, random.Random(1)) if shards else None)
+        node = Node(
+            own, default_policy(own), ShardDivision(shards, random.Random(1)) if shards else None
+        )
         link = StoreLink(self.store)
         link.on_throttled = node.store.on_throttled
         node.store = link  # type: ignore[assignment]
@@ -217,8 +220,8 @@
     def _follow(self, node: Node, elector: LeaderElector) -> None:
         try:
             election = read_election_record(elector.store)
-            elector.note(election)
-            if may_campaign(election, node.name, node.boot_id) and elector.eligible():
+            elector.observe(election)
+            if may_campaign(election, node.identity) and elector.eligible():
                 elector.campaign(election)
         except StoreUnavailableError:
             return
--- a/tests/test_version_0_2_2_records.py
+++ b/tests/test_version_0_2_2_records.py
@@ -27,7 +27,7 @@
     Response,
     ShardLoadAnswer,
 )
-from ryewing.election.leadership import LeaseHolder, TermRecord
+from ryewing.election.election_record import LeaseHolder, TermRecord
 from ryewing.leader.machine_records import MachineRecord
 from ryewing.sharding.allowance import Allowances, Amount, Claim
 from ryewing.sharding.health import NodeRecord
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -18,7 +18,9 @@
 from ryewing.clients.store import Put, Remove, Store
 from ryewing.clients.workers import Workers
 from ryewing.config.settings import CloudLimits, StateLimits
-from ryewing.election.leadership import campaign, read_election_record
+from ryewing.election.campaign import campaign
+from ryewing.election.election_record import read_election_record
+from ryewing.election.identity import ProcessIdentity
 from ryewing.leader.machine_records import MachineRecord
 from ryewing.sharding.allowance import Allowances
 from ryewing.sharding.health import ControllerHealth
@@ -85,7 +87,7 @@
 
 def win_election(clients: Clients) -> None:
     election = read_election_record(clients.store)
-    campaign(clients.store, election, NodeName("n-0"), "0011223344aa", 3.0, 15.0)
+    campaign(clients.store, election, ProcessIdentity(NodeName("n-0"), "0011223344aa"), 3.0, 15.0)
 
 
 def keep_node_key(clients: Clients) -> None:
