--- /dev/null
+++ b/src/ryewing/leader/backlog.py
@@ -0,0 +1,36 @@
+"""How much work waits for room, against the resources of the fleet."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+
+from ryewing.scheduling import Unplaced
+from ryewing.state.machine import Machine
+
+
+def drain_s(machines: Iterable[Machine], unplaced: Sequence[Unplaced]) -> float:
+    """Estimate for how many seconds the unplaced work without GPUs would keep all machines busy.
+
+    Services aside: they have no end.
+    """
+    cpus = sum(machine.machine_type.cpus for machine in machines if machine.usable())
+    work = sum(
+        count * job.spec.cpus * job.estimate_s()
+        for job, count in unplaced
+        if job.spec.gpus <= 0 and not job.is_service
+    )
+    return work / max(cpus, 1.0)
+
+
+def backlog_share(machines: Iterable[Machine], unplaced: Sequence[Unplaced]) -> float:
+    """Return the resources that unplaced tasks need as a share of all usable machines' resources.
+
+    Of processors and GPUs, the larger share.
+    """
+    usable = [machine for machine in machines if machine.usable()]
+    cpus = sum(count * job.spec.cpus for job, count in unplaced)
+    gpus = sum(count * job.spec.gpus for job, count in unplaced)
+    return max(
+        cpus / max(1.0, sum(machine.machine_type.cpus for machine in usable)),
+        gpus / max(1.0, sum(machine.machine_type.gpus for machine in usable)),
+    )
--- /dev/null
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -0,0 +1,123 @@
+"""What a scheduling cycle decides by, taken from the term's state."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from ryewing.leader.job_eligibility import JobEligibility
+from ryewing.leader.term_context import TermContext
+from ryewing.leader.worker_commands import WorkerCommands
+from ryewing.scheduling import SchedulingSnapshot
+from ryewing.scheduling.gpu_reserve import MIN_CPUS_PER_GPU, NO_RESERVE
+from ryewing.scheduling.machine_capacity import MachineCapacity
+from ryewing.scheduling.queueing import Supply
+from ryewing.scheduling.team_quota import TeamQuota
+from ryewing.state.jobs import Job
+from ryewing.state.machine import Assignment, Machine
+from ryewing.units import MonotonicTime
+from ryewing.wire.jobs import JobSpec
+
+FRESH_HEARTBEATS = 2.5
+"""Heartbeat intervals for which a machine counts as heard: a silent one gets no new task."""
+RECENT_CLASSES_MAX = 32
+"""Job classes of which it is remembered what a task takes."""
+
+
+class Supplies(NamedTuple):
+    """The supply of GPUs and of processors by which jobs are ordered."""
+
+    gpus: Supply
+    cpus: Supply
+
+
+class SnapshotBuilder:
+    """Builds the snapshots of scheduling cycles, and remembers what recent tasks took."""
+
+    def __init__(
+        self, term: TermContext, worker_commands: WorkerCommands, eligibility: JobEligibility
+    ) -> None:
+        self._term = term
+        self._worker_commands = worker_commands
+        self._eligibility = eligibility
+        self._gpu_reserve = NO_RESERVE
+        self._recent_specs: dict[str, JobSpec] = {}
+        """By job class, the spec of the last job that waited; services aside."""
+
+    def note_spec(self, job: Job) -> None:
+        """Remember what a waiting job's tasks take: others leave room for such tasks."""
+        self._gpu_reserve = self._gpu_reserve.widened(job)
+        job_class = job.spec.job_class
+        if not job.is_service and (
+            job_class in self._recent_specs or len(self._recent_specs) < RECENT_CLASSES_MAX
+        ):
+            self._recent_specs[job_class] = job.spec
+
+    def build(
+        self,
+        unreconciled: Sequence[Machine],
+        gpus_kept: float,
+        rng: random.Random,
+        now: MonotonicTime,
+    ) -> SchedulingSnapshot:
+        """Build a snapshot of the machines that may get tasks and of the teams' limits.
+
+        `gpus_kept`: so many free GPUs must be left usable by work without GPUs.
+        """
+        cluster = self._term.cluster
+        fresh_since = now - FRESH_HEARTBEATS * self._term.settings.params.workers.report_s
+        capacities = [
+            MachineCapacity(machine, self._tasks_being_stopped(machine))
+            for machine in cluster.machines.values()
+            if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh_since
+        ]
+        quota = TeamQuota(
+            self._term.team_limits.teams(),
+            cluster.team_cpus,
+            cluster.team_gpus,
+            sum(machine.machine_type.cpus for machine in unreconciled),
+            sum(machine.machine_type.gpus for machine in unreconciled),
+        )
+        return SchedulingSnapshot(
+            capacities=capacities,
+            quota=quota,
+            now=now,
+            rng=rng,
+            sample=self._term.policy.sample,
+            gpu_reserve=self._gpu_reserve,
+            gpus_kept=gpus_kept,
+            avoid=self._eligibility.avoids,
+            fetches_share=cluster.fetches_share(),
+            recent_specs=tuple(self._recent_specs.values()),
+            next_heartbeat_in_s=lambda machine: self._worker_commands.next_heartbeat_in_s(
+                machine, now
+            ),
+        )
+
+    def measure_supplies(self) -> Supplies:
+        """Sum up the machines' resources that can be used.
+
+        A free GPU without enough free processors beside it can't be.
+        """
+        gpus, cpus = Supply(), Supply()
+        cpus_per_gpu = max(self._gpu_reserve.cpus, MIN_CPUS_PER_GPU)
+        for machine in self._term.cluster.machines.values():
+            if machine.usable():
+                free_gpus = min(machine.gpus, max(0.0, machine.cpus) // cpus_per_gpu)
+                gpus.total += machine.machine_type.gpus - machine.gpus + free_gpus
+                gpus.free += free_gpus
+                cpus.total += machine.machine_type.cpus
+                cpus.free += machine.cpus
+        return Supplies(gpus, cpus)
+
+    def _tasks_being_stopped(self, machine: Machine) -> frozenset[Assignment]:
+        """Return a machine's tasks with a pending termination."""
+        terminations = self._term.terminations
+        if not terminations.any_on(machine.id):
+            return frozenset()
+        return frozenset(
+            assignment
+            for assignment in machine.assignments.values()
+            if terminations.has(machine.id, assignment.task, assignment.attempt)
+        )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,8 @@
 @pytest.fixture
 def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[LeaderHarness]:
     clock = moved_by_hand(monkeypatch, *TERM_PARTS)
-    monkeypatch.setattr("ryewing.leader.scheduler.wall_now", lambda: 0.0)
+    for part in ("plan_applier", "scheduler"):
+        monkeypatch.setattr(f"ryewing.leader.{part}.wall_now", lambda: 0.0)
     found = LeaderHarness(clock)
     yield found
     if not found.may_reject:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -15,7 +15,8 @@
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.autoscaler import RELEASED_NAMES_KEPT
-from ryewing.leader.scheduler import ATTEMPTS_LEFT, NAMES_TOLD, name_some
+from ryewing.leader.plan_applier import ATTEMPTS_LEFT
+from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.leader.worker_commands import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.state.machine import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
@@ -218,7 +219,7 @@
     """An attempt beyond its term's would be one of the next term's, and attempts never repeat."""
     harness.ready_worker()
     harness.accept(task_count=1)
-    harness.leader.scheduler._attempts = MAX_ATTEMPTS - ATTEMPTS_LEFT
+    harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
     assert not harness.lost
@@ -241,5 +242,5 @@
     assert fleet * 2 * 32 < ATTEMPTS_LEFT  # a task for each half of a processor
     assert max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * MAX_SENDS_IN_FLIGHT
     names = [f"i-{number:06d}" for number in range(fleet)]
-    assert len(name_some(names)) < 12 * NAMES_TOLD
-    assert name_some(names[:2]) == "i-000000,i-000001"
+    assert len(abbreviate_names(names)) < 12 * LOGGED_NAMES_MAX
+    assert abbreviate_names(names[:2]) == "i-000000,i-000001"
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -128,7 +128,7 @@
     for name, (rate, whole) in rates.items():
         assert rate == pytest.approx(0.5 * whole), name
     took = 1.0
-    assert 2 * took / (took + leader.scheduler._rest_s(took)) == pytest.approx(
+    assert 2 * took / (took + leader.scheduler.rest_s(took)) == pytest.approx(
         1 / (CYCLE_REST_FACTOR + 1)
     )
 
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -12,7 +12,7 @@
 from support.services import SERVICE, replicas, serve
 
 from ryewing.autoscaling.planning import machines_to_cordon
-from ryewing.leader.scheduler import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
+from ryewing.leader.replica_moves import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
 from ryewing.scheduling import SHORT_WAIT_S
 from ryewing.state.machine import Assignment, Machine, TaskPhase
 from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -17,6 +17,7 @@
     "clients.token_bucket",
     "election.leadership",
     "leader.autoscaler",
+    "leader.job_eligibility",
     "leader.job_watcher",
     "leader.leader",
     "leader.recovery",
@@ -33,7 +34,12 @@
     "sharding.team_demand",
     "sharding.team_limits",
 )
-WALL_CLOCK_PARTS = ("api.api", "leader.scheduler", "sharding.registry")
+WALL_CLOCK_PARTS = (
+    "api.api",
+    "leader.plan_applier",
+    "leader.scheduler",
+    "sharding.registry",
+)
 
 
 def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -221,7 +221,7 @@
             leader.writer._bucket = self._bucket(leader.writer._bucket)
             early = self._bucket(leader.worker_commands._early_heartbeat_bucket)
             leader.worker_commands._early_heartbeat_bucket = early
-            leader.scheduler._rng = random.Random(int(leader.term.number))
+            leader.scheduler.rng = random.Random(int(leader.term.number))
             leader.worker_commands.workers = DirectLink(self, node.name)  # type: ignore[assignment]
             leader.worker_commands.schedule_direct_message = leader.worker_commands.send  # type: ignore[method-assign]
 
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -159,6 +159,7 @@
     clocks = [mock.patch(f"ryewing.{part}.monotonic_now", clock) for part in TERM_PARTS]
     for patched in (
         *clocks,
+        mock.patch("ryewing.leader.plan_applier.wall_now", return_value=WallTime(0.0)),
         mock.patch("ryewing.leader.scheduler.wall_now", return_value=WallTime(0.0)),
     ):
         patched.start()
