--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -131,7 +131,7 @@
         jobs = self._in_order(jobs)
         overdue = queueing.overdue(jobs, wall_now())
         snapshot = self._snapshot_builder.build(unreconciled, gpus_kept, self.rng, now)
-        plan = scheduling.SchedulingCycle(snapshot).run(jobs, overdue, moving)
+        plan = scheduling.run_cycle(snapshot, jobs, overdue, moving)
         self.cycles += 1
         self.machines_examined += plan.machines_examined
         self.plan_applier.apply(plan, now)
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -1,47 +1,56 @@
-"""One scheduling cycle: the order in which jobs get their turn."""
+"""One scheduling cycle: the jobs' turns, and what each job gets in its turn."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from ryewing.scheduling.candidates import Candidates
-from ryewing.scheduling.cycle_state import CycleState, SchedulingSnapshot, delays_reservation
+from ryewing.scheduling.cycle_state import CycleState, delays_reservation
 from ryewing.scheduling.image_survey import LONG_FETCH_S
 from ryewing.scheduling.plan import Plan, Unplaced
 from ryewing.scheduling.replicas import ReplicaPlacer
 from ryewing.scheduling.reservation import reserve
+from ryewing.scheduling.snapshot import SchedulingSnapshot
 from ryewing.scheduling.tasks import TaskPlacer
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment
 
 BEGIN_SHARE = 0.1
-"""The part of an overdue array that goes before everything."""
+"""The share of an overdue array that goes before all other jobs."""
 
 
-class SchedulingCycle:
-    """Places the jobs with a shortfall, once."""
+def run_cycle(
+    snapshot: SchedulingSnapshot,
+    jobs: Sequence[Job],
+    overdue: Sequence[Job] = (),
+    moving: Sequence[Assignment] = (),
+) -> Plan:
+    """Run one scheduling cycle over the jobs with a shortfall, in the order given.
 
-    def __init__(self, snapshot: SchedulingSnapshot) -> None:
-        self._snapshot = snapshot
-        self._waiting: list[Job] = []
-        """Jobs that were kept waiting for warm machines."""
-        self._state: CycleState
-        self._tasks: TaskPlacer
-        self._replicas: ReplicaPlacer
+    `overdue`: the jobs that have waited too long to begin; they go first. `moving`: replicas that
+    should run elsewhere. The snapshot is used up: room is claimed from its capacities and quota.
+    """
+    return _Cycle(snapshot, jobs).run(jobs, overdue, moving)
 
-    def run(
-        self, jobs: Sequence[Job], overdue: Sequence[Job] = (), moving: Sequence[Assignment] = ()
-    ) -> Plan:
-        """Place the jobs in the order given, those overdue to begin before all.
 
-        `moving`: replicas that should run elsewhere.
-        """
-        self._state = CycleState(self._snapshot, jobs)
+class _Cycle:
+    """The parts of one cycle, for one run."""
+
+    def __init__(self, snapshot: SchedulingSnapshot, jobs: Sequence[Job]) -> None:
+        self._snapshot = snapshot
+        self._state = CycleState(snapshot, jobs)
         self._tasks = TaskPlacer(self._state)
         self._replicas = ReplicaPlacer(self._state, self._tasks)
+        self._kept_waiting: list[Job] = []
+        """Jobs that may have been kept waiting for warm machines."""
+
+    def run(
+        self, jobs: Sequence[Job], overdue: Sequence[Job], moving: Sequence[Assignment]
+    ) -> Plan:
+        """Give each job its turn; return the plan."""
         self._place_overdue(overdue)
-        begun = set(overdue)
-        rest = [job for job in jobs if job not in begun]
+        had_turn = set(overdue)
+        rest = [job for job in jobs if job not in had_turn]
         for job in rest:
             if job.is_service:
                 self._place(job)
@@ -50,30 +59,34 @@
         for job in rest:
             if not job.is_service:
                 self._place(job)
-        self._state.leftover = True
-        for job in self._waiting:
-            self._fetch_on_leftover(job)
+        self._state.all_had_turn = True
+        for job in self._kept_waiting:
+            self._fetch_on_leftover_room(job)
         return self._state.plan
 
+    # -- turns --------------------------------------------------------------------------------
+
     def _place_overdue(self, overdue: Sequence[Job]) -> None:
         """Let jobs begin that have waited too long.
 
         An array has begun when a part of it runs; the rest comes by the order. A gang begins whole
-        or not at all, so room is reserved for it where it would first be free; for one at a time.
+        or not at all, so machines are reserved for it where it could first begin; for one gang at
+        a time.
         """
         plan = self._state.plan
-        reserved = False
+        has_reserved = False
         for job in overdue:
             if not job.is_gang and not job.is_service:
                 self._place(job, max(1, int(BEGIN_SHARE * job.spec.task_count)))
                 continue
-            self._place(job)  # of a service every replica is missed
+            self._place(job)  # a service begins whole: every missing replica counts
             found_no_room = bool(plan.unplaced) and plan.unplaced[-1].job is job
-            if job.is_gang and found_no_room and not reserved:
+            if job.is_gang and found_no_room and not has_reserved:
                 reserve(self._state, job)
-                reserved = True
+                has_reserved = True
 
     def _place(self, job: Job, most: int | None = None) -> None:
+        """Give a job its turn, for `most` tasks at most."""
         wanted = self._wanted(job, most)
         if wanted <= 0:
             return
@@ -95,8 +108,32 @@
             self._note_full(job, usable, candidates)
         self._note_unplaced(job, left, usable, candidates)
 
+    def _fetch_on_leftover_room(self, job: Job) -> None:
+        """Let a job that waits for warm machines fetch where room would otherwise be idle."""
+        state = self._state
+        placed = state.plan.parts_of(job)
+        still_wanted = job.shortfall - sum(part.tasks for part in placed)
+        left = self._snapshot.quota.headroom(job.spec, still_wanted)
+        if left <= 0:
+            return
+        candidates = state.candidates(job)
+        limits = state.begin(job)
+        for part in placed:
+            limits.tasks_by_zone[part.machine.zone] += part.tasks
+        # The estimate was that warm machines serve it within a fetch. Where they did not, since
+        # other jobs came first on them, it is not held to that: found on a day with a zone cut off.
+        waited_s = state.now - (job.waiting_since if job.waiting_since is not None else state.now)
+        if waited_s > candidates.slowest_fetch_s(job.spec):
+            limits.cold_left = left
+        else:
+            limits.cold_left = min(left, state.images.cold_limit(job, candidates))
+        free = [c for c in candidates.with_free_room(job.spec) if state.may_use(job, c)]
+        state.place(job, self._tasks.selector.choose(job, left, state.sample(job, free)))
+
+    # -- what a job may have ------------------------------------------------------------------
+
     def _wanted(self, job: Job, most: int | None) -> int:
-        """Tell how many tasks may be placed: a gang is placed whole or not at all."""
+        """Return how many tasks may be placed: a gang is placed whole or not at all."""
         wanted = job.shortfall if most is None else min(job.shortfall, most)
         if job.backoff_s and not job.is_gang:
             wanted = min(wanted, 1)  # it failed everywhere: one task tells whether it still does
@@ -106,14 +143,14 @@
         return 0 if job.is_gang and allowed < wanted else allowed
 
     def _usable(self, job: Job, candidates: Candidates) -> Candidates:
-        """Leave out the machines kept for a gang that the job would delay, and those it avoids."""
-        reserved = self._state.plan.reserved
-        if reserved is not None and delays_reservation(job, reserved.wait_s):
+        """Leave out machines whose reservation the job would delay, and machines it avoids."""
+        reservation = self._state.plan.reserved
+        if reservation is not None and delays_reservation(job, reservation.wait_s):
             candidates = candidates.unreserved()
         if job.failed_on:
             avoid = self._snapshot.avoid
-            healthy = [c for c in candidates.capacities if not avoid(job, c.machine)]
-            candidates = self._state.narrowed(candidates, healthy)
+            not_avoided = [c for c in candidates.capacities if not avoid(job, c.machine)]
+            candidates = self._state.narrowed(candidates, not_avoided)
         return candidates
 
     def _limit_fetches(self, job: Job, usable: Candidates, candidates: Candidates) -> None:
@@ -124,27 +161,26 @@
         limits.warm_only = limits.cold_left <= 0 or not images.may_start_cold(
             job, usable, candidates, state.now
         )
-        if (
-            not job.is_gang
-            and not job.backoff_s
-            and candidates.slowest_fetch_s(job.spec) > LONG_FETCH_S
-        ):
-            self._waiting.append(job)
+        is_long_fetch = candidates.slowest_fetch_s(job.spec) > LONG_FETCH_S
+        if not job.is_gang and not job.backoff_s and is_long_fetch:
+            self._kept_waiting.append(job)
             if job.waiting_since is None:
                 job.waiting_since = state.now
 
+    # -- tasks that end -----------------------------------------------------------------------
+
     def _place_tasks(self, job: Job, wanted: int, usable: Candidates) -> int:
-        """Place tasks that end; return for how many there is room, or will be."""
+        """Place tasks that end; return how many have room, free or to be released."""
         needs_no_reserve = job.priority < self._snapshot.gpu_reserve.priority
         if job.spec.gpus <= 0 and needs_no_reserve and not job.lacks_members:
             return self._place_beside_few_gpus(job, wanted, usable)
         return self._tasks.place(job, wanted, usable, whole=job.is_gang)
 
     def _place_beside_few_gpus(self, job: Job, wanted: int, usable: Candidates) -> int:
-        """Place work that needs no GPUs, and is important enough to leave nothing for any.
+        """Place tasks that need no GPUs and are important enough to leave nothing for any.
 
-        First it stops lesser work where there are no or few GPUs, since a task that runs for
-        minutes beside idle ones costs more.
+        They first preempt less important work where there are no or few GPUs, since a task that
+        runs for minutes beside idle GPUs costs more.
         """
         left = wanted
         for gpus in usable.gpu_counts():
@@ -153,12 +189,14 @@
             left -= self._tasks.place(job, left, usable.with_few_gpus(gpus), whole=job.is_gang)
         return wanted - left
 
+    # -- tasks without room -------------------------------------------------------------------
+
     def _note_full(self, job: Job, usable: Candidates, candidates: Candidates) -> None:
-        """Remember that a job looked at every machine in vain."""
+        """Note that a job found no room, if it looked at every machine."""
         limits = self._state.limits
         if job.is_gang or limits.sampled_only or usable is not candidates:
             return
-        if limits.warm_only and self._tasks.preemptor.may_stop_any(job):
+        if limits.warm_only and self._tasks.preemptor.may_preempt_any(job):
             return
         if not usable.fitting(job.spec):
             candidates.note_full(job)
@@ -166,7 +204,7 @@
     def _note_unplaced(
         self, job: Job, left: int, usable: Candidates, candidates: Candidates
     ) -> None:
-        """Note for how many tasks machines have to be rented."""
+        """Note for how many of the tasks left machines have to be rented."""
         limits = self._state.limits
         if not job.is_gang:
             if left > 0 and candidates.slowest_fetch_s(job.spec) > LONG_FETCH_S:
@@ -177,37 +215,18 @@
             self._state.plan.unplaced.append(Unplaced(job, left))
 
     def _room_being_fetched(self, job: Job, left: int, usable: Candidates) -> int:
-        """Count the room that waits for its image: as good as placed, nothing is rented for it."""
+        """Count the tasks that fit where their image is being fetched, at most `left`.
+
+        That room is as good as taken, so nothing is rented for them.
+        """
         state, spec = self._state, job.spec
-        found = 0
+        count = 0
         warm_only = state.limits.warm_only
-        fits = usable.fitting_with_image(spec) if warm_only else usable.fitting(spec)
-        for capacity in fits:
-            if found >= left:
+        fitting = usable.fitting_with_image(spec) if warm_only else usable.fitting(spec)
+        for capacity in fitting:
+            if count >= left:
                 break
             if not capacity.machine.faults and state.fetch_limit(job, capacity) == 0:
-                reserve_here = state.reserve_on(capacity)
-                found += capacity.count_fitting(spec, left - found, gpu_reserve=reserve_here)
-        return found
-
-    def _fetch_on_leftover(self, job: Job) -> None:
-        """Let a job that waits for warm machines fetch where room would lie idle otherwise."""
-        state = self._state
-        placed = state.plan.parts_of(job)
-        still_wanted = job.shortfall - sum(part.tasks for part in placed)
-        left = self._snapshot.quota.headroom(job.spec, still_wanted)
-        if left <= 0:
-            return
-        candidates = state.candidates(job)
-        limits = state.begin(job)
-        for part in placed:
-            limits.zones[part.machine.zone] += part.tasks
-        # The estimate was that warm machines serve it within a fetch. Where they did not, since
-        # others came first on them, it is not held to that: found on a day with a zone cut off.
-        waited = state.now - (job.waiting_since if job.waiting_since is not None else state.now)
-        if waited > candidates.slowest_fetch_s(job.spec):
-            limits.cold_left = left
-        else:
-            limits.cold_left = min(left, state.images.cold_limit(job, candidates))
-        free = [c for c in candidates.with_free_room(job.spec) if state.may_use(job, c)]
-        state.place(job, self._tasks.selector.choose(job, left, state.sample(job, free)))
+                gpu_reserve = state.gpu_reserve_on(capacity)
+                count += capacity.count_fitting(spec, left - count, gpu_reserve=gpu_reserve)
+        return count
--- a/src/ryewing/scheduling/plan.py
+++ b/src/ryewing/scheduling/plan.py
@@ -1,4 +1,4 @@
-"""What a cycle decides."""
+"""The outcome of a scheduling cycle."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class BatchPart(NamedTuple):
-    """So many tasks of a batch go to one machine."""
+    """How many tasks of a batch go to one machine."""
 
     machine: Machine
     tasks: int
 
 
 class Batch:
-    """What one job gets in one cycle."""
+    """The tasks of one job that a cycle places at once."""
 
     __slots__ = ("job", "parts")
 
@@ -26,36 +26,38 @@
 
 
 class Unplaced(NamedTuple):
-    """A job with tasks for which there is no room, not even room to be freed."""
+    """A job, and how many of its tasks have no room, not even room to be released."""
 
     job: Job
     tasks: int
 
 
 class Reservation(NamedTuple):
-    """The machines that are kept for a gang."""
+    """The machines reserved for an overdue gang."""
 
     job: Job
     machines: list[Machine]
     wait_s: float
-    """When the last of them is thought to be free."""
+    """Seconds until the last of them is expected to be free."""
 
 
 class Plan:
-    """The outcome of a cycle."""
+    """What a cycle decides; the leader carries it out."""
 
     def __init__(self) -> None:
         self.moves: list[Assignment] = []
-        """Replicas to be stopped, since there is room for them elsewhere."""
+        """Replicas to stop, since there is room for them elsewhere."""
         self.batches: list[Batch] = []
+        """Tasks to start."""
         self.stops: list[Assignment] = []
-        """Tasks to be stopped for more important ones."""
+        """Tasks to preempt for more important ones."""
         self.unplaced: list[Unplaced] = []
+        """Tasks for which machines should be rented."""
         self.reserved: Reservation | None = None
-        """The overdue gang for which machines are kept, and which."""
+        """The reservation, if an overdue gang found no room; one gang at a time."""
         self.machines_examined = 0
-        """Machines looked at one by one: the cost of the cycle."""
+        """How many machines were looked at one by one: the cost of the cycle."""
 
     def parts_of(self, job: Job) -> list[BatchPart]:
-        """List what a job has got so far."""
+        """Return the parts of all batches that a job has got so far."""
         return [part for batch in self.batches if batch.job is job for part in batch.parts]
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -1,4 +1,4 @@
-"""Keeping machines for a gang that has waited too long to begin."""
+"""Reserving machines for a gang that has waited too long to begin."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 from ryewing.state.resources import count_fitting
 from ryewing.units import MonotonicTime, Zone
 
-LEAST_WAIT_S = 1.0
-"""How long a task that should have ended is still thought to run."""
+MIN_TASK_LEFT_S = 1.0
+"""How long a task that should have ended is still expected to run."""
 
 
 def reserve(state: CycleState, job: Job) -> None:
-    """Keep the machines that will soonest hold the whole gang, in one zone if it asks that.
+    """Reserve the machines that can hold the whole gang soonest, in one zone if it asks for that.
 
-    Others may use them for what ends before the last of them is free (backfilling). Decided anew
-    in every cycle: machines that have emptied meanwhile come first, so it holds.
+    Other jobs may use them for tasks that end before the last of them is free (backfilling). The
+    reservation is made anew in every cycle; machines that have emptied meanwhile come first, so it
+    settles.
     """
     capacities = state.candidates(job).capacities
     best: list[MachineCapacity] = []
     best_wait_s = math.inf
     for zone in state.zones_for(job, capacities):
-        found, wait_s = _soonest(state, job, capacities, zone)
-        if found and wait_s < best_wait_s:
-            best, best_wait_s = found, wait_s
+        chosen, wait_s = _soonest(state, job, capacities, zone)
+        if chosen and wait_s < best_wait_s:
+            best, best_wait_s = chosen, wait_s
     for capacity in best:
         capacity.reserved_for_s = best_wait_s
     if best:
@@ -38,36 +39,41 @@
 def _soonest(
     state: CycleState, job: Job, capacities: list[MachineCapacity], only: Zone | None
 ) -> tuple[list[MachineCapacity], float]:
-    """Find the machines of a zone that will hold the gang first, and when; none if they can't."""
+    """Return the machines that can hold the gang first, and in how many seconds.
+
+    `only` is the zone to look in, if not None. There are none if the machines can't hold it.
+    """
     waits = [
         (_drain_s(job, capacity, state.now), number, capacity)
         for number, capacity in enumerate(capacities)
         if (only is None or capacity.machine.zone == only)
         and not state.snapshot.avoid(job, capacity.machine)
     ]
-    found: list[MachineCapacity] = []
+    chosen: list[MachineCapacity] = []
     left = job.spec.task_count
     for wait_s, _number, capacity in sorted(waits, key=lambda wait: wait[:2]):
-        kind = capacity.machine.machine_type
-        count = count_fitting(job.spec, kind.cpus, kind.gpus, kind.memory_gb, left)
+        machine_type = capacity.machine.machine_type
+        count = count_fitting(
+            job.spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb, left
+        )
         if count <= 0 or math.isinf(wait_s):
             continue
-        found.append(capacity)
+        chosen.append(capacity)
         left -= count
         if left == 0:
-            return found, wait_s
+            return chosen, wait_s
     return [], math.inf
 
 
 def _drain_s(job: Job, capacity: MachineCapacity, now: MonotonicTime) -> float:
-    """Estimate when a machine will be free of all that the gang would have to wait for."""
-    left = 0.0
+    """Estimate in how many seconds a machine is free of all that the gang can't preempt."""
+    longest_s = 0.0
     for assignment in capacity.machine.assignments.values():
         if assignment.job is None or assignment in capacity.stopping:
             continue
         if may_preempt(job, assignment):
             continue
         since = assignment.running_since
-        ran = now - since if since is not None else 0.0
-        left = max(left, assignment.job.estimate_s() - ran, LEAST_WAIT_S)
-    return left
+        ran_s = now - since if since is not None else 0.0
+        longest_s = max(longest_s, assignment.job.estimate_s() - ran_s, MIN_TASK_LEFT_S)
+    return longest_s
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -1,4 +1,4 @@
-"""Choosing machines for tasks: the order in which they are tried, and the zones."""
+"""Choosing machines for tasks with room, free or to be released: by zone and in order."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from ryewing.units import Zone
 
 REPLICAS_TOGETHER = 4
-"""So many replicas on one machine are fullest first; beyond, others that are as soon come first: a
-machine that dies takes all of them."""
+"""Up to this many replicas the fullest machine comes first; beyond, others where a replica would
+start as soon do, since a machine that dies takes all its replicas with it."""
 
 SortKey = tuple[float, ...]
 
 
 class _ZoneChoice:
-    """What one zone, or all of them, can do for a job."""
+    """What was chosen in one zone, or in all of them."""
 
     __slots__ = ("choices", "cold", "count")
 
     def __init__(self) -> None:
         self.choices: list[Choice] = []
         self.count = 0
+        """How many tasks were chosen for."""
         self.cold = 0
-        """How many of the tasks would have to fetch their image."""
+        """How many of them would have to fetch their image."""
 
 
 class Selector:
@@ -46,18 +47,19 @@
     ) -> list[Choice]:
         """Choose machines for up to `wanted` tasks, or for all of them or none if `whole`.
 
-        `with_releasing`: room counts that stops under way will free.
+        `with_releasing`: room counts that tasks being stopped will release. Of several zones the
+        one that takes the most tasks is chosen, and of those the one with the fewest fetches.
         """
-        spec, reserve_on = job.spec, self._state.reserve_on
+        spec, gpu_reserve_on = job.spec, self._state.gpu_reserve_on
         fitting = [
             capacity
             for capacity in capacities
-            if capacity.count_fitting(spec, 1, with_releasing, reserve_on(capacity))
+            if capacity.count_fitting(spec, 1, with_releasing, gpu_reserve_on(capacity))
         ]
         if not fitting:
             return []
-        order = self._replica_order if job.is_service else _order
-        fitting.sort(key=partial(order, job))
+        sort_key = self._replica_order if job.is_service else _order
+        fitting.sort(key=partial(sort_key, job))
         best = _ZoneChoice()
         for zone in self._state.zones_for(job, fitting):
             found = self._choose_in_zone(job, wanted, fitting, zone, with_releasing)
@@ -77,6 +79,7 @@
         only: Zone | None,
         with_releasing: bool,
     ) -> _ZoneChoice:
+        """Choose machines in order, in the zone `only` if it isn't None."""
         state, spec = self._state, job.spec
         found = _ZoneChoice()
         by_zone: dict[Zone, int] = {}
@@ -84,10 +87,12 @@
             machine = capacity.machine
             if only is not None and machine.zone != only:
                 continue
-            most = state.limit(job, capacity, wanted - found.count, by_zone, found.cold)
+            most = state.task_limit(job, capacity, wanted - found.count, by_zone, found.cold)
             if most <= 0:
                 continue
-            count = capacity.count_fitting(spec, most, with_releasing, state.reserve_on(capacity))
+            count = capacity.count_fitting(
+                spec, most, with_releasing, state.gpu_reserve_on(capacity)
+            )
             if count <= 0:
                 continue
             found.choices.append(Choice(capacity, count))
@@ -100,7 +105,11 @@
         return found
 
     def _replica_order(self, job: Job, capacity: MachineCapacity) -> SortKey:
-        """Order machines for a replica: healthy ones, in nobody's way, soonest, without GPUs."""
+        """Order machines for a replica.
+
+        Healthy ones come first, then those where it takes no room from large tasks, starts
+        soonest, and needs no machine with expensive GPUs.
+        """
         spec, machine = job.spec, capacity.machine
         cold = machine.warmth(spec.image) == COLD
         return (
@@ -109,7 +118,7 @@
             round(self._state.start_s(spec, capacity)),
             gpu_cost(spec, machine),
             max(0, capacity.replicas() - REPLICAS_TOGETHER),
-            # Where it has to fetch, the next ones are to find room beside it.
+            # Where it has to fetch, the next replicas should find room beside it.
             -capacity.preemptible_cpus() if cold else 0.0,
             spec.spot and not machine.spot,
             capacity.free_share(),
@@ -117,17 +126,18 @@
 
 
 def _order(job: Job, capacity: MachineCapacity) -> SortKey:
-    """Order machines for tasks that end: the fullest first, as the design says.
+    """Order machines for tasks that end: the fullest first (bin packing; docs/design.md).
 
-    Before that come: machines that aren't slow; machines whose GPUs the task would not strand; the
-    image, since a fetch takes longer than most tasks wait; and for jobs that may use spot machines
-    those, since other jobs can only use the ordinary ones. A gang that lacks a member looks for the
-    image first: all others wait, and give up in turn, until the new one has it.
+    More important than that are: machines that aren't slow; machines whose GPUs the task would not
+    strand; the image, since a fetch takes longer than most tasks wait; and for jobs that may use
+    spot machines those, since other jobs can only use the ordinary ones. A gang that lacks a
+    member looks for the image first: all others wait, and give up in turn, until the new one has
+    it.
     """
     spec, machine = job.spec, capacity.machine
     cold = machine.warmth(spec.image) == COLD
     return (
-        # A job that backs off may go where it failed, but elsewhere it learns more.
+        # A job in backoff may go where it failed, but elsewhere its probe tells more.
         machine.id in job.failed_on,
         machine.slow(),
         capacity.fetch_order(spec, True) if job.lacks_members else 0,
--- a/src/ryewing/scheduling/tasks.py
+++ b/src/ryewing/scheduling/tasks.py
@@ -1,4 +1,4 @@
-"""Placing tasks on given machines: free room, then room about to be freed, then preemption."""
+"""Placing tasks on given machines, in the three stages of a job's turn."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TaskPlacer:
-    """Takes the job at hand through the three stages."""
+    """Places tasks in free room, then in room about to be released, then by preemption."""
 
     def __init__(self, state: CycleState) -> None:
         self._state = state
@@ -19,7 +19,10 @@
         self.preemptor = Preemptor(state)
 
     def place(self, job: Job, wanted: int, candidates: Candidates, whole: bool = False) -> int:
-        """Place, or find room to be freed, on these machines; return for how many tasks."""
+        """Place tasks or claim room to be released for them; return for how many that was possible.
+
+        `whole`: for all of them or none.
+        """
         state, choose = self._state, self.selector.choose
         fitting = state.sample(job, self._with_room(job, candidates))
         left = wanted
@@ -31,11 +34,11 @@
         return wanted - left
 
     def _with_room(self, job: Job, candidates: Candidates) -> list[MachineCapacity]:
-        """List where a task might fit without stopping any more, and may begin by its image."""
+        """Return the machines where a task might fit without preemption and may begin."""
         spec = job.spec
         if job.is_service:
-            fits = candidates.fitting(spec)
-            return [capacity for capacity in fits if self._state.is_warm_enough(spec, capacity)]
+            fitting = candidates.fitting(spec)
+            return [capacity for capacity in fitting if self._state.is_warm_enough(spec, capacity)]
         if self._state.limits.warm_only:
             return candidates.fitting_with_image(spec)
         return candidates.fitting(spec)
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -1,4 +1,4 @@
-"""Preemption: which running tasks to stop for the job at hand, and where."""
+"""Choosing victims: which tasks to preempt for the job at hand, and on which machines."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from ryewing.wire.jobs import JobSpec
 
 PREEMPT_MAX = 64
-"""Places freed for one array in one cycle: bounds the work of a cycle."""
+"""Tasks for which one array may preempt in one cycle: bounds the work of a cycle."""
 
 
 class _Option(NamedTuple):
-    """A machine on which something may be stopped; the smallest is the best."""
+    """A machine on which tasks may be preempted; the smallest is the best."""
 
     stranded_gpus: float
     wait: float
-    """By the image, or for a replica until it would run."""
-    cost: float
-    """Run time lost."""
+    """For a replica the seconds until it would run, otherwise the `fetch_order` of the image."""
+    lost_s: float
+    """Run time that preempting all victims would lose; for a replica, the one that loses least."""
     number: int
-    """Makes every option different, so that nothing further is compared."""
+    """Makes every option different, so that the fields after it are never compared."""
     capacity: MachineCapacity
     victims: list[Assignment]
 
 
 class _Stop(NamedTuple):
-    """What to stop on one machine, and for how many tasks that makes room."""
+    """The tasks to stop on one machine, and for how many tasks that makes room."""
 
     capacity: MachineCapacity
     victims: list[Assignment]
@@ -43,18 +43,19 @@
 
 
 class Preemptor:
-    """Stops less important work for the job at hand."""
+    """Preempts less important work for the job at hand, by the rules of `preemption`."""
 
     def __init__(self, state: CycleState) -> None:
         self._state = state
-        self._least_priority: int | None = None
+        self._lowest_priority: int | None = None
+        """The largest priority number of all tasks; found when first needed."""
 
-    def may_stop_any(self, job: Job) -> bool:
-        """Tell whether anything less important runs at all."""
+    def may_preempt_any(self, job: Job) -> bool:
+        """Return whether the job might preempt anything at all; a quick check before the search."""
         if job.guaranteed:
             return True
-        if self._least_priority is None:
-            self._least_priority = max(
+        if self._lowest_priority is None:
+            self._lowest_priority = max(
                 (
                     assignment.job.priority
                     for capacity in self._state.snapshot.capacities
@@ -63,15 +64,16 @@
                 ),
                 default=-1,
             )
-        return self._least_priority > job.priority
+        return self._lowest_priority > job.priority
 
     def preempt(self, job: Job, wanted: int, candidates: Candidates, whole: bool = False) -> int:
-        """Stop less important work for the job; return for how many tasks room was found.
+        """Plan to stop less important tasks for the job; return for how many tasks it makes room.
 
-        For a gang the free machines count too: they and the stopped ones make it whole together.
-        It takes machines with its image first, as it is waited for longer than one stopped task.
+        For a gang (`whole`) free room counts too: it and the released room make it whole together.
+        A gang takes machines with its image first, since a fetch keeps it waiting for longer than
+        a stopped task does.
         """
-        if not self.may_stop_any(job):
+        if not self.may_preempt_any(job):
             return 0
         if not whole:
             wanted = min(wanted, PREEMPT_MAX)
@@ -93,6 +95,7 @@
         self._state.claim(job, [Choice(stop.capacity, stop.tasks)])
 
     def _options(self, job: Job, candidates: Candidates, whole: bool) -> list[_Option]:
+        """Return a sample of the usable machines, the best first."""
         options = [
             self._option(job, capacity, number, whole)
             for number, capacity in enumerate(
@@ -104,7 +107,7 @@
     def usable_machines(
         self, job: Job, candidates: Candidates, whole: bool
     ) -> list[MachineCapacity]:
-        """List where something may be stopped for the job; for a gang also where it just fits."""
+        """Return where the job may preempt; for a gang (`whole`) also where it might just fit."""
         warm_only, image = self._state.limits.warm_only, job.spec.image
         if whole:
             found = candidates.with_image(image) if warm_only else candidates.capacities
@@ -119,7 +122,7 @@
         return [capacity for capacity in found if self._is_soon_enough(job, capacity)]
 
     def _is_soon_enough(self, job: Job, capacity: MachineCapacity) -> bool:
-        """Tell whether a replica may wait until it would run here, stops included."""
+        """Return whether a replica would run here soon enough, victims' saving included."""
         if not self._state.is_warm_enough(job.spec, capacity):
             return False
         limits = self._state.limits
@@ -130,21 +133,24 @@
         losses = [lost_work(assignment, self._state.now) for assignment in victims]
         if job.is_service:
             wait: float = round(self._start_s(job, capacity))
-            cost = min(losses, default=0.0)
+            lost_s = min(losses, default=0.0)
         else:
             wait = capacity.fetch_order(job.spec, True) if whole else WARM
-            cost = sum(losses)
+            lost_s = sum(losses)
         stranded = stranded_gpus(job.spec, capacity.machine)
-        return _Option(stranded, wait, cost, number, capacity, victims)
+        return _Option(stranded, wait, lost_s, number, capacity, victims)
 
     def _start_s(self, job: Job, capacity: MachineCapacity) -> float:
-        """Estimate when a replica would run where something has to be stopped for it first."""
+        """Estimate in how many seconds a replica would run where it has to preempt first."""
         victims = self.victims_on(job, capacity)
-        saving = saving_s(victims[0]) if victims else 0.0
-        return self._state.start_s(job.spec, capacity) + saving
+        victim_saves_s = saving_s(victims[0]) if victims else 0.0
+        return self._state.start_s(job.spec, capacity) + victim_saves_s
 
     def victims_on(self, job: Job, capacity: MachineCapacity) -> list[Assignment]:
-        """List whom the job may stop on a machine, the least lost first."""
+        """Return the tasks that the job may preempt on a machine, those to stop first at the front.
+
+        Tasks that are being stopped already are left out.
+        """
         key = self._state.limits.victim_key
         found = capacity.victims.get(key)
         if found is None:
@@ -155,8 +161,8 @@
                 if may_preempt(job, assignment)
             ]
             if job.is_service:
-                # Found in an incident: what was stopped saved its work first, and the replica was
-                # missed for five seconds more.
+                # Found in an incident: the victim saved its work first, and the replica was missed
+                # for five seconds more.
                 found.sort(key=lambda a: (saving_s(a), stop_order(a), lost_work(a, now)))
             else:
                 found.sort(key=lambda a: (stop_order(a), lost_work(a, now)))
@@ -166,7 +172,10 @@
         return found
 
     def _choose(self, job: Job, wanted: int, options: list[_Option], whole: bool) -> list[_Stop]:
-        """Choose the zone, if the job has to stay in one, that does most with least fetching."""
+        """Choose what to stop, in one zone if the job has to stay in one.
+
+        The zone that takes the most tasks is chosen, and of those the one with the fewest fetches.
+        """
         best: list[_Stop] = []
         best_rank = (wanted, 0)
         for zone in self._state.zones_for(job, [option.capacity for option in options]):
@@ -184,6 +193,7 @@
     def _choose_in_zone(
         self, job: Job, wanted: int, options: list[_Option], only: Zone | None
     ) -> list[_Stop]:
+        """Choose what to stop on the best options, in the zone `only` if it isn't None."""
         state = self._state
         stops: list[_Stop] = []
         by_zone: dict[Zone, int] = {}
@@ -194,9 +204,9 @@
             capacity, machine = option.capacity, option.capacity.machine
             if only is not None and machine.zone != only:
                 continue
-            most = state.limit(job, capacity, left, by_zone, cold)
-            reserve = state.reserve_on(capacity)
-            victims, count = _choose_victims(capacity, job.spec, option.victims, most, reserve)
+            most = state.task_limit(job, capacity, left, by_zone, cold)
+            gpu_reserve = state.gpu_reserve_on(capacity)
+            victims, count = _choose_victims(capacity, job.spec, option.victims, most, gpu_reserve)
             if count > 0:
                 stops.append(_Stop(capacity, victims, count))
                 by_zone[machine.zone] = by_zone.get(machine.zone, 0) + count
@@ -211,17 +221,22 @@
     spec: JobSpec,
     candidates: list[Assignment],
     most: int,
-    reserve: GpuReserve,
+    gpu_reserve: GpuReserve,
 ) -> tuple[list[Assignment], int]:
-    """Choose victims on one machine until `most` tasks fit, or all that would."""
+    """Choose victims on one machine until `most` tasks fit, or as many as can.
+
+    Return them and how many tasks fit then. Victims at the end that make no more tasks fit are
+    left out.
+    """
     cpus = capacity.cpus + capacity.releasing_cpus
     gpus = capacity.gpus + capacity.releasing_gpus
     memory_gb = capacity.memory_gb + capacity.releasing_memory_gb
 
     def fitting() -> int:
-        kept = max(gpus, 0.0)
-        free_cpus = cpus - kept * reserve.cpus
-        return count_fitting(spec, free_cpus, gpus, memory_gb - kept * reserve.memory_gb, most)
+        free_gpus = max(gpus, 0.0)
+        free_cpus = cpus - free_gpus * gpu_reserve.cpus
+        free_memory_gb = memory_gb - free_gpus * gpu_reserve.memory_gb
+        return count_fitting(spec, free_cpus, gpus, free_memory_gb, most)
 
     chosen: list[Assignment] = []
     count, useful = fitting(), 0
@@ -236,14 +251,14 @@
         gpus += freed.gpus
         memory_gb += freed.memory_gb
         chosen.append(assignment)
-        fit = fitting()
-        if fit > count:
-            count, useful = fit, len(chosen)
+        count_now = fitting()
+        if count_now > count:
+            count, useful = count_now, len(chosen)
     return chosen[:useful], count
 
 
 def _helps(spec: JobSpec, freed: JobSpec) -> bool:
-    """Tell whether a stopped task frees anything of what the other one needs."""
+    """Return whether a stopped task releases any resource that the other one needs."""
     return (
         (spec.cpus > 0 and freed.cpus > 0)
         or (spec.gpus > 0 and freed.gpus > 0)
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -230,15 +230,17 @@
     machine = world.machine("i-1", CPU)
     world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
     gang = world.job("run-1", shape="group", task_count=1, cpus=32.0, priority="standard")
-    plan = scheduling.SchedulingCycle(
+    plan = scheduling.run_cycle(
         scheduling.SchedulingSnapshot(
             [MachineCapacity(machine)],
             TeamQuota(TEAMS, {}, {}),
             MonotonicTime(T0 + 200),
             random.Random(1),
             64,
-        )
-    ).run([gang], [gang])
+        ),
+        [gang],
+        [gang],
+    )
     assert plan.reserved is None
     assert not plan.stops
 
@@ -248,15 +250,17 @@
     world = World()
     world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
-    found = scheduling.SchedulingCycle(
+    found = scheduling.run_cycle(
         scheduling.SchedulingSnapshot(
             [MachineCapacity(m) for m in world.cluster.machines.values()],
             TeamQuota(TEAMS, {}, {}),
             MonotonicTime(T0 + 200),
             random.Random(1),
             64,
-        )
-    ).run([service], [service])
+        ),
+        [service],
+        [service],
+    )
     assert spread_of(found) == {"i-1": 20}
 
 
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -77,9 +77,12 @@
         capacities = [MachineCapacity(machine) for machine in self.cluster.machines.values()]
         quota = TeamQuota(teams, {}, {})
         now = MonotonicTime(T0 + 100.0)
-        return scheduling.SchedulingCycle(
-            scheduling.SchedulingSnapshot(capacities, quota, now, random.Random(7), policy().sample)
-        ).run(jobs)
+        return scheduling.run_cycle(
+            scheduling.SchedulingSnapshot(
+                capacities, quota, now, random.Random(7), policy().sample
+            ),
+            jobs,
+        )
 
 
 @pytest.mark.parametrize("size", SIZES)
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -146,5 +146,5 @@
         return may_fit(capacity, spec)  # type: ignore[arg-type]
 
     monkeypatch.setattr(MachineCapacity, "may_fit", counted)
-    scheduling.SchedulingCycle(world.inputs(policy().sample)).run(jobs)
+    scheduling.run_cycle(world.inputs(policy().sample), jobs)
     assert len(asked) <= 12 * len(world.machines) + 4 * policy().sample * len(jobs)
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -89,9 +89,11 @@
         capacities = [MachineCapacity(m) for m in self.cluster.machines.values()]
         teams = {"red": Team("red"), "blue": Team("blue")}
         quota = TeamQuota(teams, {}, {})
-        plan = scheduling.SchedulingCycle(
-            scheduling.SchedulingSnapshot(capacities, quota, MonotonicTime(self.now), self.rng, 64)
-        ).run(ordered, queueing.overdue(ordered, now))
+        plan = scheduling.run_cycle(
+            scheduling.SchedulingSnapshot(capacities, quota, MonotonicTime(self.now), self.rng, 64),
+            ordered,
+            queueing.overdue(ordered, now),
+        )
         stopped: list[Assignment] = plan.stops
         for assignment in stopped:
             self.cluster.drop(assignment, MonotonicTime(self.now))
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -84,7 +84,7 @@
             kept,
             **ways,
         )
-        return scheduling.SchedulingCycle(snapshot).run(jobs, (), moving)
+        return scheduling.run_cycle(snapshot, jobs, (), moving)
 
 
 def spread_of(plan: scheduling.Plan) -> Counter[str]:
