--- a/src/ryewing/scheduling/preemption.py
+++ b/src/ryewing/scheduling/preemption.py
@@ -66,7 +66,7 @@
         )
 
 
-def lost_work(assignment: Assignment, now: MonotonicTime) -> float:
+def lost_work_s(assignment: Assignment, now: MonotonicTime) -> float:
     """Estimate the seconds of run time lost by stopping a task now, with a checkpoint if it can.
 
     That is the time to save for a task with checkpoints, otherwise all the time it has run.
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -37,16 +37,16 @@
 
 
 def _soonest(
-    state: CycleState, job: Job, capacities: list[MachineCapacity], only: Zone | None
+    state: CycleState, job: Job, capacities: list[MachineCapacity], zone: Zone | None
 ) -> tuple[list[MachineCapacity], float]:
     """Return the machines that can hold the gang first, and in how many seconds.
 
-    `only` is the zone to look in, if not None. There are none if the machines can't hold it.
+    All are in `zone` if it isn't None. There are none if the machines can't hold it.
     """
     waits = [
         (_drain_s(job, capacity, state.now), number, capacity)
         for number, capacity in enumerate(capacities)
-        if (only is None or capacity.machine.zone == only)
+        if (zone is None or capacity.machine.zone == zone)
         and not state.snapshot.avoid(job, capacity.machine)
     ]
     chosen: list[MachineCapacity] = []
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -16,6 +16,7 @@
 start as soon do, since a machine that dies takes all its replicas with it."""
 
 SortKey = tuple[float, ...]
+"""Orders machines: the smallest first."""
 
 
 class _ZoneChoice:
@@ -58,7 +59,7 @@
         ]
         if not fitting:
             return []
-        sort_key = self._replica_order if job.is_service else _order
+        sort_key = self._replica_order if job.is_service else _task_order
         fitting.sort(key=partial(sort_key, job))
         best = _ZoneChoice()
         for zone in self._state.zones_for(job, fitting):
@@ -76,16 +77,16 @@
         job: Job,
         wanted: int,
         fitting: list[MachineCapacity],
-        only: Zone | None,
+        zone: Zone | None,
         with_releasing: bool,
     ) -> _ZoneChoice:
-        """Choose machines in order, in the zone `only` if it isn't None."""
+        """Choose machines in order, all in `zone` if it isn't None."""
         state, spec = self._state, job.spec
         found = _ZoneChoice()
         by_zone: dict[Zone, int] = {}
         for capacity in fitting:
             machine = capacity.machine
-            if only is not None and machine.zone != only:
+            if zone is not None and machine.zone != zone:
                 continue
             most = state.task_limit(job, capacity, wanted - found.count, by_zone, found.cold)
             if most <= 0:
@@ -125,7 +126,7 @@
         )
 
 
-def _order(job: Job, capacity: MachineCapacity) -> SortKey:
+def _task_order(job: Job, capacity: MachineCapacity) -> SortKey:
     """Order machines for tasks that end: the fullest first (bin packing; docs/design.md).
 
     More important than that are: machines that aren't slow; machines whose GPUs the task would not
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -9,7 +9,7 @@
 from ryewing.scheduling.gpu_reserve import GpuReserve
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.machine_suitability import stranded_gpus
-from ryewing.scheduling.preemption import lost_work, may_preempt, saving_s, stop_order
+from ryewing.scheduling.preemption import lost_work_s, may_preempt, saving_s, stop_order
 from ryewing.state.jobs import Job
 from ryewing.state.machine import COLD, WARM, Assignment
 from ryewing.state.resources import count_fitting
@@ -130,7 +130,7 @@
 
     def _option(self, job: Job, capacity: MachineCapacity, number: int, whole: bool) -> _Option:
         victims = self.victims_on(job, capacity)
-        losses = [lost_work(assignment, self._state.now) for assignment in victims]
+        losses = [lost_work_s(assignment, self._state.now) for assignment in victims]
         if job.is_service:
             wait: float = round(self._start_s(job, capacity))
             lost_s = min(losses, default=0.0)
@@ -163,9 +163,9 @@
             if job.is_service:
                 # Found in an incident: the victim saved its work first, and the replica was missed
                 # for five seconds more.
-                found.sort(key=lambda a: (saving_s(a), stop_order(a), lost_work(a, now)))
+                found.sort(key=lambda a: (saving_s(a), stop_order(a), lost_work_s(a, now)))
             else:
-                found.sort(key=lambda a: (stop_order(a), lost_work(a, now)))
+                found.sort(key=lambda a: (stop_order(a), lost_work_s(a, now)))
             capacity.victims[key] = found
         if found and capacity.stopping:
             return [assignment for assignment in found if assignment not in capacity.stopping]
@@ -191,9 +191,9 @@
         return best
 
     def _choose_in_zone(
-        self, job: Job, wanted: int, options: list[_Option], only: Zone | None
+        self, job: Job, wanted: int, options: list[_Option], zone: Zone | None
     ) -> list[_Stop]:
-        """Choose what to stop on the best options, in the zone `only` if it isn't None."""
+        """Choose what to stop on the best options, all in `zone` if it isn't None."""
         state = self._state
         stops: list[_Stop] = []
         by_zone: dict[Zone, int] = {}
@@ -202,7 +202,7 @@
             if left == 0:
                 break
             capacity, machine = option.capacity, option.capacity.machine
-            if only is not None and machine.zone != only:
+            if zone is not None and machine.zone != zone:
                 continue
             most = state.task_limit(job, capacity, left, by_zone, cold)
             gpu_reserve = state.gpu_reserve_on(capacity)
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("scale", [1, 4])
-def test_a_pass_asks_each_machine_a_bounded_number_of_times(
+def test_a_cycle_asks_each_machine_a_bounded_number_of_times(
     monkeypatch: pytest.MonkeyPatch, scale: int
 ) -> None:
     """Of four times the machines and jobs, four times the questions, not sixteen times."""
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -124,7 +124,7 @@
         (PAIR, 4, {**ONE, "task_count": 9}),  # from both zones
         ({**ARRAY, "priority": "urgent"}, 6, {**ONE, "task_count": 6, "same_zone": True}),
         (ARRAY, 30, {**ARRAY, "task_count": 2000}),  # put off by the order, as it can't be on time
-        (ARRAY, 30, {**ARRAY, "team": "blue", "priority": "idle"}),  # lesser rank, another team
+        (ARRAY, 30, {**ARRAY, "team": "blue", "priority": "idle"}),  # lower priority, another team
         (ARRAY, 30, {**ARRAY, "priority": "idle", "task_count": 2000, "job_class": "other"}),
     ],
 )
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -64,7 +64,9 @@
 
 
 @pytest.mark.parametrize(("unseen", "expected"), [((0.0, 0.0), 8), ((0.0, 4.0), 4)])
-def test_unheard_room_counts_against_limits(unseen: tuple[float, float], expected: int) -> None:
+def test_unreconciled_room_counts_against_limits(
+    unseen: tuple[float, float], expected: int
+) -> None:
     world = World()
     for n in range(3):
         world.machine(f"i-{n}", GPU)
@@ -75,10 +77,10 @@
     assert sum(placed.values()) == expected - 2
 
 
-def test_tasks_without_cards_leave_what_cards_need() -> None:
-    """Found on a quiet day: cards lay idle because others held their processors."""
+def test_tasks_without_gpus_leave_what_gpus_need() -> None:
+    """Found on a quiet day: GPUs lay idle because others held their processors."""
     world = World()
-    world.machine("i-1", GPU)  # 24 processors, 4 cards
+    world.machine("i-1", GPU)  # 24 processors, 4 GPUs
     world.job("run-9", gpus=1.0, cpus=5.0)
     assert spread_of(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1)
@@ -86,8 +88,8 @@
 
 
 @pytest.mark.parametrize(("kept", "expected"), [(0.0, 24), (2.0, 14), (5.0, 4), (99.0, 4)])
-def test_only_cards_that_are_soon_wanted_are_kept(kept: float, expected: int) -> None:
-    """Found on a rough day: 200 processors lay idle beside cards that nobody wanted."""
+def test_only_gpus_that_are_soon_wanted_are_kept(kept: float, expected: int) -> None:
+    """Found on a rough day: 200 processors lay idle beside GPUs that nobody wanted."""
     world = World()
     for n in range(2):
         world.machine(f"i-{n}", GPU)
@@ -96,8 +98,8 @@
     assert sum(spread_of(world.plan(one, kept=kept)).values()) == expected
 
 
-def test_urgent_work_stops_lesser_work_rather_than_strand_cards() -> None:
-    """Found on quiet days: gangs that ran for minutes beside cards that nobody could use."""
+def test_urgent_work_preempts_less_important_work_rather_than_strand_gpus() -> None:
+    """Found on quiet days: gangs that ran for minutes beside GPUs that nobody could use."""
     world = World()
     world.machine("i-1", GPU)
     idle = world.job("run-9", task_count=8)
@@ -138,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("priority", "team", "guaranteed", "victim_rank", "victim_guaranteed", "expected"),
+    ("priority", "team", "guaranteed", "victim_priority", "victim_guaranteed", "expected"),
     [
         ("urgent", "red", False, "standard", False, True),
         ("standard", "red", False, "standard", False, False),
@@ -154,13 +156,13 @@
     priority: str,
     team: str,
     guaranteed: bool,
-    victim_rank: str,
+    victim_priority: str,
     victim_guaranteed: bool,
     expected: bool,
 ) -> None:
     world = World()
     machine = world.machine("i-1")
-    victim = world.job("run-9", priority=victim_rank, team="blue", task_count=1)
+    victim = world.job("run-9", priority=victim_priority, team="blue", task_count=1)
     victim.guaranteed = victim_guaranteed
     world.put(victim, machine, 1)
     one = world.job("run-1", priority=priority, team=team)
@@ -181,7 +183,7 @@
     assert [(one.id, n) for one, n in plan.unplaced] == [("run-2", 2)]
 
 
-def test_work_per_pass_is_bounded_by_the_sample() -> None:
+def test_work_per_cycle_is_bounded_by_the_sample() -> None:
     world = World()
     for n in range(300):
         world.machine(f"i-{n}")
@@ -204,7 +206,7 @@
 
 
 def test_nobody_waits_for_an_image_where_room_is_plenty() -> None:
-    """Found on a quiet day: arrays of many tasks waited beside hundreds of free cards."""
+    """Found on a quiet day: arrays of many tasks waited beside hundreds of free GPUs."""
     world = World()
     world.machine("i-1").record_image("img-1", 5.0)
     world.put(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
@@ -230,7 +232,7 @@
 def test_cold_starts_only_for_what_warm_machines_cannot_serve(
     tasks: int, fetching: str | None, expected: dict[str, int]
 ) -> None:
-    """Found on a busy day: with fetches of a minute a third of the cards in use were fetching."""
+    """Found on a busy day: with fetches of a minute a third of the GPUs in use were fetching."""
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 10.0)
@@ -251,14 +253,14 @@
         assert spread_of(world.plan(array, filler, now=151.0)) == {"i-2": 1}
 
 
-def test_room_freed_for_one_job_serves_another_in_the_same_pass() -> None:
+def test_room_freed_for_one_job_serves_another_in_the_same_cycle() -> None:
     """Where a task might fit is remembered in a cycle, until something is stopped."""
     world = World()
     large = world.job("run-9", task_count=1, cpus=32.0, memory_gb=1.0)
     world.put(large, world.machine("i-1"), 1)
     world.job(
         "run-8", priority="production", gpus=1.0
-    )  # nobody is more important than work with cards
+    )  # nobody is more important than work with GPUs
     before = world.job("run-1", priority="idle", task_count=1, cpus=8.0)
     urgent = world.job("run-2", priority="urgent", task_count=1)
     after = world.job("run-3", task_count=1, cpus=8.0)
@@ -304,10 +306,10 @@
 def test_a_gang_that_lacks_a_member_gets_it_where_the_image_is() -> None:
     """Found on a busy day: each that gave up was replaced where it had to fetch, for minutes."""
     world = World()
-    world.machine("i-1")  # without cards, so first by rights
+    world.machine("i-1")  # without GPUs, so first by rights
     warm, other = world.machine("i-2", GPU), world.machine("i-3")
     warm.record_image("img-1", 5.0)
-    world.job("run-9", gpus=1.0)  # there is work with cards, less important
+    world.job("run-9", gpus=1.0)  # there is work with GPUs, less important
     gang = world.job(
         "run-1", shape="group", priority="urgent", task_count=2, cpus=20.0, image_gb=5.0
     )
@@ -339,7 +341,7 @@
 
 
 def test_one_task_seeds_a_long_fetch_and_nothing_is_rented_for_the_rest() -> None:
-    """Found on quiet days: whole machines waited for a fetch of a minute, cards and all."""
+    """Found on quiet days: whole machines waited for a fetch of a minute, GPUs and all."""
     world = World()
     world.machine("i-1")
     array = world.job("run-1", task_count=8, image_gb=5.0)  # 25 s at 0.2 GB/s
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -16,7 +16,7 @@
     assert order_of(jobs, 16.0, 5.0) == ["run-2", "run-3", "run-1"]
 
 
-def test_work_before_a_rank_is_not_supply_for_it() -> None:
+def test_work_before_a_priority_is_not_supply_for_it() -> None:
     """Found on a drawn day: what goes first was not counted, so all of the rest was late."""
     first = job("run-1", at=0.0, task_count=12, cpus=1.0, priority="urgent")
     rest = [
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -20,7 +20,7 @@
 # -- where replicas go --------------------------------------------------------------------------
 
 
-def test_lesser_work_is_stopped_where_the_image_is_rather_than_fetching_elsewhere() -> None:
+def test_less_important_work_is_preempted_for_the_image_rather_than_fetching() -> None:
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
@@ -173,12 +173,12 @@
     found = better.plan(better.job("run-1", priority="production", cpus=16.0, task_count=1))
     assert [assignment.task.job for assignment in found.stops] == [
         "run-9"
-    ]  # though it is of a higher rank
+    ]  # though it is of a higher priority
     both = world.plan(world.job("run-2", priority=priority, cpus=32.0, task_count=1))
     assert {assignment.task.job for assignment in both.stops} == {"run-8", "run-9"}
 
 
-def test_lesser_work_stops_no_replica_of_a_higher_rank() -> None:
+def test_less_important_work_stops_no_replica_of_a_higher_priority() -> None:
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-9", **{**SERVICE, "cpus": 32.0}, task_count=1)
@@ -270,7 +270,7 @@
 
 
 def test_moves_off_unwanted_machines_are_few(harness: LeaderHarness) -> None:
-    """A third of a service's replicas was moved within minutes, as the cards wanted went up and
+    """A third of a service's replicas was moved within minutes, as the GPUs wanted went up and
     down: each move is a gap."""
     dear = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
     harness.ready(*dear)
