--- a/src/ryewing/autoscaling/booting_room.py
+++ b/src/ryewing/autoscaling/booting_room.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from ryewing.scheduling.capacity import allows
+from ryewing.scheduling.machine_suitability import allows
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Machine
 from ryewing.state.resources import EPSILON, count_fitting
--- a/src/ryewing/autoscaling/scale_in.py
+++ b/src/ryewing/autoscaling/scale_in.py
@@ -10,7 +10,7 @@
 from ryewing.autoscaling.options import price
 from ryewing.config.policy import Policy
 from ryewing.scheduling import Unplaced
-from ryewing.scheduling.capacity import allows
+from ryewing.scheduling.machine_suitability import allows
 from ryewing.state.machine import Machine
 from ryewing.state.resources import fits_machine_type
 from ryewing.units import MachineId, MonotonicTime
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -21,7 +21,8 @@
 from ryewing.leader.direct_messages import max_sends_in_flight
 from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.process.node import API_SHARE, PEER_SHARE
-from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
+from ryewing.scheduling.machine_capacity import MachineCapacity
+from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.attempts import TaskPhase
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, live_key
@@ -78,9 +79,12 @@
         capacities = [MachineCapacity(machine) for machine in self.cluster.machines.values()]
         quota = TeamQuota(teams, {}, {})
         now = MonotonicTime(T0 + 100.0)
-        return scheduling.SchedulingCycle(
-            scheduling.SchedulingSnapshot(capacities, quota, now, random.Random(7), policy().sample)
-        ).run(jobs)
+        return scheduling.run_cycle(
+            scheduling.SchedulingSnapshot(
+                capacities, quota, now, random.Random(7), policy().sample
+            ),
+            jobs,
+        )
 
 
 @pytest.mark.parametrize("size", SIZES)
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -15,7 +15,8 @@
 from ryewing import scheduling
 from ryewing.config.settings import Team
 from ryewing.scheduling import queueing
-from ryewing.scheduling.capacity import MachineCapacity, TeamQuota
+from ryewing.scheduling.machine_capacity import MachineCapacity
+from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.attempts import TaskPhase
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_records import JobRecord
@@ -89,9 +90,11 @@
         capacities = [MachineCapacity(m) for m in self.cluster.machines.values()]
         teams = {"red": Team("red"), "blue": Team("blue")}
         quota = TeamQuota(teams, {}, {})
-        plan = scheduling.SchedulingCycle(
-            scheduling.SchedulingSnapshot(capacities, quota, MonotonicTime(self.now), self.rng, 64)
-        ).run(ordered, queueing.overdue(ordered, now))
+        plan = scheduling.run_cycle(
+            scheduling.SchedulingSnapshot(capacities, quota, MonotonicTime(self.now), self.rng, 64),
+            ordered,
+            queueing.overdue(ordered, now),
+        )
         stopped: list[Assignment] = plan.stops
         for assignment in stopped:
             self.cluster.drop(assignment, MonotonicTime(self.now))
@@ -122,7 +125,7 @@
         (PAIR, 4, {**ONE, "task_count": 9}),  # from both zones
         ({**ARRAY, "priority": "urgent"}, 6, {**ONE, "task_count": 6, "same_zone": True}),
         (ARRAY, 30, {**ARRAY, "task_count": 2000}),  # put off by the order, as it can't be on time
-        (ARRAY, 30, {**ARRAY, "team": "blue", "priority": "idle"}),  # lesser rank, another team
+        (ARRAY, 30, {**ARRAY, "team": "blue", "priority": "idle"}),  # lower priority, another team
         (ARRAY, 30, {**ARRAY, "priority": "idle", "task_count": 2000, "job_class": "other"}),
     ],
 )
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -26,6 +26,7 @@
     "leader.rentals",
     "leader.direct_messages",
     "leader.heartbeats",
+    "leader.job_eligibility",
     "leader.job_watcher",
     "leader.leader",
     "leader.lease_keeper",
@@ -52,7 +53,13 @@
     "sharding.team_demand",
     "sharding.team_limits",
 )
-WALL_CLOCK_PARTS = ("api.cancellation", "api.submissions", "leader.scheduler", "sharding.registry")
+WALL_CLOCK_PARTS = (
+    "api.cancellation",
+    "api.submissions",
+    "leader.plan_applier",
+    "leader.scheduler",
+    "sharding.registry",
+)
 
 
 def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -13,7 +13,9 @@
 
 from ryewing import scheduling
 from ryewing.scheduling import queueing
-from ryewing.scheduling.capacity import NO_RESERVE, MachineCapacity, TeamQuota
+from ryewing.scheduling.gpu_reserve import NO_RESERVE
+from ryewing.scheduling.machine_capacity import MachineCapacity
+from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.attempts import TaskPhase
 from ryewing.state.cluster_state import ClusterState
 from ryewing.state.job_records import JobRecord
@@ -87,7 +89,7 @@
             kept,
             **ways,
         )
-        return scheduling.SchedulingCycle(snapshot).run(jobs, (), moving)
+        return scheduling.run_cycle(snapshot, jobs, (), moving)
 
 
 def spread_of(plan: scheduling.Plan) -> Counter[str]:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -231,7 +231,7 @@
             leader.writer.bucket = self._bucket(leader.writer.bucket)
             early = self._bucket(leader.early_heartbeats.bucket)
             leader.early_heartbeats.bucket = early
-            leader.scheduler._rng = random.Random(int(leader.term.number))
+            leader.scheduler.rng = random.Random(int(leader.term.number))
             leader.direct_messages.workers = DirectLink(self, node.name)  # type: ignore[assignment]
             leader.direct_messages.schedule = leader.direct_messages.send  # type: ignore[method-assign]
 
