--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -33,7 +33,7 @@
 
     def __init__(self, cloud: Cloud, cloud_rps: float) -> None:
         self.cloud = cloud
-        self._bucket = TokenBucket(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
+        self.bucket = TokenBucket(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
         self._began_at = MonotonicTime(-1e9)
         self._since = ""
         self._names: set[MachineId] = set()
@@ -45,7 +45,7 @@
         """
         if not self._since and now - self._began_at < LIST_EVERY_S:
             return False
-        return self._bucket.take()
+        return self.bucket.take()
 
     def read_page(self, now: MonotonicTime) -> ListPage:
         """Read the next page, or the first one if the last has been read.
--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -39,15 +39,16 @@
 
     def __init__(self, sockets: int) -> None:
         self._max_kept = max(KEPT_MIN, int(KEPT_SHARE * sockets))
-        self._clients: OrderedDict[str, HttpClient] = OrderedDict()
+        self.clients: OrderedDict[str, HttpClient] = OrderedDict()
 
-    def _client(self, address: str) -> HttpClient:
-        client = self._clients.pop(address, None)
+    def client_for(self, address: str) -> HttpClient:
+        """Return the client of an address, and keep it as the one used last."""
+        client = self.clients.pop(address, None)
         if client is None:
             client = HttpClient(parse_address(address), 1)
-        self._clients[address] = client
-        if len(self._clients) > self._max_kept:
-            self._clients.popitem(last=False)[1].close()
+        self.clients[address] = client
+        if len(self.clients) > self._max_kept:
+            self.clients.popitem(last=False)[1].close()
         return client
 
     def send(
@@ -62,7 +63,7 @@
             raise ValueError("starts ride in heartbeat responses only")
         body = msgspec.json.encode(DirectCommands(int(token), incarnation, list(commands)))
         try:
-            client = self._client(address)
+            client = self.client_for(address)
             reply = client.request("POST", "/orders", body, DEADLINE_S)
         except (UnreachableError, ValueError) as error:
             raise WorkerUnavailableError(str(error)) from None
@@ -75,6 +76,6 @@
 
     def forget(self, address: str) -> None:
         """Close the connection to an address whose machine is gone."""
-        client = self._clients.pop(address, None)
+        client = self.clients.pop(address, None)
         if client is not None:
             client.close()
--- a/src/ryewing/leader/final_states.py
+++ b/src/ryewing/leader/final_states.py
@@ -39,11 +39,11 @@
         self._status = status
         self._final_states = final_states
 
-    def on_applied(self, revision: Revision) -> None:
+    def on_applied(self, revision: Revision) -> None:  # noqa: ARG002  as `Write` has it
         """Forget the job, and pass its final state on."""
         self._final_states.finalise(self.job, self._status)
 
-    def on_conflict(self, key: str) -> None:
+    def on_conflict(self, key: str) -> None:  # noqa: ARG002  as `Write` has it
         """Find out what the store has instead."""
         self._final_states.read_back(self.job)
 
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -100,8 +100,7 @@
 
 
 def one_of_each_kind(machines: Sequence[Machine]) -> list[Machine]:
-    """Return one machine of each kind (type, zone and spot): what a job may use depends on these
-    only."""
+    """Return one machine of each type, zone and spot: all that decides which jobs may use it."""
     return list({machine.kind: machine for machine in machines}.values())
 
 
--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -26,7 +26,6 @@
 )
 
 log = logging.getLogger(__name__)
-"""The scheduler's logger: what its cycles decide and what comes of it is one story in the log."""
 
 ATTEMPTS_LEFT = 1 << 20
 """A term ends when it has no more attempts than this to give out: far more than a cycle plans."""
--- a/src/ryewing/leader/write.py
+++ b/src/ryewing/leader/write.py
@@ -60,7 +60,7 @@
         super().__init__(key, [Remove(key)], {})
         self._wanted = wanted
 
-    def on_applied(self, revision: Revision) -> None:
+    def on_applied(self, revision: Revision) -> None:  # noqa: ARG002  as `Write` has it
         """Take the key out of the wanted removals."""
         self._wanted.pop(self.key, None)
 
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -206,8 +206,7 @@
         leader.stop()
 
     def is_abstaining(self) -> bool:
-        """Return whether this node resigned for a fault of its own, and still leaves the lease to
-        the others."""
+        """Return whether this node resigned for its own fault and leaves the lease to others."""
         return self.leader is None and monotonic_now() < self._abstain_until
 
     # -- who leads --------------------------------------------------------------------------
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -223,8 +223,7 @@
         return dict.fromkeys(name for name in names if name is not None)
 
     def remember_shard(self, job: JobId, shard: ShardName) -> None:
-        """Remember to which shard a job belongs, so that only its leader is asked; this never
-        changes."""
+        """Remember a job's shard, which never changes, so that only its leader is asked."""
         self._job_shards[job] = shard
         if len(self._job_shards) > JOB_SHARDS_KEPT:
             self._job_shards.popitem(last=False)
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -27,7 +27,7 @@
 
 
 class ControllerHealth:
-    """This controller's key; used by the coordinator's greenlet alone."""
+    """The health key of this controller; used by the coordinator's greenlet alone."""
 
     def __init__(self, store: Store, node: NodeName, boot_id: str, lease_s: float) -> None:
         self._store = store
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -197,8 +197,8 @@
     sockets = 1800
     workers = Workers(sockets)
     for n in range(sockets):
-        workers._client(f"10.0.{n // 250}.{n % 250 + 1}:9000")
-    kept = len(workers._clients)
+        workers.client_for(f"10.0.{n // 250}.{n % 250 + 1}:9000")
+    kept = len(workers.clients)
     store = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
     others = int(PEER_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
     assert int(API_SHARE * sockets) >= 1.2 * 1100
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -120,7 +120,7 @@
     rates = {
         "writes": (leader.writer.bucket.rate, 0.65 * params.state.write_rps),
         "cloud": (autoscaler.rentals.cloud.bucket.rate, 0.8 * params.cloud.rps),
-        "list": (leader.autoscaler.inventory.listing._bucket.rate, LIST_SHARE * params.cloud.rps),
+        "list": (leader.autoscaler.inventory.listing.bucket.rate, LIST_SHARE * params.cloud.rps),
         "early heartbeats": (
             leader.early_heartbeats.bucket.rate,
             60.0 * params.resources.core_share,
