--- a/src/ryewing/api/job_queries.py
+++ b/src/ryewing/api/job_queries.py
@@ -28,10 +28,8 @@
     read_record,
 )
 from ryewing.units import JobId, ShardName
-from ryewing.wire.jobs import JobStatus
+from ryewing.wire.jobs import QUEUED, JobStatus
 
-QUEUED = "queued"
-"""The status of a job of which it is only known that it was accepted."""
 T = TypeVar("T")
 
 
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -7,7 +7,7 @@
 import gevent
 
 from ryewing.api.controller import Controller
-from ryewing.api.job_queries import QUEUED, JobQueries
+from ryewing.api.job_queries import JobQueries
 from ryewing.api.responses import (
     CHANGED_MEANWHILE,
     STORE_UNREACHABLE,
@@ -39,7 +39,7 @@
 )
 from ryewing.wire.cloud import MachineType
 from ryewing.wire.codec import MalformedError, read_object
-from ryewing.wire.jobs import JobSpec, JobStatus, read_job_spec
+from ryewing.wire.jobs import QUEUED, JobSpec, JobStatus, read_job_spec
 
 log = logging.getLogger(__name__)
 
--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -17,7 +17,7 @@
 from ryewing.config.settings import parse_address
 from ryewing.units import FencingToken
 from ryewing.wire.codec import MalformedError
-from ryewing.wire.workers import Command, DirectCommands, Heartbeat, read_heartbeat
+from ryewing.wire.workers import START, Command, DirectCommands, Heartbeat, read_heartbeat
 
 DEADLINE_S = 2.0
 """The deadline of a direct message."""
@@ -59,7 +59,7 @@
         An empty list is the handshake: a worker that accepts it refuses commands of older terms
         from then on. Raise WorkerUnavailableError without a readable heartbeat.
         """
-        if any(command.verb == "start" for command in commands):
+        if any(command.verb == START for command in commands):
             raise ValueError("starts ride in heartbeat responses only")
         body = msgspec.json.encode(DirectCommands(int(token), incarnation, list(commands)))
         try:
--- a/src/ryewing/leader/commands.py
+++ b/src/ryewing/leader/commands.py
@@ -9,7 +9,7 @@
 from ryewing.leader.term_context import TermContext
 from ryewing.state.machine import Machine
 from ryewing.units import MonotonicTime
-from ryewing.wire.workers import Command
+from ryewing.wire.workers import CLEAR, Command
 
 MAX_COMMANDS = 500
 """The most commands in one message: keeps its line within 64 KiB."""
@@ -23,7 +23,7 @@
             job = term.job_table.get(ended.task.job)
             if job is not None and ended.task.number in job.unwritten:
                 continue
-        commands.append(Command("clear", str(ended.task), int(ended.attempt)))
+        commands.append(Command(CLEAR, str(ended.task), int(ended.attempt)))
     return commands
 
 
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -24,7 +24,7 @@
     monotonic_now,
     term_of_token,
 )
-from ryewing.wire.workers import Command, Heartbeat, HeartbeatResponse
+from ryewing.wire.workers import START, Command, Heartbeat, HeartbeatResponse
 
 log = logging.getLogger(__name__)
 
@@ -135,5 +135,5 @@
                 continue
             assignment.phase = TaskPhase.SENT
             assignment.sent_after = version
-            commands.append(Command("start", str(assignment.task), int(assignment.attempt)))
+            commands.append(Command(START, str(assignment.task), int(assignment.attempt)))
         return commands
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -13,7 +13,7 @@
 
 from ryewing.state.job_records import TASKS_PER_CHUNK, FinalState, JobRecord
 from ryewing.units import JobId, KeyVersion, MachineId, MonotonicTime, WallTime, Zone
-from ryewing.wire.jobs import GANG, PRIORITIES, SERVICE, JobSpec, JobStatus
+from ryewing.wire.jobs import GANG, PRIORITIES, QUEUED, RUNNING, SERVICE, JobSpec, JobStatus
 
 
 class Job:
@@ -262,5 +262,5 @@
         """Return what a user is told of a live job. `done` is told by the final record only."""
         if self.cancelled:
             return JobStatus(self.id, FinalState.CANCELLED)
-        state = "running" if self.running else "queued"
+        state = RUNNING if self.running else QUEUED
         return JobStatus(self.id, state, self.done_count, self.running)
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 
 from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
-from ryewing.wire.workers import Command
+from ryewing.wire.workers import HALT, Command
 
 RESEND_S = 1.0
 """How long after it was last sent a stop is sent again."""
@@ -48,7 +48,7 @@
 
     def command(self) -> Command:
         """Return the command to the worker that carries this stop."""
-        return Command("halt", str(self.task), int(self.attempt), self.grace_s)
+        return Command(HALT, str(self.task), int(self.attempt), self.grace_s)
 
 
 class PendingTerminations:
--- a/src/ryewing/wire/jobs.py
+++ b/src/ryewing/wire/jobs.py
@@ -94,6 +94,10 @@
     """When the job should be complete, counted from its submission; None: no deadline."""
 
 
+QUEUED, RUNNING = "queued", "running"
+"""The states of a live job; `ryewing.state.job_records.FinalState` has the final ones."""
+
+
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "ref"}):
     """What a user is told about a job."""
 
--- a/src/ryewing/wire/workers.py
+++ b/src/ryewing/wire/workers.py
@@ -10,6 +10,9 @@
 
 from ryewing.wire.codec import UNREADABLE, MalformedError
 
+START, HALT, CLEAR = "start", "halt", "clear"
+"""The verbs of commands: run a task attempt, stop it, forget its result."""
+
 
 class ReportedTask(msgspec.Struct, rename={"task_id": "piece", "attempt": "try"}):
     """One task attempt as its worker sees it."""
