--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -54,11 +54,11 @@
 
     def apply(self, plan: Plan, now: MonotonicTime) -> None:
         """Assign the tasks that a cycle has placed, and stop those that it has to stop."""
-        self._log_reservation(plan.reserved)
+        self._log_reservation(plan.reservation)
         for batch in plan.batches:
             self._assign_tasks(batch, now)
         self._request_early_heartbeats(plan.batches, now)
-        for assignment in plan.stops:
+        for assignment in plan.preemptions:
             self._stop(assignment, TerminationReason.PREEMPTED, now)
         for assignment in plan.moves:
             self._stop(assignment, TerminationReason.MOVED, now)
@@ -74,10 +74,10 @@
     def _assign_tasks(self, batch: Batch, now: MonotonicTime) -> None:
         """Assign a batch's tasks to their machines, each with a new attempt."""
         job = batch.job
-        task_numbers = job.take(sum(part.tasks for part in batch.parts))
+        task_numbers = job.take(sum(part.task_count for part in batch.parts))
         gang_attempt = self._gang_attempt(job) if job.is_gang else None
         cold = sum(
-            part.tasks for part in batch.parts if part.machine.warmth(job.spec.image) != WARM
+            part.task_count for part in batch.parts if part.machine.warmth(job.spec.image) != WARM
         )
         first = 0
         for machine, count in batch.parts:
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -122,7 +122,7 @@
         self._drop_stale_plans(now)
         unreconciled = list(self.term.cluster.unreconciled())
         if self._has_guarantees:
-            preemption.mark_guarantees(self.term.job_table, self.term.teams)
+            preemption.mark_guaranteed_jobs(self.term.job_table, self.term.teams)
         jobs = self._placeable_jobs(unreconciled, now)
         moving = self._replica_moves.choose(now)
         gpus_kept = self._gpu_demand.note(jobs, now)
--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -47,7 +47,7 @@
 
     def note_spec(self, job: Job) -> None:
         """Remember what a waiting job's tasks take: others leave room for such tasks."""
-        self._gpu_reserve = self._gpu_reserve.widened(job)
+        self._gpu_reserve = self._gpu_reserve.including(job)
         job_class = job.spec.job_class
         if not job.is_service and (
             job_class in self._recent_specs or len(self._recent_specs) < RECENT_CLASSES_MAX
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -112,14 +112,14 @@
         """Let a job that waits for warm machines fetch where room would otherwise be idle."""
         state = self._state
         placed = state.plan.parts_of(job)
-        still_wanted = job.shortfall - sum(part.tasks for part in placed)
+        still_wanted = job.shortfall - sum(part.task_count for part in placed)
         left = self._snapshot.quota.headroom(job.spec, still_wanted)
         if left <= 0:
             return
         candidates = state.candidates(job)
         limits = state.begin(job)
         for part in placed:
-            limits.tasks_by_zone[part.machine.zone] += part.tasks
+            limits.tasks_by_zone[part.machine.zone] += part.task_count
         # The estimate was that warm machines serve it within a fetch. Where they did not, since
         # other jobs came first on them, it is not held to that: found on a day with a zone cut off.
         waited_s = state.now - (job.waiting_since if job.waiting_since is not None else state.now)
@@ -144,7 +144,7 @@
 
     def _usable(self, job: Job, candidates: Candidates) -> Candidates:
         """Leave out machines whose reservation the job would delay, and machines it avoids."""
-        reservation = self._state.plan.reserved
+        reservation = self._state.plan.reservation
         if reservation is not None and delays_reservation(job, reservation.wait_s):
             candidates = candidates.unreserved()
         if job.failed_on:
--- a/src/ryewing/scheduling/gpu_reserve.py
+++ b/src/ryewing/scheduling/gpu_reserve.py
@@ -29,7 +29,7 @@
     priority: int = len(PRIORITIES)
     """The highest priority (smallest number) of those tasks; jobs of a higher one leave nothing."""
 
-    def widened(self, job: Job) -> GpuReserve:
+    def including(self, job: Job) -> GpuReserve:
         """Return the reserve that also covers a task of this job."""
         spec = job.spec
         if spec.gpus <= 0:
--- a/src/ryewing/scheduling/plan.py
+++ b/src/ryewing/scheduling/plan.py
@@ -12,7 +12,7 @@
     """How many tasks of a batch go to one machine."""
 
     machine: Machine
-    tasks: int
+    task_count: int
 
 
 class Batch:
@@ -29,7 +29,7 @@
     """A job, and how many of its tasks have no room, not even room to be released."""
 
     job: Job
-    tasks: int
+    task_count: int
 
 
 class Reservation(NamedTuple):
@@ -49,11 +49,11 @@
         """Replicas to stop, since there is room for them elsewhere."""
         self.batches: list[Batch] = []
         """Tasks to start."""
-        self.stops: list[Assignment] = []
+        self.preemptions: list[Assignment] = []
         """Tasks to preempt for more important ones."""
         self.unplaced: list[Unplaced] = []
         """Tasks for which machines should be rented."""
-        self.reserved: Reservation | None = None
+        self.reservation: Reservation | None = None
         """The reservation, if an overdue gang found no room; one gang at a time."""
         self.machines_examined = 0
         """How many machines were looked at one by one: the cost of the cycle."""
--- a/src/ryewing/scheduling/preemption.py
+++ b/src/ryewing/scheduling/preemption.py
@@ -35,7 +35,7 @@
     return VictimKey(job.priority, job.spec.team if job.guaranteed else None, job.is_service)
 
 
-def mark_guarantees(jobs: Iterable[Job], teams: dict[str, Team]) -> None:
+def mark_guaranteed_jobs(jobs: Iterable[Job], teams: dict[str, Team]) -> None:
     """Mark the jobs that, together with their team's earlier ones, fit into its guarantee.
 
     Each job is judged once, in the first cycle that sees it. Judged again and again, the oldest
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -33,7 +33,9 @@
     for capacity in best:
         capacity.reserved_for_s = best_wait_s
     if best:
-        state.plan.reserved = Reservation(job, [capacity.machine for capacity in best], best_wait_s)
+        state.plan.reservation = Reservation(
+            job, [capacity.machine for capacity in best], best_wait_s
+        )
 
 
 def _soonest(
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -89,7 +89,7 @@
     def _stop(self, job: Job, stop: _Stop) -> None:
         for assignment in stop.victims:
             stop.capacity.stop(assignment)
-            self._state.plan.stops.append(assignment)
+            self._state.plan.preemptions.append(assignment)
         if stop.victims:
             self._state.note_stopping(stop.capacity)
         self._state.claim(job, [Choice(stop.capacity, stop.tasks)])
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -242,8 +242,8 @@
         [gang],
         [gang],
     )
-    assert plan.reserved is None
-    assert not plan.stops
+    assert plan.reservation is None
+    assert not plan.preemptions
 
 
 def test_a_service_that_waited_long_begins_whole() -> None:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -111,7 +111,7 @@
     plan = fleet.plan(gang)
     assert not plan.unplaced
     if full:
-        assert len({assignment.machine.id for assignment in plan.stops}) == ordinary
+        assert len({assignment.machine.id for assignment in plan.preemptions}) == ordinary
     else:
         assert sum(n for batch in plan.batches for _machine, n in batch.parts) == ordinary
     assert plan.machines_examined <= 2 * ordinary
@@ -140,7 +140,9 @@
     )
     plan = fleet.plan(gang)
     assert not plan.unplaced
-    assert {assignment.machine.id for assignment in plan.stops} == {m.id for m in ordinary[1::2]}
+    assert {assignment.machine.id for assignment in plan.preemptions} == {
+        m.id for m in ordinary[1::2]
+    }
 
 
 @pytest.mark.parametrize("size", SIZES)
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -95,7 +95,7 @@
             ordered,
             queueing.overdue(ordered, now),
         )
-        stopped: list[Assignment] = plan.stops
+        stopped: list[Assignment] = plan.preemptions
         for assignment in stopped:
             self.cluster.drop(assignment, MonotonicTime(self.now))
         for batch in plan.batches:
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -109,7 +109,7 @@
     plan = world.plan(urgent)
     assert spread_of(plan) == {}
     assert not plan.unplaced
-    assert {assignment.machine.id for assignment in plan.stops} == {"i-2"}
+    assert {assignment.machine.id for assignment in plan.preemptions} == {"i-2"}
 
 
 def test_both_steps_of_urgent_work_keep_to_one_zone() -> None:
@@ -136,7 +136,7 @@
     ]
     plan = world.plan(*jobs)
     assert not plan.unplaced
-    assert len(plan.stops) == 90
+    assert len(plan.preemptions) == 90
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
     plan = world.plan(
         world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
     )
-    assert len(plan.stops) == 8  # two for the first job, the rest for the second
+    assert len(plan.preemptions) == 8  # two for the first job, the rest for the second
     assert [(one.id, n) for one, n in plan.unplaced] == [("run-2", 2)]
 
 
@@ -265,7 +265,7 @@
     urgent = world.job("run-2", priority="urgent", task_count=1)
     after = world.job("run-3", task_count=1, cpus=8.0)
     plan = world.plan(before, urgent, after)
-    assert len(plan.stops) == 1
+    assert len(plan.preemptions) == 1
     assert [one for one, _count in plan.unplaced] == [before]
 
 
@@ -389,9 +389,9 @@
         job("run-4", at=3.0, gpus=0.0, task_count=1),
         job("run-5", at=9.0, gpus=1.0, task_count=4, team="blue"),
     ]
-    preemption.mark_guarantees(jobs, TEAMS)
+    preemption.mark_guaranteed_jobs(jobs, TEAMS)
     assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
     for index in range(3):
         jobs[0].finish(index)
-    preemption.mark_guarantees(jobs, TEAMS)  # judged once, when a job comes
+    preemption.mark_guaranteed_jobs(jobs, TEAMS)  # judged once, when a job comes
     assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -29,7 +29,7 @@
     world.machine("i-2")  # ten seconds for the image
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert not found.batches
-    assert len(found.stops) == 1
+    assert len(found.preemptions) == 1
     quick = World()
     quick.machine("i-1").record_image("img-1", 2.0)
     assert spread_of(quick.plan(quick.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
@@ -44,7 +44,7 @@
     world.put(saves, warm, 4)
     world.put(world.job("run-9", task_count=4, image="img-9"), warm, 4)
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
-    assert [assignment.task.job for assignment in found.stops] == ["run-9"]
+    assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
     only = World()
     slow = only.machine("i-1")
     slow.record_image("img-1", 2.0)
@@ -74,7 +74,7 @@
     tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SHORT_WAIT_S - 0.5)}, task_count=1)
     found = world.plan(tiny)
     assert spread_of(found) == {"i-2": 1}
-    assert not found.stops
+    assert not found.preemptions
 
 
 def test_cold_replicas_go_to_machines_of_their_own() -> None:
@@ -165,18 +165,18 @@
     world.put(service, machine, 1)
     world.put(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
     found = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
-    assert [assignment.task.job for assignment in found.stops] == ["run-9"]
+    assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
     better = World()
     there = better.machine("i-1")
     lowest = better.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
     better.put(lowest, there, 1)
     better.put(better.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
     found = better.plan(better.job("run-1", priority="production", cpus=16.0, task_count=1))
-    assert [assignment.task.job for assignment in found.stops] == [
+    assert [assignment.task.job for assignment in found.preemptions] == [
         "run-9"
     ]  # though it is of a higher priority
     both = world.plan(world.job("run-2", priority=priority, cpus=32.0, task_count=1))
-    assert {assignment.task.job for assignment in both.stops} == {"run-8", "run-9"}
+    assert {assignment.task.job for assignment in both.preemptions} == {"run-8", "run-9"}
 
 
 def test_less_important_work_stops_no_replica_of_a_higher_priority() -> None:
@@ -186,7 +186,7 @@
     world.put(service, machine, 1)
     guaranteed = world.job("run-1", team="blue", priority="urgent", cpus=32.0)
     guaranteed.guaranteed = True
-    assert not world.plan(guaranteed).stops
+    assert not world.plan(guaranteed).preemptions
 
 
 # -- moves --------------------------------------------------------------------------------------
@@ -234,7 +234,7 @@
             world.put(world.job("run-9", task_count=8, image="img-9"), there, 8)
     found = world.plan(moving=[assignment])
     assert (found.moves == [assignment]) is moved
-    assert len(found.stops) == stops
+    assert len(found.preemptions) == stops
     assert not found.batches
 
 
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -76,7 +76,7 @@
     ) -> scheduling.Plan:
         gpu_reserve = NO_RESERVE
         for one in self.job_table:
-            gpu_reserve = gpu_reserve.widened(one)
+            gpu_reserve = gpu_reserve.including(one)
         quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
         capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
         snapshot = scheduling.SchedulingSnapshot(
