--- a/src/ryewing/autoscaling/unhealthy.py
+++ b/src/ryewing/autoscaling/unhealthy.py
@@ -64,7 +64,7 @@
     releases += [
         Release(machine, ReleaseReason.SILENT)
         for machine in silent
-        if few or machine.may_hold_until is None
+        if few or machine.lease_expires_by is None
     ]
     if few and len(unacknowledging) <= most:
         # Their heartbeats arrive, our responses don't: they can't be used, but are paid for.
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -160,7 +160,7 @@
         if not machine.being_released
         and not machine.assignments
         and not machine.quarantined
-        and not machine.usable()
+        and not machine.is_schedulable()
         and machine.unacknowledged_since is None
         and not machine.cordoned
         and machine.notice_s is None
--- a/src/ryewing/leader/backlog.py
+++ b/src/ryewing/leader/backlog.py
@@ -13,7 +13,7 @@
 
     Services aside: they have no end.
     """
-    cpus = sum(machine.machine_type.cpus for machine in machines if machine.usable())
+    cpus = sum(machine.machine_type.cpus for machine in machines if machine.is_schedulable())
     work = sum(
         count * job.spec.cpus * job.estimate_s()
         for job, count in unplaced
@@ -27,7 +27,7 @@
 
     Of processors and GPUs, the larger share.
     """
-    usable = [machine for machine in machines if machine.usable()]
+    usable = [machine for machine in machines if machine.is_schedulable()]
     cpus = sum(count * job.spec.cpus for job, count in unplaced)
     gpus = sum(count * job.spec.gpus for job, count in unplaced)
     return max(
--- a/src/ryewing/leader/cloud_inventory.py
+++ b/src/ryewing/leader/cloud_inventory.py
@@ -58,7 +58,7 @@
                 machine = self._add_listed(listed, now)
             if listed.address and not machine.address:
                 machine.address = listed.address
-                if machine.recorded and not machine.handshaken:
+                if machine.recorded and not machine.acknowledged_term:
                     self._direct_messages.schedule(machine)
             if listed.status == FAILED_STATUS:
                 failed.append(Release(machine, ReleaseReason.FAILED))
--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -148,8 +148,8 @@
         """
         late = PROBE_AFTER * self._term.settings.params.workers.report_s
         for machine in list(self._term.cluster.machines.values()):
-            if machine.may_hold_until is None:
+            if machine.lease_expires_by is None:
                 continue
             since = machine.heard_at if machine.heard_at is not None else self._term.began_at
-            if not machine.handshaken or now - since > late:
+            if not machine.acknowledged_term or now - since > late:
                 self.schedule(machine)
--- a/src/ryewing/leader/heartbeat_effects.py
+++ b/src/ryewing/leader/heartbeat_effects.py
@@ -46,7 +46,7 @@
                 self._terminator.terminate(assignment, 0.0, TerminationReason.UNWANTED, now)
             elif machine.notice_s is not None:
                 self._terminator.evict(assignment, machine, now)
-        if len(machine.faults) >= QUARANTINE_FAULTS and not machine.quarantined:
+        if len(machine.failed_jobs) >= QUARANTINE_FAULTS and not machine.quarantined:
             self._quarantine(machine, now)
 
     def _quarantine(self, machine: Machine, now: MonotonicTime) -> None:
@@ -56,7 +56,10 @@
         healthy machines on which two of those jobs had failed.
         """
         if (
-            sum(self._term.cluster.failure_detector.is_healthy(job, now) for job in machine.faults)
+            sum(
+                self._term.cluster.failure_detector.is_healthy(job, now)
+                for job in machine.failed_jobs
+            )
             < QUARANTINE_FAULTS
         ):
             return
@@ -65,4 +68,4 @@
         if quarantined >= max(1, len(machines) // QUARANTINE_FLEET_DIVISOR):
             return
         machine.quarantined = True
-        log.info("event=quarantined machine=%s jobs=%s", machine.id, ",".join(machine.faults))
+        log.info("event=quarantined machine=%s jobs=%s", machine.id, ",".join(machine.failed_jobs))
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -132,7 +132,7 @@
             machine.address = record.address
             if record.heard:
                 machine.recorded = True
-                machine.may_hold_until = MonotonicTime(now + may_hold_s)
+                machine.lease_expires_by = MonotonicTime(now + may_hold_s)
         self._writer.machine_records.wanted.update(MachineId(name) for name in found_twice)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -70,7 +70,9 @@
         capacities = [
             MachineCapacity(machine, self._tasks_being_stopped(machine))
             for machine in cluster.machines.values()
-            if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh_since
+            if machine.is_schedulable()
+            and machine.heard_at is not None
+            and machine.heard_at > fresh_since
         ]
         quota = TeamQuota(
             self._term.team_limits.teams(),
@@ -103,12 +105,12 @@
         gpus, cpus = Supply(), Supply()
         cpus_per_gpu = max(self._gpu_reserve.cpus, MIN_CPUS_PER_GPU)
         for machine in self._term.cluster.machines.values():
-            if machine.usable():
-                free_gpus = min(machine.gpus, max(0.0, machine.cpus) // cpus_per_gpu)
-                gpus.total += machine.machine_type.gpus - machine.gpus + free_gpus
+            if machine.is_schedulable():
+                free_gpus = min(machine.free_gpus, max(0.0, machine.free_cpus) // cpus_per_gpu)
+                gpus.total += machine.machine_type.gpus - machine.free_gpus + free_gpus
                 gpus.free += free_gpus
                 cpus.total += machine.machine_type.cpus
-                cpus.free += machine.cpus
+                cpus.free += machine.free_cpus
         return Supplies(gpus, cpus)
 
     def _tasks_being_stopped(self, machine: Machine) -> frozenset[Assignment]:
--- a/src/ryewing/leader/state_log.py
+++ b/src/ryewing/leader/state_log.py
@@ -85,10 +85,10 @@
             if counts is None:
                 counts = kinds[kind] = _MachineCounts()
             counts.machines += 1
-            if machine.usable():
+            if machine.is_schedulable():
                 counts.usable += 1
-                counts.cpus_free += machine.cpus
-                counts.gpus_free += machine.gpus
+                counts.cpus_free += machine.free_cpus
+                counts.gpus_free += machine.free_gpus
         return kinds
 
     def _gpus(self) -> dict[str, float]:
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -117,7 +117,7 @@
             new = self.machine_types.get(machine.machine_type.name)
             if new is not None:
                 old = machine.machine_type
-                machine.cpus += new.cpus - old.cpus
-                machine.gpus += new.gpus - old.gpus
-                machine.memory_gb += new.memory_gb - old.memory_gb
+                machine.free_cpus += new.cpus - old.cpus
+                machine.free_gpus += new.gpus - old.gpus
+                machine.free_memory_gb += new.memory_gb - old.memory_gb
                 machine.machine_type = new
--- a/src/ryewing/leader/terminations.py
+++ b/src/ryewing/leader/terminations.py
@@ -56,7 +56,7 @@
         job = assignment.job
         if job is None or assignment.phase == TaskPhase.SAVING or job.is_service:
             return
-        notice_left_s = (machine.notice_s or 0.0) - (now - machine.noticed_at)
+        notice_left_s = (machine.notice_s or 0.0) - (now - machine.notice_received_at)
         if assignment.phase == TaskPhase.RUNNING and assignment.running_since is not None:
             remaining_s = job.estimate_s() - (now - assignment.running_since)
             if remaining_s < FINISH_WITHIN * notice_left_s:
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -39,7 +39,7 @@
         """
         silent = known = 0
         for machine in self._cluster.machines.values():
-            if machine.heard_at is None or machine.may_hold_until is None:
+            if machine.heard_at is None or machine.lease_expires_by is None:
                 continue
             known += 1
             silent += now - max(machine.heard_at, self._running_since) > self._silent_after_s
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -226,7 +226,7 @@
         for capacity in fitting:
             if count >= left:
                 break
-            if not capacity.machine.faults and state.fetch_limit(job, capacity) == 0:
+            if not capacity.machine.failed_jobs and state.fetch_limit(job, capacity) == 0:
                 gpu_reserve = state.gpu_reserve_on(capacity)
                 count += capacity.count_fitting(spec, left - count, gpu_reserve=gpu_reserve)
         return count
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -16,7 +16,7 @@
 from ryewing.scheduling.plan import Batch, BatchPart, Plan
 from ryewing.scheduling.snapshot import SchedulingSnapshot
 from ryewing.state.jobs import Job
-from ryewing.state.machine import COLD, FETCHED_NOW, WARM, MachineKind
+from ryewing.state.machine import COLD, FETCHING, WARM, MachineKind
 from ryewing.units import MachineId, Zone
 from ryewing.wire.jobs import SERVICE, JobSpec
 
@@ -179,7 +179,7 @@
         """
         spec = job.spec
         machine = capacity.machine
-        if machine.faults:
+        if machine.failed_jobs:
             # It failed a task and has finished none since: one more is a probe, many a waste.
             return 0 if machine.assignments or capacity.images_placed else 1
         warmth = machine.warmth(spec.image)
@@ -187,7 +187,7 @@
             return spec.task_count
         if fetch_s(spec, machine.machine_type.fetch_gb_per_s) <= LONG_FETCH_S:
             return spec.task_count
-        if warmth == FETCHED_NOW:
+        if warmth == FETCHING:
             return spec.task_count if self.all_had_turn else 0
         if self.snapshot.fetches_share and capacity.fetches_other(spec.image):
             return 0  # two at a time take as long as one after the other, and both wait
--- a/src/ryewing/scheduling/machine_capacity.py
+++ b/src/ryewing/scheduling/machine_capacity.py
@@ -55,9 +55,9 @@
         self.machine = machine
         self.position = 0
         """The machine's place in the order in which the cycle lists machines."""
-        self.cpus = machine.cpus
-        self.gpus = machine.gpus
-        self.memory_gb = machine.memory_gb
+        self.cpus = machine.free_cpus
+        self.gpus = machine.free_gpus
+        self.memory_gb = machine.free_memory_gb
         self.reserved_for_s: float | None = None
         """If the machine is reserved for a gang: the seconds until the gang could begin at the
         earliest."""
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -114,7 +114,7 @@
         return [
             capacity
             for capacity in self._state.candidates(job).capacities
-            if not capacity.machine.faults
+            if not capacity.machine.failed_jobs
             and self._state.may_use(job, capacity)
             and self._state.is_warm_enough(job.spec, capacity)
             and (must_move or gpu_cost(job.spec, capacity.machine) <= present_cost)
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -114,7 +114,7 @@
         spec, machine = job.spec, capacity.machine
         cold = machine.warmth(spec.image) == COLD
         return (
-            bool(machine.faults),
+            bool(machine.failed_jobs),
             capacity.displaced_share(spec, self._state.snapshot.recent_specs),
             round(self._state.start_s(spec, capacity)),
             gpu_cost(spec, machine),
@@ -140,7 +140,7 @@
     return (
         # A job in backoff may go where it failed, but elsewhere its probe tells more.
         machine.id in job.failed_on,
-        machine.slow(),
+        machine.is_straggler(),
         capacity.fetch_order(spec, True) if job.lacks_members else 0,
         stranded_gpus(spec, machine),
         capacity.fetch_order(spec, job.is_gang),
--- a/src/ryewing/state/assignment_table.py
+++ b/src/ryewing/state/assignment_table.py
@@ -143,9 +143,9 @@
 
     def _take_resources(self, machine: Machine, spec: JobSpec) -> None:
         """Count what one task of a job takes of its machine and its team's limit."""
-        machine.cpus -= spec.cpus
-        machine.gpus -= spec.gpus
-        machine.memory_gb -= spec.memory_gb
+        machine.free_cpus -= spec.cpus
+        machine.free_gpus -= spec.gpus
+        machine.free_memory_gb -= spec.memory_gb
         machine.images_in_use[spec.image] += 1
         team = TeamName(spec.team)
         self.team_cpus[team] = self.team_cpus.get(team, 0.0) + spec.cpus
@@ -153,9 +153,9 @@
 
     def _give_back_resources(self, machine: Machine, spec: JobSpec) -> None:
         """Undo `_take_resources`."""
-        machine.cpus += spec.cpus
-        machine.gpus += spec.gpus
-        machine.memory_gb += spec.memory_gb
+        machine.free_cpus += spec.cpus
+        machine.free_gpus += spec.gpus
+        machine.free_memory_gb += spec.memory_gb
         machine.images_in_use[spec.image] -= 1
         team = TeamName(spec.team)
         self.team_cpus[team] -= spec.cpus
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -101,15 +101,15 @@
         To be called just before a 200 response, from which the worker's lease may run anew.
         """
         until = MonotonicTime(now + self._hold_s)
-        if machine.may_hold_until is None or until > machine.may_hold_until:
-            machine.may_hold_until = until
+        if machine.lease_expires_by is None or until > machine.lease_expires_by:
+            machine.lease_expires_by = until
 
     def expire(self, now: MonotonicTime) -> list[Machine]:
         """Drop all on machines whose lease has certainly ended; return those machines."""
         expired = []
         for machine in self.machines.values():
-            if machine.may_hold_until is not None and now >= machine.may_hold_until:
-                machine.may_hold_until = None
+            if machine.lease_expires_by is not None and now >= machine.lease_expires_by:
+                machine.lease_expires_by = None
                 machine.expired_incarnation = machine.version.incarnation
                 self.drop_all(machine, now)
                 expired.append(machine)
@@ -118,7 +118,11 @@
     def unreconciled(self) -> Iterator[Machine]:
         """Yield the machines that may hold tasks which this leader has not seen."""
         for machine in self.machines.values():
-            if machine.recorded and not machine.handshaken and machine.may_hold_until is not None:
+            if (
+                machine.recorded
+                and not machine.acknowledged_term
+                and machine.lease_expires_by is not None
+            ):
                 yield machine
 
     def restarted(self, machine: Machine, now: MonotonicTime) -> None:
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -14,7 +14,7 @@
 from ryewing.state.attempts import REFUSALS, EndCause, TaskPhase
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, Machine, ran_for_a_while
+from ryewing.state.machine import Assignment, Machine, is_stable
 from ryewing.units import JobId, MachineId, MonotonicTime
 
 log = logging.getLogger(__name__)
@@ -51,7 +51,7 @@
     """Decides what a failed task says of its job and its machine, and which jobs back off.
 
     What it has learned is kept with the jobs and machines (`Job.failed_on`, `Job.backoff_s`,
-    `Machine.faults`). Nothing here waits.
+    `Machine.failed_jobs`). Nothing here waits.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -84,7 +84,7 @@
         run well elsewhere.
         """
         machine = assignment.machine
-        ran_well = ran_for_a_while(assignment, now)
+        ran_well = is_stable(assignment, now)
         log.warning(
             "job=%s machine=%s event=replica-ended cause=%s ran_well=%s",
             job.id,
@@ -101,7 +101,7 @@
             self._probe_failed(job, assignment, now)
             return
         if cause == EndCause.ERROR:
-            machine.faults.add(job.id)
+            machine.failed_jobs.add(job.id)
         if self._fails_in_most_places(job, now) and not self.runs_well(job, now):
             self._back_off(job, now)
 
@@ -134,7 +134,7 @@
         if job.backoff_s:
             self._probe_failed(job, assignment, now)
             return
-        machine.faults.add(job.id)
+        machine.failed_jobs.add(job.id)
         if job.done_count or len(job.failed_on) < FAILING_MACHINES_MIN:
             return
         runs_elsewhere = {
@@ -205,7 +205,7 @@
         return [
             assignment
             for assignment in self._cluster.assignments_of(job)
-            if assignment.phase == TaskPhase.RUNNING and ran_for_a_while(assignment, now)
+            if assignment.phase == TaskPhase.RUNNING and is_stable(assignment, now)
         ]
 
     def is_healthy(self, job_id: JobId, now: MonotonicTime) -> bool:
@@ -224,4 +224,4 @@
         for machine_id in job.failed_on:
             machine = self._cluster.machines.get(machine_id)
             if machine is not None:
-                machine.faults.discard(job.id)
+                machine.failed_jobs.discard(job.id)
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -59,8 +59,10 @@
         """
         if term_of_token(heartbeat.token) == self._term:
             # The highest token that the worker has seen: true in whatever order messages arrive.
-            machine.acknowledged = max(machine.acknowledged, bumps_of_token(heartbeat.token))
-            machine.token_bumps = max(machine.token_bumps, machine.acknowledged)
+            machine.acknowledged_bump = max(
+                machine.acknowledged_bump, bumps_of_token(heartbeat.token)
+            )
+            machine.token_bumps = max(machine.token_bumps, machine.acknowledged_bump)
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         if version <= machine.version or heartbeat.incarnation <= machine.expired_incarnation:
             return False
@@ -71,7 +73,7 @@
         if heartbeat.address:
             machine.address = heartbeat.address
         if heartbeat.notice_s is not None and machine.notice_s is None:
-            machine.noticed_at = now
+            machine.notice_received_at = now
         machine.notice_s = heartbeat.notice_s
         self._apply_tasks(machine, heartbeat, now)
         if is_heartbeat:
@@ -92,8 +94,8 @@
         self._assignments.drop_all(machine, now)
         machine.version = NEVER_HEARD
         machine.expired_incarnation = 0
-        machine.acknowledged = -1
-        machine.required_acknowledgement = 0
+        machine.acknowledged_bump = -1
+        machine.required_bump = 0
 
     def _begin_incarnation(self, machine: Machine, now: MonotonicTime) -> None:
         """Drop all that was on a worker that began a new incarnation.
@@ -126,7 +128,7 @@
         """
         if machine.acknowledges and machine.token_bumps < MAX_TOKEN_BUMPS:
             machine.token_bumps += 1
-            machine.required_acknowledgement = machine.token_bumps
+            machine.required_bump = machine.token_bumps
             log.info("event=worker-suspected machine=%s reason=%s", machine.id, reason)
             self._assignments.drop_planned(machine, now)
 
@@ -230,12 +232,12 @@
         """Learn from a finished task whose start was observed how long the job's tasks run."""
         if assignment.running_since is not None and assignment.start_observed:
             took_s = now - assignment.running_since
-            assignment.machine.record_pace(job, took_s)
+            assignment.machine.record_relative_run_time(job, took_s)
             self._job_table.record_run_time(job, took_s)
 
     def _record_finish(self, machine: Machine, job: Job, number: int) -> None:
         """Record that a task is done; the machine and the job are at no fault then."""
-        machine.faults.clear()
+        machine.failed_jobs.clear()
         job.failed_on.pop(machine.id, None)
         if not job.cancelled:
             job.finish(number)
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -25,22 +25,22 @@
 from ryewing.wire.jobs import JobSpec
 from ryewing.wire.workers import ReportedTask
 
-RAN_FOR_A_WHILE_S = 15.0
+MIN_STABLE_RUN_S = 15.0
 """A replica that ran for this long did not fail at its start."""
 
 # Plain integers and no enum: scheduling compares and adds them for each machine that it examines.
 WARM = 0
 """A value of `Machine.warmth`: the image is probably on the machine."""
-FETCHED_NOW = 1
+FETCHING = 1
 """A value of `Machine.warmth`: the image is being fetched for another task."""
 COLD = 2
 """A value of `Machine.warmth`: the image has to be fetched."""
 
-PACE_WEIGHT = 0.2
+RELATIVE_RUN_TIME_WEIGHT = 0.2
 """The weight of one finished task in the moving average of its machine's pace."""
-MAX_PACE = 3.0
+MAX_RELATIVE_RUN_TIME = 3.0
 """The upper bound of what one task may contribute to that average."""
-SLOW_PACE = 1.4
+STRAGGLER_RELATIVE_RUN_TIME = 1.4
 """The pace above which a machine is slow: its tasks take this many times as long as elsewhere."""
 MEASURABLE_FETCH_S = 5.0
 """The expected duration from which on a fetch is measured: its end shows in a heartbeat, which is
@@ -88,7 +88,7 @@
         as after a failover."""
 
 
-def ran_for_a_while(assignment: Assignment, now: MonotonicTime) -> bool:
+def is_stable(assignment: Assignment, now: MonotonicTime) -> bool:
     """Return whether a task ran long enough not to have failed at its start.
 
     A replica that was found running counts as such, since nothing else is known of it.
@@ -98,7 +98,7 @@
     found_serving = (
         not assignment.start_observed and assignment.job is not None and assignment.job.is_service
     )
-    return found_serving or now - assignment.running_since >= RAN_FOR_A_WHILE_S
+    return found_serving or now - assignment.running_since >= MIN_STABLE_RUN_S
 
 
 class MachineKind(NamedTuple):
@@ -117,34 +117,34 @@
     """
 
     __slots__ = (
-        "acknowledged",
+        "acknowledged_bump",
         "address",
         "assignments",
         "being_released",
         "cordoned",
         "cordoned_since",
-        "cpus",
         "ended",
         "expired_incarnation",
-        "faults",
+        "failed_jobs",
         "fetches",
-        "gpus",
+        "free_cpus",
+        "free_gpus",
+        "free_memory_gb",
         "heard_at",
         "id",
         "idle_since",
         "images",
         "images_in_use",
         "last_reported",
+        "lease_expires_by",
         "machine_type",
-        "may_hold_until",
-        "memory_gb",
+        "notice_received_at",
         "notice_s",
-        "noticed_at",
-        "pace",
         "quarantined",
         "recorded",
+        "relative_run_time",
         "rented_at",
-        "required_acknowledgement",
+        "required_bump",
         "spot",
         "token_bumped_at",
         "token_bumps",
@@ -171,17 +171,17 @@
     """When that heartbeat was applied; None if there was none in this term."""
     expired_incarnation: int
     """The newest incarnation that has certainly ended: a heartbeat of it is an old copy."""
-    may_hold_until: MonotonicTime | None
+    lease_expires_by: MonotonicTime | None
     """Until when its lease may run; None if its worker was never answered, or its lease ended."""
     notice_s: float | None
     """Seconds until the cloud takes it back, as of its newest heartbeat; None without a notice."""
-    noticed_at: MonotonicTime
+    notice_received_at: MonotonicTime
     """When the notice was first seen."""
 
     # Whether the leader's messages reach its worker (safety argument 4 in docs/design.md).
-    acknowledged: int
+    acknowledged_bump: int
     """The highest bump of this term's token that it has shown; -1 if it has shown none."""
-    required_acknowledgement: int
+    required_bump: int
     """The token bump that it has to show before it gets work: nothing else proves that our
     responses reach it."""
     unacknowledged_since: MonotonicTime | None
@@ -199,19 +199,19 @@
     cordoned_since: MonotonicTime
     quarantined: bool
     """Whether it failed tasks of several healthy jobs, and takes no more."""
-    faults: set[JobId]
+    failed_jobs: set[JobId]
     """Jobs that failed here since a task last finished, and that may be healthy themselves."""
-    pace: float
+    relative_run_time: float
     """How long tasks take here, relative to tasks of the same jobs elsewhere."""
 
     # Its tasks.
     assignments: dict[TaskId, Assignment]
     idle_since: MonotonicTime
     """When the last assignment was dropped, or else when the leader first knew the machine."""
-    cpus: float
+    free_cpus: float
     """What its assignments leave free, planned ones included; so also `gpus` and `memory_gb`."""
-    gpus: float
-    memory_gb: float
+    free_gpus: float
+    free_memory_gb: float
     last_reported: dict[ReportedKey, ReportedTask]
     """Attempts as its newest heartbeat showed them: only changes cost work in the next one."""
     ended: dict[ReportedKey, EndedAttempt]
@@ -245,12 +245,12 @@
         self.version = NEVER_HEARD
         self.heard_at = None
         self.expired_incarnation = 0
-        self.may_hold_until = None
+        self.lease_expires_by = None
         self.notice_s = None
-        self.noticed_at = now
+        self.notice_received_at = now
 
-        self.acknowledged = -1
-        self.required_acknowledgement = 0
+        self.acknowledged_bump = -1
+        self.required_bump = 0
         self.unacknowledged_since = None
         self.token_bumps = 0
         self.token_bumped_at = None
@@ -259,14 +259,14 @@
         self.cordoned = False
         self.cordoned_since = now
         self.quarantined = False
-        self.faults = set()
-        self.pace = 1.0
+        self.failed_jobs = set()
+        self.relative_run_time = 1.0
 
         self.assignments = {}
         self.idle_since = now
-        self.cpus = machine_type.cpus
-        self.gpus = machine_type.gpus
-        self.memory_gb = machine_type.memory_gb
+        self.free_cpus = machine_type.cpus
+        self.free_gpus = machine_type.gpus
+        self.free_memory_gb = machine_type.memory_gb
         self.last_reported = {}
         self.ended = {}
 
@@ -275,21 +275,21 @@
         self.fetches = {}
 
     @property
-    def handshaken(self) -> bool:
+    def acknowledged_term(self) -> bool:
         """Whether a message has shown this term's token: its worker refuses older starts since."""
-        return self.acknowledged >= 0
+        return self.acknowledged_bump >= 0
 
     @property
     def acknowledges(self) -> bool:
         """Whether its worker was seen to hear us since a message to it was last lost."""
-        return self.acknowledged >= self.required_acknowledgement
+        return self.acknowledged_bump >= self.required_bump
 
     @property
     def kind(self) -> MachineKind:
         """Type, zone and spot: what decides which jobs may use it."""
         return MachineKind(self.machine_type.name, self.zone, self.spot)
 
-    def usable(self) -> bool:
+    def is_schedulable(self) -> bool:
         """Return whether new tasks may be planned for it."""
         return (
             self.acknowledges
@@ -300,18 +300,18 @@
             and self.notice_s is None
         )
 
-    def record_pace(self, job: Job, took_s: float) -> None:
+    def record_relative_run_time(self, job: Job, took_s: float) -> None:
         """Compare the run time of a finished task with its job's earlier tasks, on any machine."""
         if job.run_seen_s:
-            ratio = min(MAX_PACE, took_s / job.run_seen_s)
-            self.pace += PACE_WEIGHT * (ratio - self.pace)
+            ratio = min(MAX_RELATIVE_RUN_TIME, took_s / job.run_seen_s)
+            self.relative_run_time += RELATIVE_RUN_TIME_WEIGHT * (ratio - self.relative_run_time)
 
-    def slow(self) -> bool:
+    def is_straggler(self) -> bool:
         """Return whether tasks take much longer here.
 
         Machine types and chance make a difference of a tenth or two.
         """
-        return self.pace > SLOW_PACE
+        return self.relative_run_time > STRAGGLER_RELATIVE_RUN_TIME
 
     def record_fetch(self, spec: JobSpec, fetching: bool, now: MonotonicTime) -> float | None:
         """Record that a task's image is being fetched, or (`fetching` is false) no longer is.
@@ -337,10 +337,10 @@
         self.fetches[image] = ImageFetch(now, not self.fetches)
 
     def warmth(self, image: str) -> int:
-        """Return `WARM`, `FETCHED_NOW` or `COLD`: the smaller, the sooner a task can start."""
+        """Return `WARM`, `FETCHING` or `COLD`: the smaller, the sooner a task can start."""
         if image in self.images:
             return WARM
-        return FETCHED_NOW if self.images_in_use[image] > 0 else COLD
+        return FETCHING if self.images_in_use[image] > 0 else COLD
 
     def present_images(self) -> set[str]:
         """Return the images that are probably here or being fetched: those not `COLD`."""
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -98,7 +98,7 @@
     harness.cloud.release = refused  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
         harness.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
-    assert machine.usable()
+    assert machine.is_schedulable()
 
 
 @pytest.mark.parametrize(
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -126,7 +126,7 @@
     assert requests <= MACHINES // RENT_MAX + 2
     # A value holds some fifty machines; one write each would take minutes of the write rate.
     assert writes <= MACHINES // 40
-    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
+    assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
     return found
 
 
@@ -175,7 +175,7 @@
         leader.maintenance.run_once()
         harness.place()
         given_up = leader.autoscaler.unhealthy_machines(harness.clock())
-        assert not any(machine.may_hold_until for machine, _reason in given_up)
+        assert not any(machine.lease_expires_by for machine, _reason in given_up)
         assert max(asked.values(), default=0) <= look + 1
     fleet.lease_over()
     requests = 0
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -51,8 +51,8 @@
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     guards: list[tuple[Callable[[], None], Callable[[], None]]] = [
         (
-            lambda: setattr(machine, "acknowledged", -1),
-            lambda: setattr(machine, "acknowledged", 0),
+            lambda: setattr(machine, "acknowledged_bump", -1),
+            lambda: setattr(machine, "acknowledged_bump", 0),
         ),
         (lambda: setattr(machine, "recorded", False), lambda: setattr(machine, "recorded", True)),
         (lambda: harness.later(3.1, renewed=False), lambda: harness.later(0.0)),
@@ -64,7 +64,7 @@
     for take_away, give_back in guards:
         take_away()
         heartbeat = worker.heartbeat()
-        heartbeat.token = 0 if not machine.handshaken else heartbeat.token
+        heartbeat.token = 0 if not machine.acknowledged_term else heartbeat.token
         answer = harness.leader.on_heartbeat(heartbeat)
         assert answer is not None
         assert not starts(answer.commands)
@@ -188,7 +188,7 @@
     assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)  # the handshake
-    assert machine.handshaken
+    assert machine.acknowledged_term
     assert worker.token == fencing_token(TermNumber(6))
     assert harness.leader.scheduler.check_reconciled()
     harness.leader.scheduler.run_cycle()
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -164,7 +164,7 @@
     assert leader.term.job_table.jobs[job].done_count == 2
     machine = leader.term.cluster.machines[MachineId("i-000001")]
     assert machine.recorded
-    assert machine.may_hold_until is not None
+    assert machine.lease_expires_by is not None
     harness.write()
     kept = as_production_reads(harness.store, "d/") | as_production_reads(harness.store, "m/")
     assert kept["run-1/0"] == ["gQA="] or kept["run-1/0"] == ["gQ=="]
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -21,7 +21,7 @@
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.job_records import final_key
-from ryewing.state.machine import RAN_FOR_A_WHILE_S
+from ryewing.state.machine import MIN_STABLE_RUN_S
 from ryewing.state.resources import infeasibility_reason
 from ryewing.units import MachineId, MonotonicTime, WallTime, Zone
 from ryewing.wire.workers import ReportedTask
@@ -56,7 +56,7 @@
     name = serve(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
     assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (one, other):
         if worker.tasks:
             worker.finish(cause)
@@ -84,7 +84,7 @@
     name = serve(harness, one, other, task_count=1)
     [at] = replicas(harness, name).values()
     here, there = (one, other) if at == one.name else (other, one)
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     here.finish("done")
     harness.exchange(here)
     harness.exchange(there)
@@ -127,7 +127,9 @@
         harness.later(1.0)
     assert service.backoff_s == 60.0
     assert begun < 60
-    assert not any(m.faults or m.quarantined for m in harness.leader.term.cluster.machines.values())
+    assert not any(
+        m.failed_jobs or m.quarantined for m in harness.leader.term.cluster.machines.values()
+    )
     harness.later(61.0)
     for worker in workers * 2:
         harness.exchange(worker)
@@ -138,7 +140,7 @@
     for _ in range(2):
         for worker in workers:
             harness.exchange(worker)
-        harness.later(RAN_FOR_A_WHILE_S)
+        harness.later(MIN_STABLE_RUN_S)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
@@ -152,7 +154,7 @@
     name = serve(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
     assert len(set(service.live.values())) == 6
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     for worker in workers:
         harness.exchange(worker)
     for bad in workers[:4]:
@@ -164,7 +166,7 @@
             harness.exchange(bad)
     assert not service.backoff_s
     cluster = harness.leader.term.cluster
-    assert cluster.machines[MachineId(workers[0].name)].faults
+    assert cluster.machines[MachineId(workers[0].name)].failed_jobs
 
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -61,7 +61,7 @@
             machine = self.cluster.add(
                 MachineId(f"i-{n:06d}"), machine_type, Zone("abc"[n % 3]), n % 5 == 0, T0
             )
-            machine.acknowledged, machine.recorded = 0, True
+            machine.acknowledged_bump, machine.recorded = 0, True
 
     def job(self, ref: str, **changes: Any) -> Job:
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
@@ -70,7 +70,7 @@
         """Fill every machine that has no cards with a job's tasks."""
         numbers = iter(range(one.spec.task_count))
         for machine in self.cluster.machines.values():
-            while not machine.machine_type.gpus and machine.cpus >= one.spec.cpus:
+            while not machine.machine_type.gpus and machine.free_cpus >= one.spec.cpus:
                 task = TaskId(one.id, next(numbers))
                 self.cluster.assign(machine, task, Attempt(1), TaskPhase.RUNNING, T0)
 
@@ -214,7 +214,7 @@
     before = harness.store.writes
     harness.ready(*workers)
     assert harness.store.writes - before <= size // 20 + 1
-    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
+    assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
     harness.new_leader(6)
     assert len(harness.leader.term.cluster.machines) == size
     assert all(m.recorded for m in harness.leader.term.cluster.machines.values())
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -52,7 +52,7 @@
     assert placed_in_rounds(harness, suspect, 12) == 1
     assert harness.assignments() == {}
     machine = harness.leader.term.cluster.machines[MachineId(suspect.name)]
-    assert not machine.usable()
+    assert not machine.is_schedulable()
     assert machine.unacknowledged_since is not None
     # It is neither room nor on its way to be room: something is rented in its place.
     harness.place()
@@ -125,13 +125,13 @@
     newest = worker.heartbeat()
     harness.leader.on_heartbeat(newest)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    heard_at, until = machine.heard_at, machine.may_hold_until
+    heard_at, until = machine.heard_at, machine.lease_expires_by
     assert heard_at is not None
     assert until is not None
     harness.later(age_s)
     if alive:
         harness.exchange(worker)
-        heard_at, until = machine.heard_at, machine.may_hold_until
+        heard_at, until = machine.heard_at, machine.lease_expires_by
     harness.leader.term.cluster.expire(harness.clock())
     gone = not alive and age_s > LEASE_S
     copy_of = copy.deepcopy(older if copies == "older" else newest)
@@ -141,11 +141,11 @@
     assert machine.heard_at == heard_at
     if not alive and age_s > 4.5:
         assert answer is None
-        assert machine.may_hold_until == (None if gone else until)
+        assert machine.lease_expires_by == (None if gone else until)
     assert sorted(harness.assignments().values()) == (
         [] if gone else [TaskPhase.RUNNING, TaskPhase.RUNNING]
     )
-    assert machine.handshaken
+    assert machine.acknowledged_term
 
 
 def test_a_held_back_heartbeat_newer_than_any_does_not_bring_back_a_machine(
@@ -162,7 +162,7 @@
     assert harness.leader.on_heartbeat(held_back) is None
     assert harness.assignments() == {}
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    assert machine.may_hold_until is None
+    assert machine.lease_expires_by is None
     worker.incarnation += 1  # whereas the worker itself would come in a new incarnation
     worker.tasks.clear()
     assert harness.leader.on_heartbeat(worker.heartbeat()) is not None
@@ -191,8 +191,8 @@
     harness.new_leader(6)
     assert harness.leader.on_heartbeat(late) is not None  # it might be the worker itself
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    assert not machine.handshaken
-    assert not machine.usable()
+    assert not machine.acknowledged_term
+    assert not machine.is_schedulable()
     found = harness.leader.term.job_table.get(job)
     assert found is not None
     assert found.shortfall == 0
@@ -251,7 +251,7 @@
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
-    assert machine.handshaken
+    assert machine.acknowledged_term
     harness.leader.on_heartbeat(copy.deepcopy(old))  # a late copy from before
     harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -55,7 +55,7 @@
             machine = self.cluster.add(
                 MachineId(f"i-{n:06d}"), CPU, Zone("ab"[n % 2]), False, MonotonicTime(0.0)
             )
-            machine.acknowledged, machine.recorded = 0, True
+            machine.acknowledged_bump, machine.recorded = 0, True
 
     def accept(self, **changes: Any) -> Job:
         self.count += 1
@@ -83,7 +83,7 @@
             self.accept(**self.small)
         jobs = [self.job_table.jobs[name] for name in sorted(self.job_table.waiting)]
         total = sum(m.machine_type.cpus for m in self.cluster.machines.values())
-        free = sum(m.cpus for m in self.cluster.machines.values())
+        free = sum(m.free_cpus for m in self.cluster.machines.values())
         supply = queueing.Supply(total, free)
         now = WallTime(self.now)
         ordered = queueing.order(jobs, settings().params.objectives, supply, supply, now)
@@ -153,6 +153,6 @@
     for _ in range(40):
         stream.accept(**quick)
         stream.step()
-        free = sum(m.cpus for m in stream.cluster.machines.values())
+        free = sum(m.free_cpus for m in stream.cluster.machines.values())
         used.append(1 - free / (12 * CPU.cpus))
     assert sum(used) / len(used) > 0.8
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -355,12 +355,12 @@
     """Found in inc-9466: 32 tasks of other jobs followed 16 failed ones onto a faulty machine."""
     world = World()
     suspect = world.machine("i-1")
-    suspect.faults.add(JobId("run-9"))
+    suspect.failed_jobs.add(JobId("run-9"))
     one = world.job("run-1", task_count=8)
     assert spread_of(world.plan(one)) == {"i-1": 1}
     world.put(one, suspect, 1)
     assert spread_of(world.plan(one)) == {}
-    suspect.faults.clear()  # as a finish does
+    suspect.failed_jobs.clear()  # as a finish does
     assert spread_of(world.plan(one)) == {"i-1": 7}
 
 
@@ -371,12 +371,12 @@
     many = world.job("run-8", task_count=50)
     world.job_table.record_run_time(many, 20.0)
     for _ in range(2):
-        slow.record_pace(many, 40.0)
-    assert not slow.slow()  # two tasks are chance
-    slow.record_pace(many, 40.0)
-    other.record_pace(many, 24.0)
-    assert slow.slow()
-    assert not other.slow()
+        slow.record_relative_run_time(many, 40.0)
+    assert not slow.is_straggler()  # two tasks are chance
+    slow.record_relative_run_time(many, 40.0)
+    other.record_relative_run_time(many, 24.0)
+    assert slow.is_straggler()
+    assert not other.is_straggler()
     assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
     assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
 
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -12,7 +12,7 @@
 from ryewing.clients.peers import ImageLocality
 from ryewing.state.failure_detector import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.jobs import Job
-from ryewing.state.machine import RAN_FOR_A_WHILE_S
+from ryewing.state.machine import MIN_STABLE_RUN_S
 from ryewing.units import JobId, MachineId
 
 
@@ -57,7 +57,7 @@
     lines = [record.getMessage() for record in caplog.records]
     assert sum("event=backed-off" in line for line in lines) == 1
     assert sum("event=task-failed" in line for line in lines) <= len(workers)
-    assert not any(m.faults for m in harness.leader.term.cluster.machines.values())
+    assert not any(m.failed_jobs for m in harness.leader.term.cluster.machines.values())
 
 
 def test_what_was_not_sent_yet_need_not_fail_as_well(harness: LeaderHarness) -> None:
@@ -105,7 +105,7 @@
         for worker in workers:
             worker.finish("done")
     else:
-        harness.later(RAN_FOR_A_WHILE_S + 0.1)
+        harness.later(MIN_STABLE_RUN_S + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.write()
@@ -193,9 +193,9 @@
     harness.place()
     fail_all(harness, workers[:1])
     machine = harness.leader.term.cluster.machines[MachineId(workers[0].name)]
-    assert machine.faults == {job.id}
+    assert machine.failed_jobs == {job.id}
     harness.leader.apply_cancel(job.id)
-    assert not machine.faults
+    assert not machine.failed_jobs
 
 
 def test_a_successor_is_told_which_jobs_fail_everywhere(harness: LeaderHarness) -> None:
@@ -273,5 +273,5 @@
         harness.exchange(worker)
     assert found is not None
     assert bool(found.backoff_s) is at_fault
-    suspects = [m for m in harness.leader.term.cluster.machines.values() if m.faults]
+    suspects = [m for m in harness.leader.term.cluster.machines.values() if m.failed_jobs]
     assert len(suspects) == (0 if at_fault else faulty)
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -54,7 +54,7 @@
         self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
     ) -> Machine:
         machine = self.cluster.add(MachineId(name), machine_type, Zone(zone), spot, T0)
-        machine.acknowledged, machine.recorded = 0, True
+        machine.acknowledged_bump, machine.recorded = 0, True
         return machine
 
     def job(self, ref: str, **changes: Any) -> Job:
@@ -78,7 +78,9 @@
         for one in self.job_table:
             gpu_reserve = gpu_reserve.including(one)
         quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
-        capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
+        capacities = [
+            MachineCapacity(m) for m in self.cluster.machines.values() if m.is_schedulable()
+        ]
         snapshot = scheduling.SchedulingSnapshot(
             capacities,
             quota,
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -82,7 +82,7 @@
     assert [n for n in range(20) if counted.is_done(n)] == [0, 1, 9, 19]
     one, other = (leader.term.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
     assert one.recorded
-    assert one.may_hold_until is not None
+    assert one.lease_expires_by is not None
     assert one.address == "10.1.0.2:9000"
     assert not other.recorded
     assert other.spot
