--- a/src/ryewing/autoscaling/capacity_backoff.py
+++ b/src/ryewing/autoscaling/capacity_backoff.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryewing.autoscaling.options import Option
+from ryewing.autoscaling.options import RentalOption
 from ryewing.units import MonotonicTime
 
 MIN_PAUSE_S = 20.0
@@ -15,21 +15,21 @@
     """Backs off exponentially from each option that the cloud refuses."""
 
     def __init__(self) -> None:
-        self._until: dict[Option, MonotonicTime] = {}
-        self._pause_s: dict[Option, float] = {}
+        self._until: dict[RentalOption, MonotonicTime] = {}
+        self._pause_s: dict[RentalOption, float] = {}
 
-    def refused(self, option: Option, now: MonotonicTime) -> None:
+    def refused(self, option: RentalOption, now: MonotonicTime) -> None:
         """Record that the cloud did not have all that was asked for; pause, longer each time."""
         pause_s = self._pause_s.get(option, 0.5 * MIN_PAUSE_S) * 2
         pause_s = min(pause_s, MAX_PAUSE_S)
         self._pause_s[option] = pause_s
         self._until[option] = MonotonicTime(now + pause_s)
 
-    def granted(self, option: Option) -> None:
+    def granted(self, option: RentalOption) -> None:
         """Record that the cloud had all that was asked for; end the pause."""
         self._pause_s.pop(option, None)
         self._until.pop(option, None)
 
-    def may_request(self, option: Option, now: MonotonicTime) -> bool:
+    def may_request(self, option: RentalOption, now: MonotonicTime) -> bool:
         """Return whether the option's pause is over, or there was none."""
         return now >= self._until.get(option, MonotonicTime(0.0))
--- a/src/ryewing/autoscaling/options.py
+++ b/src/ryewing/autoscaling/options.py
@@ -16,7 +16,7 @@
 expensive, so such machines are rented only if nothing else can be had."""
 
 
-class Option(NamedTuple):
+class RentalOption(NamedTuple):
     """What one rental request asks for: a machine type in a zone, spot or on demand."""
 
     machine_type: str
--- a/src/ryewing/autoscaling/scale_out.py
+++ b/src/ryewing/autoscaling/scale_out.py
@@ -11,7 +11,7 @@
 
 from ryewing.autoscaling.booting_room import BootingRoom, zone_allowance
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
-from ryewing.autoscaling.options import Option, price, share_of_machine, tasks_per_machine
+from ryewing.autoscaling.options import RentalOption, price, share_of_machine, tasks_per_machine
 from ryewing.config.policy import Policy
 from ryewing.scheduling import Unplaced
 from ryewing.state.jobs import Job
@@ -25,21 +25,21 @@
 
     __slots__ = ("count", "options")
 
-    def __init__(self, options: list[Option], count: int) -> None:
+    def __init__(self, options: list[RentalOption], count: int) -> None:
         self.options = options
         self.count = count
 
 
 def options_for(
     job: Job, machine_types: dict[str, MachineType], backoff: CapacityBackoff, now: MonotonicTime
-) -> list[Option]:
+) -> list[RentalOption]:
     """Return what could be rented for a job, the cheapest for one task first.
 
     Left out is what the job doesn't allow or doesn't fit, and what the cloud lately did not have.
     The times to boot and to fetch images are not weighed: prices differ more between types.
     """
     spec = job.spec
-    scored: list[tuple[float, Option]] = []
+    scored: list[tuple[float, RentalOption]] = []
     for machine_type in machine_types.values():
         if spec.machine_types is not None and machine_type.name not in spec.machine_types:
             continue
@@ -52,7 +52,7 @@
             for spot in (True, False):
                 if spot and (not spec.spot or machine_type.spot_price is None):
                     continue
-                option = Option(machine_type.name, zone, spot)
+                option = RentalOption(machine_type.name, zone, spot)
                 if backoff.may_request(option, now):
                     scored.append((share * price(machine_type, spot), option))
     scored.sort()
@@ -105,7 +105,7 @@
     return max(1, round(tasks / tasks_at_once / rounds))
 
 
-def _add_plan(plans: list[ScaleOutPlan], options: list[Option], machines: int) -> None:
+def _add_plan(plans: list[ScaleOutPlan], options: list[RentalOption], machines: int) -> None:
     """Add machines to the plan with the same best option, or a plan if there is none.
 
     One request asks for all machines of an option, since the cloud takes few requests.
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
-from ryewing.autoscaling.options import Option
+from ryewing.autoscaling.options import RentalOption
 from ryewing.autoscaling.scale_out import ScaleOutPlan
 from ryewing.clients.cloud import RENT_MAX, Cloud, NoCapacityError
 from ryewing.clients.store import Put
@@ -73,7 +73,7 @@
         """Send a recorded request to the cloud; it stays pending if the cloud does not answer."""
         if not self._term.may_begin():
             return
-        option = Option(request.machine_type, request.zone, request.spot)
+        option = RentalOption(request.machine_type, request.zone, request.spot)
         try:
             names = self.cloud.rent(request)
         except NoCapacityError:
@@ -88,7 +88,7 @@
         self._term.writes_needed.set()
 
     def _add_machines(
-        self, request: RentalRequest, option: Option, names: Sequence[MachineId]
+        self, request: RentalRequest, option: RentalOption, names: Sequence[MachineId]
     ) -> None:
         """Add the machines that a request has brought."""
         now = monotonic_now()
