--- a/src/ryewing/autoscaling/capacity_backoff.py
+++ b/src/ryewing/autoscaling/capacity_backoff.py
@@ -18,14 +18,14 @@
         self._until: dict[RentalOption, MonotonicTime] = {}
         self._pause_s: dict[RentalOption, float] = {}
 
-    def refused(self, option: RentalOption, now: MonotonicTime) -> None:
+    def record_no_capacity(self, option: RentalOption, now: MonotonicTime) -> None:
         """Record that the cloud did not have all that was asked for; pause, longer each time."""
         pause_s = self._pause_s.get(option, 0.5 * MIN_PAUSE_S) * 2
         pause_s = min(pause_s, MAX_PAUSE_S)
         self._pause_s[option] = pause_s
         self._until[option] = MonotonicTime(now + pause_s)
 
-    def granted(self, option: RentalOption) -> None:
+    def reset(self, option: RentalOption) -> None:
         """Record that the cloud had all that was asked for; end the pause."""
         self._pause_s.pop(option, None)
         self._until.pop(option, None)
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -78,7 +78,7 @@
             names = self.cloud.rent(request)
         except NoCapacityError:
             log.info("event=no-capacity machine_type=%s zone=%s spot=%s", *option)
-            self.backoff.refused(option, monotonic_now())
+            self.backoff.record_no_capacity(option, monotonic_now())
             names = []
         self._add_machines(request, option, names)
         self.pending.pop(request.id, None)
@@ -94,9 +94,9 @@
         now = monotonic_now()
         if names:
             if len(names) < request.count:
-                self.backoff.refused(option, now)
+                self.backoff.record_no_capacity(option, now)
             else:
-                self.backoff.granted(option)
+                self.backoff.reset(option)
             log.info(
                 "event=rented count=%d requested=%d machine_type=%s zone=%s spot=%s rental=%s",
                 len(names),
--- a/tests/autoscaling/test_scaling.py
+++ b/tests/autoscaling/test_scaling.py
@@ -31,7 +31,7 @@
 def test_no_capacity_turns_to_the_next_option_and_back() -> None:
     backoff, one = CapacityBackoff(), job()
     first = options_for(one, FLAVOURS, backoff, T0)[0]
-    backoff.refused(first, T0)
+    backoff.record_no_capacity(first, T0)
     assert options_for(one, FLAVOURS, backoff, T0)[0] != first
     assert options_for(one, FLAVOURS, backoff, MonotonicTime(T0 + 21.0))[0] == first
 
