--- a/src/ryewing/autoscaling/scale_out.py
+++ b/src/ryewing/autoscaling/scale_out.py
@@ -21,13 +21,13 @@
 
 
 class ScaleOutPlan:
-    """Machines to rent: `options`, the best first, and `count`, the number of machines."""
+    """Machines to rent: `machine_count` machines of one of `options`, the cheapest first."""
 
-    __slots__ = ("count", "options")
+    __slots__ = ("machine_count", "options")
 
-    def __init__(self, options: list[RentalOption], count: int) -> None:
+    def __init__(self, options: list[RentalOption], machine_count: int) -> None:
         self.options = options
-        self.count = count
+        self.machine_count = machine_count
 
 
 def options_for(
@@ -112,6 +112,6 @@
     """
     for plan in plans:
         if plan.options[0] == options[0]:
-            plan.count += machines
+            plan.machine_count += machines
             return
     plans.append(ScaleOutPlan(options, machines))
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -51,7 +51,7 @@
             option.machine_type,
             option.zone,
             option.spot,
-            min(RENT_MAX, plan.count),
+            min(RENT_MAX, plan.machine_count),
         )
         self.pending[request.id] = request
         result = self._term.store.txn(
--- a/tests/autoscaling/test_scaling.py
+++ b/tests/autoscaling/test_scaling.py
@@ -19,7 +19,7 @@
     unplaced = [Unplaced(job(task_count=8), 8)]
     assert plan_scale_out(unplaced, booting, FLAVOURS, CapacityBackoff(), policy(), T0) == []
     [plan] = plan_scale_out(unplaced, [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert plan.count == 1
+    assert plan.machine_count == 1
     assert plan.options[0].machine_type == "c32"
 
 
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -277,7 +277,7 @@
     """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
     short = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
     found = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert sum(plan.count for plan in found) == expected
+    assert sum(plan.machine_count for plan in found) == expected
     assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
 
 
