--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -16,7 +16,7 @@
 from ryewing.config.settings import Settings, parse_address
 from ryewing.sharding.errors import ShardingError
 from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
-from ryewing.sharding.registry import DIVISION_KEY, Registration, ShardRegistry, ShardZones
+from ryewing.sharding.registry import DIVISION_KEY, RegistrySnapshot, ShardRegistry, ShardZones
 from ryewing.units import NodeName, ShardName, monotonic_now, wall_now
 
 MOVE_TIMEOUT_S = 60.0
@@ -130,7 +130,7 @@
         return [ShardName(shard.name) for shard in shards]
 
 
-def _line(name: ShardName, registration: Registration) -> str:
+def _line(name: ShardName, registration: RegistrySnapshot) -> str:
     stored = registration.shards[name]
     record = stored.record
     if record is None:
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -22,7 +22,7 @@
 from ryewing.sharding.registry import (
     SHARDS_PREFIX,
     DivisionDiffersError,
-    Registration,
+    RegistrySnapshot,
     ShardRegistry,
 )
 from ryewing.sharding.settings import ShardSettings
@@ -98,7 +98,7 @@
             self.take_due_steps(registration)  # some steps are due by the clock alone
         return BUSY_STEP_S
 
-    def step(self) -> Registration:
+    def step(self) -> RegistrySnapshot:
         """Read the records once, take each step that is due, and return what was read.
 
         Raises DivisionDiffersError if the store holds the records of another division, and
@@ -115,7 +115,7 @@
         self.take_due_steps(registration)
         return registration
 
-    def take_due_steps(self, registration: Registration) -> None:
+    def take_due_steps(self, registration: RegistrySnapshot) -> None:
         """Take each step that is due by what was read, though it may be out of date by now.
 
         A controller whose own health key is missing only resigns what it does not own.
@@ -128,7 +128,7 @@
             self._steps.take_due_step(name, stored, registration)
         self.rebalancer.begin_move_if_due(registration)
 
-    def _note(self, registration: Registration) -> None:
+    def _note(self, registration: RegistrySnapshot) -> None:
         """Remember what was read, and tell the electors."""
         now = monotonic_now()
         self._choice.note(registration)
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -13,7 +13,7 @@
 from ryewing.sharding.load import Assignment, NodeRoom, PlanInputs, ShardLoad
 from ryewing.sharding.ownership import Phase
 from ryewing.sharding.planner import next_move
-from ryewing.sharding.registry import Registration
+from ryewing.sharding.registry import RegistrySnapshot
 from ryewing.sharding.settings import ShardSettings
 from ryewing.units import MonotonicTime, NodeName, ShardName, monotonic_now
 
@@ -47,7 +47,7 @@
         }
         self._observed_owners: dict[ShardName, _ObservedOwner] = {}
 
-    def note(self, registration: Registration) -> None:
+    def note(self, registration: RegistrySnapshot) -> None:
         """Remember the owners that were read."""
         for name, stored in registration.shards.items():
             if stored.record is None:
@@ -57,14 +57,14 @@
                 since = monotonic_now() if observed is not None else None
                 self._observed_owners[name] = _ObservedOwner(stored.record.owner, since)
 
-    def assignment(self, registration: Registration, nodes: Set[NodeName]) -> Assignment:
+    def assignment(self, registration: RegistrySnapshot, nodes: Set[NodeName]) -> Assignment:
         """Return an owner for every shard; only a pinned one leaves an owner that is in `nodes`.
 
         Every controller chooses the same from the same records and controllers.
         """
         return greedy.assign(self._inputs(registration, nodes, moves_allowed=False))
 
-    def move(self, registration: Registration) -> Move | None:
+    def move(self, registration: RegistrySnapshot) -> Move | None:
         """Return the move that evens out the shards most; None if none is worth its cost.
 
         One move at a time: None as well while any shard is moving or has no healthy owner.
@@ -81,7 +81,7 @@
         return Move(name, owners[name]) if name is not None else None
 
     def _inputs(
-        self, registration: Registration, nodes: Set[NodeName], moves_allowed: bool
+        self, registration: RegistrySnapshot, nodes: Set[NodeName], moves_allowed: bool
     ) -> PlanInputs:
         loads = []
         for name, stored in registration.shards.items():
--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -22,7 +22,7 @@
     repair,
     settle,
 )
-from ryewing.sharding.registry import Registration, ShardRegistry, StoredOwnership
+from ryewing.sharding.registry import RegistrySnapshot, ShardRegistry, StoredOwnership
 from ryewing.sharding.shard_electors import ShardElectors
 from ryewing.units import MonotonicTime, NodeName, ShardName, monotonic_now
 
@@ -71,7 +71,7 @@
             leader.resign(TermEndReason.NOT_OWNER)
 
     def take_due_step(
-        self, name: ShardName, stored: StoredOwnership, registration: Registration
+        self, name: ShardName, stored: StoredOwnership, registration: RegistrySnapshot
     ) -> None:
         """Take the step of one shard that is due at this controller, if any.
 
@@ -104,7 +104,7 @@
         self._advance(name, stored, lambda old: settle(old, self._node))
 
     def _hand_off_if_abstaining(
-        self, name: ShardName, stored: StoredOwnership, registration: Registration
+        self, name: ShardName, stored: StoredOwnership, registration: RegistrySnapshot
     ) -> None:
         """Leave a shard to another controller if this one has resigned for a fault of its own."""
         if not self._electors.is_abstaining(name):
@@ -115,7 +115,9 @@
         target = self._choice.assignment(registration, others)[name]
         self._advance(name, stored, lambda old: hand_off(old, self._node, target))
 
-    def _adopt(self, name: ShardName, stored: StoredOwnership, registration: Registration) -> None:
+    def _adopt(
+        self, name: ShardName, stored: StoredOwnership, registration: RegistrySnapshot
+    ) -> None:
         """Take or repair a shard that nobody healthy owns.
 
         Every controller chooses the same one by the same rule; if that one does nothing for
--- a/src/ryewing/sharding/rebalancer.py
+++ b/src/ryewing/sharding/rebalancer.py
@@ -10,7 +10,7 @@
 
 from ryewing.sharding.owner_choice import OwnerChoice
 from ryewing.sharding.ownership import MoveRefusedError, begin_move
-from ryewing.sharding.registry import Registration, ShardRegistry
+from ryewing.sharding.registry import RegistrySnapshot, ShardRegistry
 from ryewing.sharding.shard_electors import ShardElectors
 from ryewing.units import MonotonicTime, NodeName, monotonic_now
 
@@ -37,7 +37,7 @@
         self.planned_at: MonotonicTime = monotonic_now()
         """When a move was last looked for."""
 
-    def begin_move_if_due(self, registration: Registration) -> None:
+    def begin_move_if_due(self, registration: RegistrySnapshot) -> None:
         """Begin the move that evens out the shards most, if it is this controller's turn to plan.
 
         Raises StoreUnavailableError if the store does not answer.
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -49,7 +49,7 @@
     readable: bool = True
 
 
-class Registration(NamedTuple):
+class RegistrySnapshot(NamedTuple):
     """What one reading of the store returned."""
 
     shards: dict[ShardName, StoredOwnership]
@@ -93,7 +93,7 @@
         if _decoded(entry.data) != _decoded(division):
             raise DivisionDiffersError("the store holds the records of another division")
 
-    def read(self, names: Iterable[ShardName]) -> Registration:
+    def read(self, names: Iterable[ShardName]) -> RegistrySnapshot:
         """Read the shards' records and the controllers' health.
 
         A record that can't be read concerns its own shard only.
@@ -109,7 +109,7 @@
             record = decode_stored(entry.data, Ownership, entry.key)
             version = KeyVersion(entry.key_version)
             shards[name] = StoredOwnership(record, version, record is not None)
-        return Registration(shards, healthy_nodes(listed), revision)
+        return RegistrySnapshot(shards, healthy_nodes(listed), revision)
 
     def advance(
         self,
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ryewing.sharding.ownership import MoveRefusedError, Ownership, Phase, begin_move
-from ryewing.sharding.registry import Registration, ShardRegistry
+from ryewing.sharding.registry import RegistrySnapshot, ShardRegistry
 from ryewing.units import NodeName, ShardName
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS
@@ -33,7 +33,7 @@
         cluster.worker(f"i-{number:06d}", machine_type=kind, zone="abc"[number % 3])
 
 
-def read_registration(cluster: SimulatedCluster) -> Registration:
+def read_registration(cluster: SimulatedCluster) -> RegistrySnapshot:
     """Read the ownership records of all shards, as an operator does."""
     names = [shard for shard in cluster.nodes[CONTROLLERS[0]].electors if shard is not None]
     return ShardRegistry(cluster.store).read(names)  # type: ignore[arg-type]
