--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -105,7 +105,7 @@
         StoreUnavailableError if the store does not answer.
         """
         if not self._division.in_force:
-            self._registry.agree_on(self._settings)
+            self._registry.ensure_division(self._settings)
             self._division.in_force = True
         self.health.keep()
         registration = self._registry.read(self._electors.names())
--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -132,7 +132,7 @@
         if chosen != self._node and now - orphaned_since < ORPHAN_PATIENCE_S:
             return
         adoption = partial(self._adoption, healthy=registration.healthy)
-        self._note_written(name, self._registry.take(name, stored, adoption))
+        self._note_written(name, self._registry.apply_step(name, stored, adoption))
 
     def _adoption(self, old: Ownership | None, healthy: set[NodeName]) -> Ownership | None:
         if old is None:
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -67,7 +67,7 @@
     def __init__(self, store: Store) -> None:
         self._store = store
 
-    def agree_on(self, shards: ShardSettings) -> None:
+    def ensure_division(self, shards: ShardSettings) -> None:
         """Store the division of the fleet; raise DivisionDiffersError if another, or none, holds.
 
         Controllers that divide the fleet in different ways could each count a machine as theirs
@@ -118,9 +118,9 @@
         step: Callable[[Ownership], Ownership | None],
     ) -> Ownership | None:
         """Take a step of a shard that has a record; one without is left alone (see `take`)."""
-        return self.take(name, stored, lambda old: step(old) if old is not None else None)
+        return self.apply_step(name, stored, lambda old: step(old) if old is not None else None)
 
-    def take(self, name: ShardName, stored: StoredOwnership, step: Step) -> Ownership | None:
+    def apply_step(self, name: ShardName, stored: StoredOwnership, step: Step) -> Ownership | None:
         """Take a step from a record as it was read.
 
         Return the new record, or None if the step wasn't taken.
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -73,10 +73,12 @@
     registry = ShardRegistry(TimedStore(Clock()))  # type: ignore[arg-type]
     one = ShardSettings((ShardSpec("a", ("a", "b", "c")),))
     assert not list(problems(one, settings()))
-    registry.agree_on(one)
-    registry.agree_on(one)
+    registry.ensure_division(one)
+    registry.ensure_division(one)
     with pytest.raises(DivisionDiffersError):
-        registry.agree_on(ShardSettings((ShardSpec("a", ("a",)), ShardSpec("b", ("b", "c")))))
+        registry.ensure_division(
+            ShardSettings((ShardSpec("a", ("a",)), ShardSpec("b", ("b", "c"))))
+        )
 
 
 @pytest.mark.parametrize(
@@ -98,8 +100,10 @@
     registry = ShardRegistry(store)  # type: ignore[arg-type]
     store.write_raw(OWNER_PREFIX + SHARD, b'{"owner":7}')
     found = registry.read([SHARD, ShardName("west")]).shards
-    assert registry.take(SHARD, found[SHARD], lambda _: first_owner(NODES[0])) is None
-    west = registry.take(ShardName("west"), found[ShardName("west")], lambda _: Ownership("n-1", 1))
+    assert registry.apply_step(SHARD, found[SHARD], lambda _: first_owner(NODES[0])) is None
+    west = registry.apply_step(
+        ShardName("west"), found[ShardName("west")], lambda _: Ownership("n-1", 1)
+    )
     assert west is not None
     assert msgspec.structs.replace(west, changed_at=0.0) == Ownership("n-1", 1)
 
@@ -141,7 +145,7 @@
                 self.leading = node
             elif record is not None and not record.leads(node) and self.leading == node:
                 self.leading = None
-            registry.take(SHARD, seen, lambda record: self._step(record, node, target))
+            registry.apply_step(SHARD, seen, lambda record: self._step(record, node, target))
         except (StoreUnavailableError, MoveRefusedError):
             pass
 
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -51,7 +51,7 @@
     found = read_registration(cluster)
     registry = ShardRegistry(cluster.store)  # type: ignore[arg-type]
     try:
-        taken = registry.take(
+        taken = registry.apply_step(
             ShardName(shard),
             found.shards[ShardName(shard)],
             lambda old: begin_move(old, NodeName(target), found.healthy) if old else None,
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -96,7 +96,9 @@
 
 def take_ownership(clients: Clients) -> None:
     unowned = StoredOwnership(None, KeyVersion(0))
-    ShardRegistry(clients.store).take(ShardName("shard-1"), unowned, lambda _: Ownership("n-0", 3))
+    ShardRegistry(clients.store).apply_step(
+        ShardName("shard-1"), unowned, lambda _: Ownership("n-0", 3)
+    )
 
 
 def write_machines(clients: Clients) -> None:
@@ -165,7 +167,7 @@
         ],
     ),
     "agree_on_division": (
-        lambda clients: ShardRegistry(clients.store).agree_on(by_zones(2, ["a", "b", "c"])),
+        lambda clients: ShardRegistry(clients.store).ensure_division(by_zones(2, ["a", "b", "c"])),
         [
             b"GET /store/shards/division",
             b'POST /txn {"if":[{"k":"shards/division","stamp":0},{"k":"lead/term","stamp":0}],'
