--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -94,7 +94,7 @@
             if changes.log:
                 return 0.0
             revision = Revision(max(revision, changes.revision))
-            self.health.keep()
+            self.health.renew_if_due()
             self.take_due_steps(registration)  # some steps are due by the clock alone
         return BUSY_STEP_S
 
@@ -107,7 +107,7 @@
         if not self._division.in_force:
             self._registry.ensure_division(self._settings)
             self._division.in_force = True
-        self.health.keep()
+        self.health.renew_if_due()
         registration = self._registry.read(self._electors.names())
         self._note(registration)
         if self._node not in registration.healthy:
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -37,7 +37,7 @@
         self._lease: int | None = None
         self._renewed_at = NEVER
 
-    def keep(self) -> None:
+    def renew_if_due(self) -> None:
         """Renew the lease if that is due; set the key anew, on a new lease, if it is lost.
 
         Raises StoreUnavailableError if the store does not answer.
@@ -62,7 +62,7 @@
         self._renewed_at = now
 
     def forget(self) -> None:
-        """Give up the lease, since the key is missing: `keep` sets it anew the next time."""
+        """Give up the lease, since the key is missing: the next `renew_if_due` sets it again."""
         self._lease = None
 
 
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -222,14 +222,14 @@
 def a_health_key_is_lost(cluster: SimulatedCluster) -> None:
     """A late write of an earlier process removes it: others take the shard over, the owner resigns
     although its lease still holds, and then its key comes back."""
-    keep = ControllerHealth.keep
+    renew_if_due = ControllerHealth.renew_if_due
     health = cluster.coordinators["n-0"].health
-    health.keep = lambda: None  # type: ignore[method-assign]
+    health.renew_if_due = lambda: None  # type: ignore[method-assign]
     cluster.store.txn({}, [Remove(NODE_PREFIX + "n-0")])
     cluster.run(1.0)
     assert ownership_record(cluster, EAST).owner != "n-0"
     assert cluster.leader("n-0", EAST) is None
-    health.keep = lambda: keep(health)  # type: ignore[method-assign]
+    health.renew_if_due = lambda: renew_if_due(health)  # type: ignore[method-assign]
     cluster.run(0.75)
     assert "n-0" in read_registration(cluster).healthy
 
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -91,7 +91,7 @@
 
 
 def keep_node_key(clients: Clients) -> None:
-    ControllerHealth(clients.store, NodeName("n-0"), "0011223344aa", 3.0).keep()
+    ControllerHealth(clients.store, NodeName("n-0"), "0011223344aa", 3.0).renew_if_due()
 
 
 def take_ownership(clients: Clients) -> None:
