--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -104,9 +104,9 @@
         Raises DivisionDiffersError if the store holds the records of another division, and
         StoreUnavailableError if the store does not answer.
         """
-        if not self._division.in_force:
+        if not self._division.is_confirmed:
             self._registry.ensure_division(self._settings)
-            self._division.in_force = True
+            self._division.is_confirmed = True
         self.health.renew_if_due()
         registration = self._registry.read(self._electors.names())
         self._note(registration)
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -36,7 +36,7 @@
             for spec in shards.shards
         ]
         self._rng = rng or random.Random()
-        self.in_force = False
+        self.is_confirmed = False
         """Whether the store has confirmed that this division is the one in force."""
 
     def scopes(self) -> Sequence[TermScope]:
@@ -64,7 +64,7 @@
         Raises NotReadyError while the division is not confirmed, and NoShardError if no single
         shard could ever run the job.
         """
-        if not self.in_force:
+        if not self.is_confirmed:
             raise NotReadyError("the division of the fleet is not confirmed by the store")
         eligible = [
             scope.shard
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -166,7 +166,7 @@
     spec = job_spec("run-1", **changes)
     with pytest.raises(NotReadyError):
         division.choose(spec, types, {})
-    division.in_force = True
+    division.is_confirmed = True
     news = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
     if not able:
         with pytest.raises(NoShardError):
@@ -178,7 +178,7 @@
 
 def test_a_job_goes_where_the_least_waits_and_by_its_name_without_news() -> None:
     division = ShardDivision(DIVISION, random.Random(1))
-    division.in_force = True
+    division.is_confirmed = True
     loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
     assert {division.choose(spec, TYPES, loads) for _ in range(20)} == {WEST}
