--- a/src/ryewing/cli.py
+++ b/src/ryewing/cli.py
@@ -103,9 +103,9 @@
     """
     if arguments.shards is not None:
         from ryewing.sharding import serve
-        from ryewing.sharding.settings import shards_from
+        from ryewing.sharding.settings import parse_shards_option
 
-        shards = shards_from(arguments.shards, settings)
+        shards = parse_shards_option(arguments.shards, settings)
         _log_to_stderr()
         serve.serve(settings, policy, shards)
         return
--- a/src/ryewing/sharding/check.py
+++ b/src/ryewing/sharding/check.py
@@ -6,12 +6,12 @@
 
 from ryewing.config.settings import Settings
 from ryewing.sharding.division import SPREAD_ZONES
-from ryewing.sharding.settings import shards_from
+from ryewing.sharding.settings import parse_shards_option
 
 
 def describe(text: str, settings: Settings) -> Iterator[str]:
     """Check a division and yield the lines to print; raise SettingsError with the first problem."""
-    shards = shards_from(text, settings)
+    shards = parse_shards_option(text, settings)
     yield f"{text}: good, shards {', '.join(shards.names())}"
     narrow = [spec.name for spec in shards.shards if len(spec.zones) < SPREAD_ZONES]
     if len(narrow) == len(shards.shards):
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -47,17 +47,17 @@
         return [ShardName(spec.name) for spec in self.shards]
 
 
-def shards_from(text: str, settings: Settings) -> ShardSettings:
+def parse_shards_option(text: str, settings: Settings) -> ShardSettings:
     """Return the division that an option names, `zones:N` or a file; raise SettingsError."""
     if not text.startswith(BY_ZONES):
         return load_shards(Path(text), settings)
     count = text.removeprefix(BY_ZONES)
     if not count.isdecimal() or int(count) < 1:
         raise SettingsError(f"{text}: give {BY_ZONES} and a number of shards from 1 up")
-    return by_zones(int(count), settings.params.zones)
+    return divide_by_zones(int(count), settings.params.zones)
 
 
-def by_zones(count_max: int, zones: Sequence[str]) -> ShardSettings:
+def divide_by_zones(count_max: int, zones: Sequence[str]) -> ShardSettings:
     """Divide the zones, in alphabetical order, into `count_max` shards at most of similar size.
 
     Each shard has at least one zone. The result depends on the settings alone, so it is the same on
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from ryewing.sharding.settings import by_zones
+from ryewing.sharding.settings import divide_by_zones
 from support.fakes import RAW_SETTINGS, Clock
 from support.simulated_cluster import SimulatedCluster
 
@@ -85,7 +85,7 @@
     clock = clock_of_cluster(monkeypatch)
 
     def make(count: int = 2, **settings: Any) -> SimulatedCluster:
-        shards = by_zones(count, RAW_SETTINGS["params"]["zones"])
+        shards = divide_by_zones(count, RAW_SETTINGS["params"]["zones"])
         return SimulatedCluster(clock, msgspec.structs.replace(shards, **settings))
 
     return make
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -26,7 +26,7 @@
 from ryewing.sharding.health import ControllerHealth
 from ryewing.sharding.ownership import Ownership
 from ryewing.sharding.registry import ShardRegistry, StoredOwnership
-from ryewing.sharding.settings import by_zones
+from ryewing.sharding.settings import divide_by_zones
 from ryewing.sharding.shard_store import ShardStore
 from ryewing.state import machine_type_catalogue
 from ryewing.state.job_records import FinalRecord, JobRecord
@@ -167,7 +167,9 @@
         ],
     ),
     "agree_on_division": (
-        lambda clients: ShardRegistry(clients.store).ensure_division(by_zones(2, ["a", "b", "c"])),
+        lambda clients: ShardRegistry(clients.store).ensure_division(
+            divide_by_zones(2, ["a", "b", "c"])
+        ),
         [
             b"GET /store/shards/division",
             b'POST /txn {"if":[{"k":"shards/division","stamp":0},{"k":"lead/term","stamp":0}],'
