--- a/src/ryewing/cli.py
+++ b/src/ryewing/cli.py
@@ -88,9 +88,9 @@
 def _check(arguments: argparse.Namespace, settings: Settings) -> int:
     if arguments.checked_shards is not None:
         # The import is paid for only by who asks for this check.
-        from ryewing.sharding.check import describe
+        from ryewing.sharding.check import describe_division
 
-        for line in describe(arguments.checked_shards, settings):
+        for line in describe_division(arguments.checked_shards, settings):
             print(line)
     print(f"{arguments.file}: good for node {settings.node}")
     return EXIT_OK
--- a/src/ryewing/sharding/check.py
+++ b/src/ryewing/sharding/check.py
@@ -9,7 +9,7 @@
 from ryewing.sharding.settings import parse_shards_option
 
 
-def describe(text: str, settings: Settings) -> Iterator[str]:
+def describe_division(text: str, settings: Settings) -> Iterator[str]:
     """Check a division and yield the lines to print; raise SettingsError with the first problem."""
     shards = parse_shards_option(text, settings)
     yield f"{text}: good, shards {', '.join(shards.names())}"
