--- a/src/ryewing/sharding/serve.py
+++ b/src/ryewing/sharding/serve.py
@@ -14,12 +14,12 @@
 from ryewing.units import ShardName
 
 
-def sharded_node(settings: Settings, policy: Policy, shards: ShardSettings) -> Node:
+def build_node(settings: Settings, policy: Policy, shards: ShardSettings) -> Node:
     """Return a controller that may lead any shard."""
     return Node(settings, policy, ShardDivision(shards))
 
 
-def coordinator(node: Node, shards: ShardSettings) -> Coordinator:
+def build_coordinator(node: Node, shards: ShardSettings) -> Coordinator:
     """Return the loop that decides which shards a controller leads."""
     division = node.division
     if not isinstance(division, ShardDivision):
@@ -37,6 +37,6 @@
 
 def serve(settings: Settings, policy: Policy, shards: ShardSettings) -> None:
     """Run a controller of a divided fleet, its coordinator in a greenlet, until it is killed."""
-    node = sharded_node(settings, policy, shards)
-    gevent.spawn(coordinator(node, shards).run)
+    node = build_node(settings, policy, shards)
+    gevent.spawn(build_coordinator(node, shards).run)
     node.serve()
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -31,7 +31,7 @@
 from ryewing.sharding.coordinator import Coordinator
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.registry import DivisionDiffersError
-from ryewing.sharding.serve import coordinator
+from ryewing.sharding.serve import build_coordinator
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import MachineId, ShardName, is_job_id, parse_task
@@ -125,7 +125,7 @@
         for elector in node.electors.values():
             elector.store = node.division.store_for(elector.scope, node.store)
         if shards is not None:
-            self.coordinators[name] = coordinator(node, shards)
+            self.coordinators[name] = build_coordinator(node, shards)
         for other in CONTROLLERS:
             if other != name:
                 node.peers.members[other] = FakePeer(self, name, other)  # type: ignore[assignment]
