--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -78,7 +78,7 @@
     return {node.name: loads[node.name] / node.room for node in inputs.nodes}
 
 
-def moves(inputs: PlanInputs, owners: Assignment) -> list[ShardName]:
+def moved_shards(inputs: PlanInputs, owners: Assignment) -> list[ShardName]:
     """List the shards that would change hands; taking one that nobody owns is no move."""
     return [
         shard.name
@@ -91,4 +91,6 @@
     """Return the cost of an assignment; the lowest is the best."""
     peak = max(utilization(inputs, owners).values(), default=0.0)
     overload = max(0.0, peak - 1.0)
-    return OVERLOAD_COST * overload + PEAK_COST * peak + MOVE_COST * len(moves(inputs, owners))
+    return (
+        OVERLOAD_COST * overload + PEAK_COST * peak + MOVE_COST * len(moved_shards(inputs, owners))
+    )
--- a/src/ryewing/sharding/planner.py
+++ b/src/ryewing/sharding/planner.py
@@ -12,7 +12,7 @@
 
 from ryewing.sharding import greedy
 from ryewing.sharding.errors import ShardingError
-from ryewing.sharding.load import Assignment, PlanInputs, cost, moves
+from ryewing.sharding.load import Assignment, PlanInputs, cost, moved_shards
 from ryewing.units import ShardName
 
 log = logging.getLogger(__name__)
@@ -46,6 +46,6 @@
 
 def next_move(inputs: PlanInputs, owners: Assignment) -> ShardName | None:
     """Return the shard to move first: the one of the highest load; None if none has to move."""
-    moving = set(moves(inputs, owners))
+    moving = set(moved_shards(inputs, owners))
     shards = [shard for shard in inputs.shards if shard.name in moving]
     return max(shards, key=lambda shard: (shard.load, shard.name)).name if shards else None
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -16,7 +16,7 @@
 from ryewing.cli import main
 from ryewing.clients.store import StoreUnavailableError
 from ryewing.sharding import exact, greedy, planner
-from ryewing.sharding.load import cost, moves
+from ryewing.sharding.load import cost, moved_shards
 from ryewing.sharding.ownership import (
     MoveRefusedError,
     Ownership,
@@ -231,8 +231,8 @@
     assert cost(inputs, greedy.assign(inputs)) >= best - 1e-9
     settled = [msgspec.structs.replace(shard, owner=found[shard.name]) for shard in inputs.shards]
     again = msgspec.structs.replace(inputs, shards=settled)
-    assert not moves(again, planner.plan(again))
-    assert planner.next_move(inputs, found) in {*moves(inputs, found), None}
+    assert not moved_shards(again, planner.plan(again))
+    assert planner.next_move(inputs, found) in {*moved_shards(inputs, found), None}
 
 
 def test_the_plan_is_greedy_without_a_solver_or_a_solution(
--- a/tools/measure_planner.py
+++ b/tools/measure_planner.py
@@ -11,7 +11,7 @@
 from support.planner_inputs import random_inputs
 
 from ryewing.sharding import exact, greedy
-from ryewing.sharding.load import cost, moves
+from ryewing.sharding.load import cost, moved_shards
 
 CASES = 40
 SIZES = ((6, 3), (12, 3), (24, 7), (60, 7))
@@ -34,7 +34,7 @@
             gap = cost(inputs, by_hand) / cost(inputs, solved) - 1.0
             worse += gap > 1e-3
             extra = max(extra, gap)
-            saved_moves += len(moves(inputs, by_hand)) - len(moves(inputs, solved))
+            saved_moves += len(moved_shards(inputs, by_hand)) - len(moved_shards(inputs, solved))
         print(
             f"{shards} shards, {nodes} controllers: greedy dearer in {worse} of {CASES},"
             f" by {extra:.1%} at the most, {saved_moves} more moves in all;"
