--- a/src/ryewing/election/lease_validity.py
+++ b/src/ryewing/election/lease_validity.py
@@ -59,7 +59,7 @@
         """Return whether the lease may have expired in the store."""
         return self.renewed_at is None or now >= self.renewed_at + self._lease_s
 
-    def may_start(self, now: MonotonicTime) -> bool:
+    def has_authority(self, now: MonotonicTime) -> bool:
         """Return whether the leader may start tasks, rent machines and answer users from memory.
 
         This needs a lease that has not expired and sufficiently recent knowledge of the jobs.
--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -83,7 +83,7 @@
         """
         if not machine.address or machine.id in self._in_exchange or self._term.stopped:
             return
-        if self._term.terminations.any_on(machine.id):
+        if self._term.terminations.has_any_on(machine.id):
             self.other_queue.pop(machine.id, None)
             self._termination_queue[machine.id] = machine
         elif machine.id not in self._termination_queue:
@@ -137,7 +137,7 @@
         """Apply the heartbeat in a worker's answer; `known_version` is that before the request."""
         now = monotonic_now()
         if HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence) < known_version:
-            self._term.cluster.restarted(machine, now)
+            self._term.cluster.reset_worker(machine, now)
         if self._term.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=False):
             self._on_newer_heartbeat(machine, now)
 
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -110,7 +110,7 @@
             self._term.writes_needed.set()
         if fresh:
             self._effects.apply(machine, now)
-        self._term.cluster.answered(machine, now)
+        self._term.cluster.extend_lease(machine, now)
         commands = self._compose(machine, heartbeat, fresh, now)
         return HeartbeatResponse(int(self._term.cluster.token(machine)), commands)
 
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -12,7 +12,7 @@
 from ryewing.leader.terminations import TaskTerminator
 from ryewing.scheduling.machine_suitability import allows
 from ryewing.state.attempts import TaskPhase
-from ryewing.state.failure_detector import AVOID_S
+from ryewing.state.failure_detector import MACHINE_AVOIDANCE_S
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Assignment, Machine
 from ryewing.state.pending_terminations import TerminationReason
@@ -52,13 +52,13 @@
 
         A job that fails everywhere avoids nothing: it avoided each machine for good, and new ones
         were rented for it until it was cancelled. A machine may have recovered since, or have been
-        healthy, so it is avoided for `AVOID_S` only: a job that had failed on each one waited for
-        ever beside free room.
+        healthy, so it is avoided for `MACHINE_AVOIDANCE_S` only: a job that had failed on each one
+        waited for ever beside free room.
         """
         if job.backoff_s:
             return False
         failed_at = job.failed_on.get(machine.id)
-        return failed_at is not None and monotonic_now() - failed_at <= AVOID_S
+        return failed_at is not None and monotonic_now() - failed_at <= MACHINE_AVOIDANCE_S
 
     def _may_probe(self, job: Job, now: MonotonicTime) -> bool:
         """Return whether a job in backoff may be placed: one task shows whether it still fails.
@@ -66,7 +66,7 @@
         Found in a replay: a task was placed in each cycle until the first of them had failed.
         """
         failure_detector = self._term.cluster.failure_detector
-        if failure_detector.has_recovered(job, now):
+        if failure_detector.end_backoff_if_recovered(job, now):
             return True
         if job.is_service:
             return not job.assigned_tasks
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -142,7 +142,7 @@
         self.term.job_table.reindex(job)
         if not job.done_count:
             # Its user cancels a job that never finished anything: the mistake may be its own.
-            self.term.cluster.failure_detector.clear_faults(job)
+            self.term.cluster.failure_detector.clear_failures(job)
         now = monotonic_now()
         for assignment in self.term.cluster.assignments_of(job):
             self.terminator.terminate(assignment, 0.0, TerminationReason.CANCELLED, now)
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -92,7 +92,7 @@
         backoff_s: dict[str, float] = {
             job.id: job.backoff_s for job in self.term.job_table if job.backoff_s
         }
-        return ImageLocality(int(self.term.number), *self.term.cluster.images(), backoff_s)
+        return ImageLocality(int(self.term.number), *self.term.cluster.cached_images(), backoff_s)
 
     def drained(self) -> bool:
         """Return whether nothing is under way whose outcome a successor would have to find out.
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -66,7 +66,7 @@
 
     def _expire_leases(self, now: MonotonicTime) -> None:
         """Drop what was on machines whose lease has ended."""
-        for machine in self._term.cluster.expire(now):
+        for machine in self._term.cluster.expire_leases(now):
             log.info("event=lease-expired machine=%s", machine.id)
             self._term.scheduling_needed.set()
 
@@ -75,6 +75,6 @@
         for name in list(self._term.terminations.due(now)):
             machine = self._term.cluster.machines.get(name)
             if machine is None:
-                self._term.terminations.machine_gone(name)
+                self._term.terminations.remove_machine(name)
             else:
                 self._direct_messages.schedule(machine)
--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -90,7 +90,7 @@
             gpu_reserve=self._gpu_reserve,
             gpus_kept=gpus_kept,
             avoid=self._eligibility.avoids,
-            fetches_share=cluster.fetches_share(),
+            fetches_share=cluster.is_fetch_rate_shared(),
             recent_specs=tuple(self._recent_specs.values()),
             next_heartbeat_in_s=lambda machine: self._early_heartbeats.next_heartbeat_in_s(
                 machine, now
@@ -116,7 +116,7 @@
     def _tasks_being_stopped(self, machine: Machine) -> frozenset[Assignment]:
         """Return a machine's tasks with a pending termination."""
         terminations = self._term.terminations
-        if not terminations.any_on(machine.id):
+        if not terminations.has_any_on(machine.id):
             return frozenset()
         return frozenset(
             assignment
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -96,7 +96,7 @@
 
         See docs/design.md, safety argument 2.
         """
-        return not self.stopped and self.lease_validity.may_start(monotonic_now())
+        return not self.stopped and self.lease_validity.has_authority(monotonic_now())
 
     def may_begin(self) -> bool:
         """Return whether tasks may be started, and machines rented or released, now."""
--- a/src/ryewing/state/assignment_table.py
+++ b/src/ryewing/state/assignment_table.py
@@ -74,7 +74,7 @@
         self._planned.discard(assignment)
         if not machine.assignments:
             machine.idle_since = now
-        self.terminations.gone(machine.id, assignment.task, assignment.attempt)
+        self.terminations.remove(machine.id, assignment.task, assignment.attempt)
         job = assignment.job
         if job is None:
             return
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -92,10 +92,10 @@
     def remove(self, machine: Machine, now: MonotonicTime) -> None:
         """Forget a machine that is certainly gone, with all that was on it."""
         self.drop_all(machine, now)
-        self.terminations.machine_gone(machine.id)
+        self.terminations.remove_machine(machine.id)
         self.machines.pop(machine.id, None)
 
-    def answered(self, machine: Machine, now: MonotonicTime) -> None:
+    def extend_lease(self, machine: Machine, now: MonotonicTime) -> None:
         """Extend the time for which a machine may hold tasks.
 
         To be called just before a 200 response, from which the worker's lease may run anew.
@@ -104,7 +104,7 @@
         if machine.lease_expires_by is None or until > machine.lease_expires_by:
             machine.lease_expires_by = until
 
-    def expire(self, now: MonotonicTime) -> list[Machine]:
+    def expire_leases(self, now: MonotonicTime) -> list[Machine]:
         """Drop all on machines whose lease has certainly ended; return those machines."""
         expired = []
         for machine in self.machines.values():
@@ -125,9 +125,9 @@
             ):
                 yield machine
 
-    def restarted(self, machine: Machine, now: MonotonicTime) -> None:
-        """Start over with a restarted worker; see `HeartbeatApplier.forget_worker`."""
-        self._heartbeats.forget_worker(machine, now)
+    def reset_worker(self, machine: Machine, now: MonotonicTime) -> None:
+        """Start over with a restarted worker; see `HeartbeatApplier.reset_worker`."""
+        self._heartbeats.reset_worker(machine, now)
 
     # -- images -----------------------------------------------------------------------------
 
@@ -136,11 +136,11 @@
         """How much longer fetches beside others took than single ones, as learned; 1 at first."""
         return self._fetch_contention.slowdown
 
-    def fetches_share(self) -> bool:
+    def is_fetch_rate_shared(self) -> bool:
         """Return whether images fetched at once seem to share a machine's rate."""
         return self._fetch_contention.is_rate_shared()
 
-    def images(self) -> CachedImages:
+    def cached_images(self) -> CachedImages:
         """Return the image locality, of which other controllers are told."""
         indexes: dict[str, int] = {}
         images: list[tuple[str, float]] = []
@@ -157,7 +157,7 @@
     def restore_images(
         self, images: list[tuple[str, float]], machines: dict[str, list[int]]
     ) -> None:
-        """Take over the image locality of an earlier leader, as `images` returned it there.
+        """Take over the image locality of an earlier leader, as `cached_images` returned it there.
 
         Unknown machines and indexes out of range are skipped: it came from another process.
         """
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -25,7 +25,7 @@
 """The delay before the first probe of a job that fails everywhere."""
 BACKOFF_MAX_S = 60.0
 """The longest delay between probes: below the 90 s for which no job may wait beside room for it."""
-AVOID_S = 75.0
+MACHINE_AVOIDANCE_S = 75.0
 """How long a job avoids a machine where one of its tasks failed: below the same 90 s, since
 machines that fail tasks may recover."""
 REFUSAL_DELAY_S = 1.0
@@ -113,7 +113,9 @@
 
     def _fails_in_most_places(self, job: Job, now: MonotonicTime) -> bool:
         """Return whether a service failed lately on several machines, and on most of its own."""
-        failed_lately = {name for name, at in job.failed_on.items() if now - at < AVOID_S}
+        failed_lately = {
+            name for name, at in job.failed_on.items() if now - at < MACHINE_AVOIDANCE_S
+        }
         elsewhere = set(job.assigned_tasks.values()) - failed_lately
         return len(failed_lately) >= max(FAILING_MACHINES_MIN, len(elsewhere) + 1)
 
@@ -161,7 +163,7 @@
 
     def _back_off(self, job: Job, now: MonotonicTime) -> None:
         """Have a job back off, for longer each time: it is at fault, and its machines are not."""
-        self.clear_faults(job)
+        self.clear_failures(job)
         job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, job.backoff_s * 2))
         job.backoff_until = MonotonicTime(now + job.backoff_s)
         if not job.is_gang:
@@ -183,7 +185,7 @@
             for assignment in self._cluster.assignments_of(job)
         )
 
-    def has_recovered(self, job: Job, now: MonotonicTime) -> bool:
+    def end_backoff_if_recovered(self, job: Job, now: MonotonicTime) -> bool:
         """Return whether a job that backed off runs well after all; if so, end its backoff."""
         running_well = self._running_well(job, now)
         if not running_well:
@@ -212,14 +214,14 @@
         """Return whether a job's failures count against machines.
 
         They do if it succeeded elsewhere, or failed on a single machine. A job that is not live any
-        more was completed, or else its failures were forgiven (`clear_faults`).
+        more was completed, or else its failures were forgiven (`clear_failures`).
         """
         job = self._cluster.job_table.get(job_id)
         if job is None or job.done_count:
             return True
         return not job.backoff_s and (len(job.failed_on) == 1 or self.runs_well(job, now))
 
-    def clear_faults(self, job: Job) -> None:
+    def clear_failures(self, job: Job) -> None:
         """Hold a job's failures against no machine: the job is known or likely to be at fault."""
         for machine_id in job.failed_on:
             machine = self._cluster.machines.get(machine_id)
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -84,7 +84,7 @@
             machine.unacknowledged_since = now
         return True
 
-    def forget_worker(self, machine: Machine, now: MonotonicTime) -> None:
+    def reset_worker(self, machine: Machine, now: MonotonicTime) -> None:
         """Start over with a machine whose worker has lost its incarnation, token and tasks.
 
         This shows in an answer to a direct message that is older than a heartbeat which had
--- a/src/ryewing/state/job_table.py
+++ b/src/ryewing/state/job_table.py
@@ -22,7 +22,8 @@
 class JobTable:
     """The live jobs, and which of them have something to place or to write.
 
-    Whoever changes a job calls `reindex` afterwards, so that the sets stay right. Nothing here waits.
+    Every caller that changes a job has to call `reindex` afterwards, which keeps the sets up to
+    date. No method blocks.
     """
 
     def __init__(self) -> None:
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -79,11 +79,11 @@
         """Return whether this attempt is being stopped."""
         return (task, attempt) in self._by_machine.get(machine, ())
 
-    def any_on(self, machine: MachineId) -> bool:
+    def has_any_on(self, machine: MachineId) -> bool:
         """Return whether anything on a machine is being stopped."""
         return machine in self._by_machine
 
-    def gone(self, machine: MachineId, task: TaskId, attempt: Attempt) -> None:
+    def remove(self, machine: MachineId, task: TaskId, attempt: Attempt) -> None:
         """Forget the stop of an attempt that the worker no longer has."""
         terminations = self._by_machine.get(machine)
         if terminations is not None:
@@ -91,7 +91,7 @@
             if not terminations:
                 del self._by_machine[machine]
 
-    def machine_gone(self, machine: MachineId) -> None:
+    def remove_machine(self, machine: MachineId) -> None:
         """Forget all stops on a machine that has no tasks any more."""
         self._by_machine.pop(machine, None)
 
--- a/tests/election/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("since_renewal_s", "since_jobs_known_s", "may_start", "may_answer"),
+    ("since_renewal_s", "since_jobs_known_s", "has_authority", "may_answer"),
     [
         (0.0, 0.0, True, True),
         (2.9, 2.9, True, True),
@@ -34,7 +34,7 @@
 def test_lease_validity_by_time_since_renewal_and_since_the_jobs_are_known(
     since_renewal_s: float | None,
     since_jobs_known_s: float | None,
-    may_start: bool,
+    has_authority: bool,
     may_answer: bool,
 ) -> None:
     lease_validity = LeaseValidity(3.0, 15.0)
@@ -43,8 +43,8 @@
         lease_validity.confirm_renewal(MonotonicTime(now - since_renewal_s))
     if since_jobs_known_s is not None:
         lease_validity.confirm_jobs(MonotonicTime(now - since_jobs_known_s))
-    assert (lease_validity.may_start(now), lease_validity.may_answer_workers(now)) == (
-        may_start,
+    assert (lease_validity.has_authority(now), lease_validity.may_answer_workers(now)) == (
+        has_authority,
         may_answer,
     )
 
@@ -54,7 +54,7 @@
     for confirm in (lease_validity.confirm_renewal, lease_validity.confirm_jobs):
         confirm(MonotonicTime(T0 + 2.0))
         confirm(T0)  # an older renewal's answer that came later
-    assert lease_validity.may_start(MonotonicTime(T0 + 4.5))
+    assert lease_validity.has_authority(MonotonicTime(T0 + 4.5))
     assert lease_validity.may_answer_workers(MonotonicTime(T0 + 16.5))
 
 
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -143,7 +143,7 @@
     harness.later(settings().params.workers.lease_s)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     assert len(harness.leader.autoscaler.unhealthy_machines(harness.clock())) == silent
 
 
@@ -160,7 +160,7 @@
         harness.later(2.0)
         for worker in workers[4:]:
             harness.exchange(worker)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
     assert sorted((machine.id, reason) for machine, reason in chosen) == [
         (worker.name, "silent") for worker in workers[:4]
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -221,12 +221,12 @@
     bound = policy().hold_s + settings().params.workers.lease_s
     harness.later(bound - policy().gather_s - 0.5)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     harness.leader.scheduler.run_cycle()
     assert ("run-1/0" in harness.assignments("i-000002")) is (free_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())  # old hold and one lease are over
+    harness.leader.term.cluster.expire_leases(harness.clock())  # old hold and one lease are over
     harness.leader.scheduler.run_cycle()
     assert "run-1/0" in harness.assignments("i-000002")
 
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -190,7 +190,7 @@
     for n, machine in enumerate(fleet.cluster.machines.values()):
         for k in range(8):
             machine.record_image(f"some-longer-image-name-{(n + k) % 40:02d}", 1.0)
-    encoded = msgspec.msgpack.encode(ImageLocality(1, *fleet.cluster.images()))
+    encoded = msgspec.msgpack.encode(ImageLocality(1, *fleet.cluster.cached_images()))
     assert len(encoded) <= 2000 + 32 * size  # names once, then a byte for each image of a machine
 
 
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -132,7 +132,7 @@
     if alive:
         harness.exchange(worker)
         heard_at, until = machine.heard_at, machine.lease_expires_by
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     gone = not alive and age_s > LEASE_S
     copy_of = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
@@ -157,7 +157,7 @@
     harness.exchange(worker)
     held_back = worker.heartbeat()
     harness.later(LEASE_S + 1.0)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     assert harness.assignments() == {}
     assert harness.leader.on_heartbeat(held_back) is None
     assert harness.assignments() == {}
@@ -201,7 +201,7 @@
         assert harness.leader.on_heartbeat(copy.deepcopy(late)) is None
     bound = policy().hold_s + LEASE_S
     harness.later(bound)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     assert found.shortfall == 1  # and no longer than it may
     assert harness.leader.on_heartbeat(copy.deepcopy(late)) is None
     assert found.shortfall == 1
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -288,7 +288,7 @@
         for ref in images:
             one = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
             world.put(one, machine, 1)
-        assert not world.cluster.fetches_share()
+        assert not world.cluster.is_fetch_rate_shared()
     for machine in world.cluster.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
             shown = [
@@ -300,7 +300,7 @@
             world.cluster.apply_heartbeat(
                 machine, heartbeat, MonotonicTime(T0 + at), is_heartbeat=True
             )
-    assert world.cluster.fetches_share() is share
+    assert world.cluster.is_fetch_rate_shared() is share
 
 
 def test_a_gang_that_lacks_a_member_gets_it_where_the_image_is() -> None:
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -10,7 +10,7 @@
 from support.harness import LeaderHarness
 
 from ryewing.clients.peers import ImageLocality
-from ryewing.state.failure_detector import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
+from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S, MACHINE_AVOIDANCE_S
 from ryewing.state.jobs import Job
 from ryewing.state.machine import MIN_STABLE_RUN_S
 from ryewing.units import JobId, MachineId
@@ -127,12 +127,12 @@
     harness.place()
     assert not job.assigned_tasks
     assert not job.backoff_s
-    harness.later(AVOID_S + 0.1)
+    harness.later(MACHINE_AVOIDANCE_S + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
     assert job.assigned_tasks
-    assert AVOID_S < 90.0
+    assert MACHINE_AVOIDANCE_S < 90.0
 
 
 def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
--- a/tests/state/test_pending_terminations.py
+++ b/tests/state/test_pending_terminations.py
@@ -20,7 +20,7 @@
     assert list(terminations.due(MonotonicTime(T0 + RESEND_S))) == [machine]
     assert terminations.add(PendingTermination(machine, task, attempt, 0.0))
     assert list(terminations.due(T0)) == [machine]
-    terminations.gone(machine, task, Attempt(8))  # another attempt
+    terminations.remove(machine, task, Attempt(8))  # another attempt
     assert terminations.has(machine, task, attempt)
-    terminations.gone(machine, task, attempt)
+    terminations.remove(machine, task, attempt)
     assert not terminations.commands(machine, T0)
