--- a/src/ryewing/leader/paged_record_writer.py
+++ b/src/ryewing/leader/paged_record_writer.py
@@ -8,7 +8,7 @@
 
 from ryewing.clients.store import KeyValueStore
 from ryewing.leader.write import TXN_BYTES, Write
-from ryewing.state.paged_records import Change, PagedRecords
+from ryewing.state.paged_records import PagedRecords, PageTransaction
 from ryewing.units import Revision
 
 RecordT = TypeVar("RecordT")
@@ -33,7 +33,7 @@
         """
         writes: list[Write] = []
         for number, records in wanted.items():
-            if self.pages.lacks(number):
+            if self.pages.is_dirty(number):
                 writes.append(PageWrite(self, number, records, ops_max))
             else:
                 self.on_written(records)
@@ -41,7 +41,7 @@
 
     def removals(self, wanted: Container[int], ops_max: int) -> list[Write]:
         """Return the writes of changed pages without wanted records: records were dropped there."""
-        numbers = [number for number in self.pages.changed() if number not in wanted]
+        numbers = [number for number in self.pages.dirty_pages() if number not in wanted]
         return [PageWrite(self, number, None, ops_max) for number in numbers]
 
 
@@ -60,8 +60,8 @@
         records: Sequence[RecordT] | None,
         ops_max: int,
     ) -> None:
-        change: Change = writer.pages.change(number, ops_max, TXN_BYTES)
-        super().__init__(writer.pages.key(number), change.ops, change.conditions, change.size)
+        change: PageTransaction = writer.pages.next_transaction(number, ops_max, TXN_BYTES)
+        super().__init__(writer.pages.key(number), change.ops, change.conditions, change.size_bytes)
         self._writer = writer
         self._number = number
         self._records = records
@@ -70,14 +70,14 @@
 
     def on_applied(self, revision: Revision) -> None:
         """Note the new versions of the pages, and which records are in the store now."""
-        self._writer.pages.written(self._change, revision)
-        if self._records is not None and self._number in self._change.versions:
+        self._writer.pages.record_applied(self._change, revision)
+        if self._records is not None and self._number in self._change.modifications:
             self._writer.on_written(self._records)
 
     def on_conflict(self, key: str) -> None:
         """Take note of the version that the store has of a page."""
-        self._writer.pages.found(key, self._writer.store.get(key))
+        self._writer.pages.record_conflict(key, self._writer.store.get(key))
 
     def on_refused(self) -> bool:
         """Make the pages smaller, if that can help."""
-        return self._writer.pages.lower(self._change)
+        return self._writer.pages.shrink_pages(self._change)
--- a/src/ryewing/state/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -40,20 +40,20 @@
 """The least size of a page, however small the store's values seem to be."""
 
 
-class Change:
+class PageTransaction:
     """One transaction, which brings one or more pages up to date."""
 
-    __slots__ = ("conditions", "names", "ops", "size", "versions")
+    __slots__ = ("conditions", "modifications", "ops", "record_names", "size_bytes")
 
     def __init__(self) -> None:
         self.ops: list[Put] = []
         self.conditions: dict[str, KeyVersion] = {}
         """The key versions that the pages must have for the transaction to be applied."""
-        self.versions: dict[int, int] = {}
+        self.modifications: dict[int, int] = {}
         """By page number: the latest modification of the page that this writes."""
-        self.names: dict[int, list[str]] = {}
+        self.record_names: dict[int, list[str]] = {}
         """By page number: the names of the records that this writes."""
-        self.size = 0
+        self.size_bytes = 0
         """About how many bytes it has."""
 
 
@@ -213,11 +213,11 @@
             if name in page.stored_names:
                 self._write_after(number, other)
 
-    def lower(self, change: Change) -> bool:
+    def shrink_pages(self, change: PageTransaction) -> bool:
         """Make pages smaller, since the store rejects a change; return False if that can't help."""
-        largest = max((self._pages[number].size for number in change.versions), default=0)
+        largest = max((self._pages[number].size for number in change.modifications), default=0)
         if largest <= MIN_PAGE_BYTES or all(
-            len(self._pages[number].records) < 2 for number in change.versions
+            len(self._pages[number].records) < 2 for number in change.modifications
         ):
             return False
         self._page_bytes = max(MIN_PAGE_BYTES, min(self._page_bytes, largest) / 2)
@@ -236,11 +236,11 @@
         """Have a page written only after the present modification of another one."""
         self._pages[number].written_after[other] = self._modified[other]
 
-    def changed(self) -> Iterator[int]:
+    def dirty_pages(self) -> Iterator[int]:
         """Yield the numbers of the pages that the store lacks."""
         yield from self._modified
 
-    def lacks(self, number: int) -> bool:
+    def is_dirty(self, number: int) -> bool:
         """Return whether a page has still to be written."""
         return number in self._modified
 
@@ -248,7 +248,7 @@
         """Return the key of a page."""
         return f"{self._prefix}{number}"
 
-    def change(self, number: int, ops_max: int, bytes_max: int) -> Change:
+    def next_transaction(self, number: int, ops_max: int, bytes_max: int) -> PageTransaction:
         """Return the transaction that brings a page up to date.
 
         If other pages must be written before it, and all of them don't fit into one transaction,
@@ -256,17 +256,17 @@
         """
         needed: dict[int, None] = {}
         self._add_needed(number, needed)
-        change = Change()
+        change = PageTransaction()
         for each in needed:
             page = self._pages[each]
             size = page.size + len(self.key(each))
-            if change.ops and (len(change.ops) >= ops_max or change.size + size > bytes_max):
+            if change.ops and (len(change.ops) >= ops_max or change.size_bytes + size > bytes_max):
                 break
             change.ops.append(Put(self.key(each), dict(page.records)))
             change.conditions[self.key(each)] = page.key_version
-            change.versions[each] = self._modified.get(each, 0)
-            change.names[each] = list(page.records)
-            change.size += size
+            change.modifications[each] = self._modified.get(each, 0)
+            change.record_names[each] = list(page.records)
+            change.size_bytes += size
         return change
 
     def _add_needed(self, number: int, needed: dict[int, None]) -> None:
@@ -278,18 +278,18 @@
 
     # -- what the store has answered --------------------------------------------------------
 
-    def written(self, change: Change, revision: Revision) -> None:
+    def record_applied(self, change: PageTransaction, revision: Revision) -> None:
         """Record that the store has applied a change, at a revision."""
-        for number, modification in change.versions.items():
+        for number, modification in change.modifications.items():
             page = self._pages[number]
             page.key_version = KeyVersion(revision)
             page.stored_modification = modification
-            page.stored_names = frozenset(change.names[number])
+            page.stored_names = frozenset(change.record_names[number])
             if self._modified.get(number) == modification:
                 del self._modified[number]
                 page.written_after.clear()
 
-    def found(self, key: str, entry: Entry | None) -> None:
+    def record_conflict(self, key: str, entry: Entry | None) -> None:
         """Record that the store has another version of a page than the change had named.
 
         An earlier write, whose answer was lost, was applied after all.
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -97,13 +97,13 @@
 def apply(packed: PagedRecords, store: FakeStore, ops_max: int, stop_after: int = 10_000) -> int:
     """Write what is wanted, up to so many transactions; return how many it took."""
     for done in range(stop_after):
-        number = next(packed.changed(), None)
+        number = next(packed.dirty_pages(), None)
         if number is None:
             return done
-        change = packed.change(number, ops_max, 48 * 1024)
+        change = packed.next_transaction(number, ops_max, 48 * 1024)
         result = store.txn(change.conditions, list(change.ops))
         assert result.ok
-        packed.written(change, result.revision)
+        packed.record_applied(change, result.revision)
     return stop_after
 
 
@@ -180,8 +180,8 @@
     assert len(found) == 2
     packed.put("run-1/0", "gQ==")
     for number in (0, 1):
-        assert packed.change(number, 1, 1024).ops[0].key == "d/1"
-    assert [put.key for put in packed.change(0, 2, 1024).ops] == ["d/1", "d/0"]
+        assert packed.next_transaction(number, 1, 1024).ops[0].key == "d/1"
+    assert [put.key for put in packed.next_transaction(0, 2, 1024).ops] == ["d/1", "d/0"]
 
 
 def test_a_reading_that_failed_is_done_again_from_the_start() -> None:
@@ -192,10 +192,10 @@
         found, twice = packed.load(store.listing(MACHINE_PREFIX)[0])
         assert len(found) == len(records)
         assert not twice
-    first = dict(packed.change(next(packed.changed()), 8, 65536).conditions)
+    first = dict(packed.next_transaction(next(packed.dirty_pages()), 8, 65536).conditions)
     packed.load([])
     packed.put("i-1", {"n": 1})
-    assert packed.change(0, 8, 65536).conditions == {packed.key(0): 0} != first
+    assert packed.next_transaction(0, 8, 65536).conditions == {packed.key(0): 0} != first
 
 
 def test_a_first_write_that_was_applied_unseen_makes_its_value_wait() -> None:
@@ -203,15 +203,15 @@
     packed = PagedRecords(MACHINE_PREFIX, 1.0)
     for n in range(12):
         packed.put(f"i-{n}", {"addr": ""})
-    unseen = packed.change(0, 8, 65536)
+    unseen = packed.next_transaction(0, 8, 65536)
     for n in range(12):
         packed.put(f"i-{n}", {"addr": "x" * 90})
-    given = [key for key in (packed.key(n) for n in packed.changed()) if key != packed.key(0)]
+    given = [key for key in (packed.key(n) for n in packed.dirty_pages()) if key != packed.key(0)]
     assert given
-    assert len(packed.change(0, 8, 65536).ops) == 1
+    assert len(packed.next_transaction(0, 8, 65536).ops) == 1
     applied = Entry(packed.key(0), msgspec.Raw(msgspec.json.encode(unseen.ops[0].value)), 7)
-    packed.found(packed.key(0), applied)
-    change = packed.change(0, 8, 65536)
+    packed.record_conflict(packed.key(0), applied)
+    change = packed.next_transaction(0, 8, 65536)
     assert len(change.ops) > 1
     assert change.ops[-1].key == packed.key(0)
     assert change.conditions[packed.key(0)] == 7
@@ -222,11 +222,11 @@
     packed = PagedRecords(MACHINE_PREFIX, 2.0)
     packed.load(store.listing(MACHINE_PREFIX)[0])
     sent: list[tuple[dict[str, KeyVersion], list[Put]]] = []
-    while (number := next(packed.changed(), None)) is not None:
-        change = packed.change(number, 4, 48 * 1024)
+    while (number := next(packed.dirty_pages(), None)) is not None:
+        change = packed.next_transaction(number, 4, 48 * 1024)
         sent.append((dict(change.conditions), list(change.ops)))
         result = store.txn(change.conditions, list(change.ops))
-        packed.written(change, result.revision)
+        packed.record_applied(change, result.revision)
     for name in list(records)[:60]:
         packed.drop(name)  # whole values are emptied
     apply(packed, store, 4)
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -317,8 +317,8 @@
 def written(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
     """Make every wanted change; return how many."""
     count = 0
-    while wanted := list(pages.changed()):
-        change = pages.change(wanted[0], STATE.txn_ops, 48 * 1024)
+    while wanted := list(pages.dirty_pages()):
+        change = pages.next_transaction(wanted[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
             assignment = store.get(key)
             assert condition == (assignment.key_version if assignment is not None else 0)
@@ -326,10 +326,10 @@
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
             store[put.key] = Entry(put.key, msgspec.Raw(data), key_version)
-        assert sum(len(bytes(store[put.key].data)) for put in change.ops) <= change.size + 2 * len(
-            change.ops
-        )
-        pages.written(change, Revision(key_version))
+        assert sum(
+            len(bytes(store[put.key].data)) for put in change.ops
+        ) <= change.size_bytes + 2 * len(change.ops)
+        pages.record_applied(change, Revision(key_version))
         count += len(change.ops)
     return count
 
@@ -359,11 +359,11 @@
 def test_a_change_made_while_a_write_is_under_way_is_written_too() -> None:
     pages = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
     number = pages.put("run-1/0", "AA==")
-    change = pages.change(number, 8, 1024)
+    change = pages.next_transaction(number, 8, 1024)
     pages.put("run-1/0", "gA==")
-    pages.written(change, Revision(7))
-    assert pages.lacks(number)
-    assert pages.change(number, 8, 1024).conditions == {pages.key(number): 7}
+    pages.record_applied(change, Revision(7))
+    assert pages.is_dirty(number)
+    assert pages.next_transaction(number, 8, 1024).conditions == {pages.key(number): 7}
 
 
 def hear(harness: LeaderHarness, worker: FakeWorker) -> None:
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -105,7 +105,7 @@
     pages = PagedRecords("m/", 8.0)
     pages.put("i-1", MachineRecord("c32", "a", False, "10.1.0.2:9000", True))
     pages.put("i-2", MachineRecord("g4", "b", True))
-    clients.store.txn(FENCED, pages.change(0, 8, 65536).ops)
+    clients.store.txn(FENCED, pages.next_transaction(0, 8, 65536).ops)
 
 
 def write_finished_tasks(clients: Clients) -> None:
@@ -114,7 +114,7 @@
         job.finish(number)
     pages = PagedRecords("d/", 8.0)
     pages.put("run-3/0", job.chunk_text(0))
-    change = pages.change(0, 8, 65536)
+    change = pages.next_transaction(0, 8, 65536)
     clients.store.txn({**FENCED, **change.conditions}, change.ops)
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -270,8 +270,8 @@
         harness.store.txn({}, [Put(live_key(one.id), record)])
     harness.store.limits = msgspec.structs.replace(harness.store.limits, value_kb=16.0)
     for packed in (wide, done):
-        for number in list(packed.changed()):
-            assert harness.store.txn({}, list(packed.change(number, 8, 65536).ops)).ok
+        for number in list(packed.dirty_pages()):
+            assert harness.store.txn({}, list(packed.next_transaction(number, 8, 65536).ops)).ok
     before = old_reading(harness)
     assert len(before[0]) == 100
     assert len(before[1]) == 40
@@ -297,8 +297,8 @@
         for n in range(30):
             name = f"i-{term:03d}{n:03d}"
             wide.put(name, MachineRecord("c32", "a", False, f"10.{term}.0.{n}:9000", True))
-        for number in list(wide.changed()):
-            change = wide.change(number, 8, 65536)
+        for number in list(wide.dirty_pages()):
+            change = wide.next_transaction(number, 8, 65536)
             assert harness.store.txn(change.conditions, list(change.ops)).ok
         leader = harness.new_leader(term)
         assert len(leader.term.cluster.machines) == 30 * (term - 5)
