--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -149,7 +149,7 @@
         whole_fetch_s = fetch_s(spec, machine.machine_type.fetch_gb_per_s)
         fetch = machine.fetches.get(spec.image)
         if fetch is not None and machine.images_in_use[spec.image]:
-            return max(MIN_FETCH_LEFT_S, whole_fetch_s - (self.now - fetch.began))
+            return max(MIN_FETCH_LEFT_S, whole_fetch_s - (self.now - fetch.started_at))
         shares_rate = self.snapshot.fetches_share and capacity.fetches_other(spec.image)
         return whole_fetch_s * (SHARED_FETCH_FACTOR if shares_rate else 1.0)
 
--- a/src/ryewing/state/image_fetches.py
+++ b/src/ryewing/state/image_fetches.py
@@ -17,10 +17,10 @@
 class ImageFetch:
     """An image on its way to a machine, as reported by the tasks that wait for it."""
 
-    __slots__ = ("alone", "began")
+    __slots__ = ("alone", "started_at")
 
-    def __init__(self, began: MonotonicTime, alone: bool) -> None:
-        self.began = began
+    def __init__(self, started_at: MonotonicTime, alone: bool) -> None:
+        self.started_at = started_at
         self.alone = alone
         """Whether the machine has fetched no other image at the same time."""
 
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -327,7 +327,7 @@
         expected_s = spec.image_gb / max(self.machine_type.fetch_gb_per_s, 1e-3)
         if fetch is None or fetch.alone or expected_s < MEASURABLE_FETCH_S:
             return None
-        return (now - fetch.began) / expected_s
+        return (now - fetch.started_at) / expected_s
 
     def _begin_fetch(self, image: str, now: MonotonicTime) -> None:
         for name in [n for n in self.fetches if not self.images_in_use[n]]:
