--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -47,7 +47,7 @@
 
     def note_spec(self, job: Job) -> None:
         """Remember what a waiting job's tasks take: others leave room for such tasks."""
-        self._gpu_reserve = self._gpu_reserve.widened(job)
+        self._gpu_reserve = self._gpu_reserve.including(job)
         job_class = job.spec.job_class
         if not job.is_service and (
             job_class in self._recent_specs or len(self._recent_specs) < RECENT_CLASSES_MAX
@@ -70,7 +70,9 @@
         capacities = [
             MachineCapacity(machine, self._tasks_being_stopped(machine))
             for machine in cluster.machines.values()
-            if machine.usable() and machine.heard_at is not None and machine.heard_at > fresh_since
+            if machine.is_schedulable()
+            and machine.heard_at is not None
+            and machine.heard_at > fresh_since
         ]
         quota = TeamQuota(
             self._term.team_limits.teams(),
@@ -88,7 +90,7 @@
             gpu_reserve=self._gpu_reserve,
             gpus_kept=gpus_kept,
             avoid=self._eligibility.avoids,
-            fetches_share=cluster.fetches_share(),
+            fetches_share=cluster.is_fetch_rate_shared(),
             recent_specs=tuple(self._recent_specs.values()),
             next_heartbeat_in_s=lambda machine: self._early_heartbeats.next_heartbeat_in_s(
                 machine, now
@@ -103,18 +105,18 @@
         gpus, cpus = Supply(), Supply()
         cpus_per_gpu = max(self._gpu_reserve.cpus, MIN_CPUS_PER_GPU)
         for machine in self._term.cluster.machines.values():
-            if machine.usable():
-                free_gpus = min(machine.gpus, max(0.0, machine.cpus) // cpus_per_gpu)
-                gpus.total += machine.machine_type.gpus - machine.gpus + free_gpus
+            if machine.is_schedulable():
+                free_gpus = min(machine.free_gpus, max(0.0, machine.free_cpus) // cpus_per_gpu)
+                gpus.total += machine.machine_type.gpus - machine.free_gpus + free_gpus
                 gpus.free += free_gpus
                 cpus.total += machine.machine_type.cpus
-                cpus.free += machine.cpus
+                cpus.free += machine.free_cpus
         return Supplies(gpus, cpus)
 
     def _tasks_being_stopped(self, machine: Machine) -> frozenset[Assignment]:
         """Return a machine's tasks with a pending termination."""
         terminations = self._term.terminations
-        if not terminations.any_on(machine.id):
+        if not terminations.has_any_on(machine.id):
             return frozenset()
         return frozenset(
             assignment
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -83,7 +83,7 @@
         is, and the gap is no longer than a stop and a start take; without room it serves on.
         """
         job, machine = assignment.job, assignment.machine
-        if job is None or assignment.task.number not in job.live:
+        if job is None or assignment.task.number not in job.assigned_tasks:
             return
         state = self._state
         is_about_to_go = machine.notice_s is not None
@@ -114,7 +114,7 @@
         return [
             capacity
             for capacity in self._state.candidates(job).capacities
-            if not capacity.machine.faults
+            if not capacity.machine.failed_jobs
             and self._state.may_use(job, capacity)
             and self._state.is_warm_enough(job.spec, capacity)
             and (must_move or gpu_cost(job.spec, capacity.machine) <= present_cost)
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -49,7 +49,7 @@
     readable: bool = True
 
 
-class Registration(NamedTuple):
+class RegistrySnapshot(NamedTuple):
     """What one reading of the store returned."""
 
     shards: dict[ShardName, StoredOwnership]
@@ -67,7 +67,7 @@
     def __init__(self, store: Store) -> None:
         self._store = store
 
-    def agree_on(self, shards: ShardSettings) -> None:
+    def ensure_division(self, shards: ShardSettings) -> None:
         """Store the division of the fleet; raise DivisionDiffersError if another, or none, holds.
 
         Controllers that divide the fleet in different ways could each count a machine as theirs
@@ -93,7 +93,7 @@
         if _decoded(entry.data) != _decoded(division):
             raise DivisionDiffersError("the store holds the records of another division")
 
-    def read(self, names: Iterable[ShardName]) -> Registration:
+    def read(self, names: Iterable[ShardName]) -> RegistrySnapshot:
         """Read the shards' records and the controllers' health.
 
         A record that can't be read concerns its own shard only.
@@ -109,7 +109,7 @@
             record = decode_stored(entry.data, Ownership, entry.key)
             version = KeyVersion(entry.key_version)
             shards[name] = StoredOwnership(record, version, record is not None)
-        return Registration(shards, healthy_nodes(listed), revision)
+        return RegistrySnapshot(shards, healthy_nodes(listed), revision)
 
     def advance(
         self,
@@ -118,9 +118,9 @@
         step: Callable[[Ownership], Ownership | None],
     ) -> Ownership | None:
         """Take a step of a shard that has a record; one without is left alone (see `take`)."""
-        return self.take(name, stored, lambda old: step(old) if old is not None else None)
+        return self.apply_step(name, stored, lambda old: step(old) if old is not None else None)
 
-    def take(self, name: ShardName, stored: StoredOwnership, step: Step) -> Ownership | None:
+    def apply_step(self, name: ShardName, stored: StoredOwnership, step: Step) -> Ownership | None:
         """Take a step from a record as it was read.
 
         Return the new record, or None if the step wasn't taken.
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -14,7 +14,7 @@
 from ryewing.state.attempts import REFUSALS, EndCause, TaskPhase
 from ryewing.state.job_table import JobTable
 from ryewing.state.jobs import Job
-from ryewing.state.machine import Assignment, Machine, ran_for_a_while
+from ryewing.state.machine import Assignment, Machine, is_stable
 from ryewing.units import JobId, MachineId, MonotonicTime
 
 log = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
 """The delay before the first probe of a job that fails everywhere."""
 BACKOFF_MAX_S = 60.0
 """The longest delay between probes: below the 90 s for which no job may wait beside room for it."""
-AVOID_S = 75.0
+MACHINE_AVOIDANCE_S = 75.0
 """How long a job avoids a machine where one of its tasks failed: below the same 90 s, since
 machines that fail tasks may recover."""
 REFUSAL_DELAY_S = 1.0
@@ -51,7 +51,7 @@
     """Decides what a failed task says of its job and its machine, and which jobs back off.
 
     What it has learned is kept with the jobs and machines (`Job.failed_on`, `Job.backoff_s`,
-    `Machine.faults`). Nothing here waits.
+    `Machine.failed_jobs`). Nothing here waits.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -84,7 +84,7 @@
         run well elsewhere.
         """
         machine = assignment.machine
-        ran_well = ran_for_a_while(assignment, now)
+        ran_well = is_stable(assignment, now)
         log.warning(
             "job=%s machine=%s event=replica-ended cause=%s ran_well=%s",
             job.id,
@@ -101,7 +101,7 @@
             self._probe_failed(job, assignment, now)
             return
         if cause == EndCause.ERROR:
-            machine.faults.add(job.id)
+            machine.failed_jobs.add(job.id)
         if self._fails_in_most_places(job, now) and not self.runs_well(job, now):
             self._back_off(job, now)
 
@@ -113,8 +113,10 @@
 
     def _fails_in_most_places(self, job: Job, now: MonotonicTime) -> bool:
         """Return whether a service failed lately on several machines, and on most of its own."""
-        failed_lately = {name for name, at in job.failed_on.items() if now - at < AVOID_S}
-        elsewhere = set(job.live.values()) - failed_lately
+        failed_lately = {
+            name for name, at in job.failed_on.items() if now - at < MACHINE_AVOIDANCE_S
+        }
+        elsewhere = set(job.assigned_tasks.values()) - failed_lately
         return len(failed_lately) >= max(FAILING_MACHINES_MIN, len(elsewhere) + 1)
 
     def _start_refused(self, job: Job, machine: Machine, cause: str, now: MonotonicTime) -> None:
@@ -134,7 +136,7 @@
         if job.backoff_s:
             self._probe_failed(job, assignment, now)
             return
-        machine.faults.add(job.id)
+        machine.failed_jobs.add(job.id)
         if job.done_count or len(job.failed_on) < FAILING_MACHINES_MIN:
             return
         runs_elsewhere = {
@@ -161,7 +163,7 @@
 
     def _back_off(self, job: Job, now: MonotonicTime) -> None:
         """Have a job back off, for longer each time: it is at fault, and its machines are not."""
-        self.clear_faults(job)
+        self.clear_failures(job)
         job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_MIN_S, job.backoff_s * 2))
         job.backoff_until = MonotonicTime(now + job.backoff_s)
         if not job.is_gang:
@@ -183,7 +185,7 @@
             for assignment in self._cluster.assignments_of(job)
         )
 
-    def has_recovered(self, job: Job, now: MonotonicTime) -> bool:
+    def end_backoff_if_recovered(self, job: Job, now: MonotonicTime) -> bool:
         """Return whether a job that backed off runs well after all; if so, end its backoff."""
         running_well = self._running_well(job, now)
         if not running_well:
@@ -205,23 +207,23 @@
         return [
             assignment
             for assignment in self._cluster.assignments_of(job)
-            if assignment.phase == TaskPhase.RUNNING and ran_for_a_while(assignment, now)
+            if assignment.phase == TaskPhase.RUNNING and is_stable(assignment, now)
         ]
 
     def is_healthy(self, job_id: JobId, now: MonotonicTime) -> bool:
         """Return whether a job's failures count against machines.
 
         They do if it succeeded elsewhere, or failed on a single machine. A job that is not live any
-        more was completed, or else its failures were forgiven (`clear_faults`).
+        more was completed, or else its failures were forgiven (`clear_failures`).
         """
         job = self._cluster.job_table.get(job_id)
         if job is None or job.done_count:
             return True
         return not job.backoff_s and (len(job.failed_on) == 1 or self.runs_well(job, now))
 
-    def clear_faults(self, job: Job) -> None:
+    def clear_failures(self, job: Job) -> None:
         """Hold a job's failures against no machine: the job is known or likely to be at fault."""
         for machine_id in job.failed_on:
             machine = self._cluster.machines.get(machine_id)
             if machine is not None:
-                machine.faults.discard(job.id)
+                machine.failed_jobs.discard(job.id)
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -21,7 +21,7 @@
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.job_records import final_key
-from ryewing.state.machine import RAN_FOR_A_WHILE_S
+from ryewing.state.machine import MIN_STABLE_RUN_S
 from ryewing.state.resources import infeasibility_reason
 from ryewing.units import MachineId, MonotonicTime, WallTime, Zone
 from ryewing.wire.workers import ReportedTask
@@ -56,7 +56,7 @@
     name = serve(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
     assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (one, other):
         if worker.tasks:
             worker.finish(cause)
@@ -84,7 +84,7 @@
     name = serve(harness, one, other, task_count=1)
     [at] = replicas(harness, name).values()
     here, there = (one, other) if at == one.name else (other, one)
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     here.finish("done")
     harness.exchange(here)
     harness.exchange(there)
@@ -127,23 +127,25 @@
         harness.later(1.0)
     assert service.backoff_s == 60.0
     assert begun < 60
-    assert not any(m.faults or m.quarantined for m in harness.leader.term.cluster.machines.values())
+    assert not any(
+        m.failed_jobs or m.quarantined for m in harness.leader.term.cluster.machines.values()
+    )
     harness.later(61.0)
     for worker in workers * 2:
         harness.exchange(worker)
     harness.place()
-    assert len(service.live) == 1  # one tells whether it still does
+    assert len(service.assigned_tasks) == 1  # one tells whether it still does
     harness.place()
-    assert len(service.live) == 1
+    assert len(service.assigned_tasks) == 1
     for _ in range(2):
         for worker in workers:
             harness.exchange(worker)
-        harness.later(RAN_FOR_A_WHILE_S)
+        harness.later(MIN_STABLE_RUN_S)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
     assert not service.backoff_s
-    assert len(service.live) == 6
+    assert len(service.assigned_tasks) == 6
 
 
 def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
@@ -151,8 +153,8 @@
     workers = harness.ready_workers(6)
     name = serve(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
-    assert len(set(service.live.values())) == 6
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    assert len(set(service.assigned_tasks.values())) == 6
+    harness.later(MIN_STABLE_RUN_S + 1)
     for worker in workers:
         harness.exchange(worker)
     for bad in workers[:4]:
@@ -164,7 +166,7 @@
             harness.exchange(bad)
     assert not service.backoff_s
     cluster = harness.leader.term.cluster
-    assert cluster.machines[MachineId(workers[0].name)].faults
+    assert cluster.machines[MachineId(workers[0].name)].failed_jobs
 
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
@@ -242,8 +244,8 @@
         [gang],
         [gang],
     )
-    assert plan.reserved is None
-    assert not plan.stops
+    assert plan.reservation is None
+    assert not plan.preemptions
 
 
 def test_a_service_that_waited_long_begins_whole() -> None:
@@ -275,14 +277,14 @@
     """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
     short = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
     found = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert sum(plan.count for plan in found) == expected
+    assert sum(plan.machine_count for plan in found) == expected
     assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
 
 
 def test_nothing_is_rented_for_a_replica_in_a_zone_that_is_full_of_them() -> None:
     one = job(**{**SERVICE, "task_count": 4, "spread": True})
-    one.zones[Zone("a")] = 2
-    one.live = dict.fromkeys((0, 1), MachineId("i-1"))
+    one.tasks_by_zone[Zone("a")] = 2
+    one.assigned_tasks = dict.fromkeys((0, 1), MachineId("i-1"))
     [plan] = plan_scale_out([Unplaced(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
@@ -394,4 +396,4 @@
     harness.later(1.5)
     harness.exchange(worker)
     harness.place()
-    assert len(service.live) == 1
+    assert len(service.assigned_tasks) == 1
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -109,7 +109,7 @@
     plan = world.plan(urgent)
     assert spread_of(plan) == {}
     assert not plan.unplaced
-    assert {assignment.machine.id for assignment in plan.stops} == {"i-2"}
+    assert {assignment.machine.id for assignment in plan.preemptions} == {"i-2"}
 
 
 def test_both_steps_of_urgent_work_keep_to_one_zone() -> None:
@@ -136,7 +136,7 @@
     ]
     plan = world.plan(*jobs)
     assert not plan.unplaced
-    assert len(plan.stops) == 90
+    assert len(plan.preemptions) == 90
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
     plan = world.plan(
         world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
     )
-    assert len(plan.stops) == 8  # two for the first job, the rest for the second
+    assert len(plan.preemptions) == 8  # two for the first job, the rest for the second
     assert [(one.id, n) for one, n in plan.unplaced] == [("run-2", 2)]
 
 
@@ -265,7 +265,7 @@
     urgent = world.job("run-2", priority="urgent", task_count=1)
     after = world.job("run-3", task_count=1, cpus=8.0)
     plan = world.plan(before, urgent, after)
-    assert len(plan.stops) == 1
+    assert len(plan.preemptions) == 1
     assert [one for one, _count in plan.unplaced] == [before]
 
 
@@ -288,7 +288,7 @@
         for ref in images:
             one = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
             world.put(one, machine, 1)
-        assert not world.cluster.fetches_share()
+        assert not world.cluster.is_fetch_rate_shared()
     for machine in world.cluster.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
             shown = [
@@ -300,7 +300,7 @@
             world.cluster.apply_heartbeat(
                 machine, heartbeat, MonotonicTime(T0 + at), is_heartbeat=True
             )
-    assert world.cluster.fetches_share() is share
+    assert world.cluster.is_fetch_rate_shared() is share
 
 
 def test_a_gang_that_lacks_a_member_gets_it_where_the_image_is() -> None:
@@ -355,12 +355,12 @@
     """Found in inc-9466: 32 tasks of other jobs followed 16 failed ones onto a faulty machine."""
     world = World()
     suspect = world.machine("i-1")
-    suspect.faults.add(JobId("run-9"))
+    suspect.failed_jobs.add(JobId("run-9"))
     one = world.job("run-1", task_count=8)
     assert spread_of(world.plan(one)) == {"i-1": 1}
     world.put(one, suspect, 1)
     assert spread_of(world.plan(one)) == {}
-    suspect.faults.clear()  # as a finish does
+    suspect.failed_jobs.clear()  # as a finish does
     assert spread_of(world.plan(one)) == {"i-1": 7}
 
 
@@ -371,12 +371,12 @@
     many = world.job("run-8", task_count=50)
     world.job_table.record_run_time(many, 20.0)
     for _ in range(2):
-        slow.record_pace(many, 40.0)
-    assert not slow.slow()  # two tasks are chance
-    slow.record_pace(many, 40.0)
-    other.record_pace(many, 24.0)
-    assert slow.slow()
-    assert not other.slow()
+        slow.record_relative_run_time(many, 40.0)
+    assert not slow.is_straggler()  # two tasks are chance
+    slow.record_relative_run_time(many, 40.0)
+    other.record_relative_run_time(many, 24.0)
+    assert slow.is_straggler()
+    assert not other.is_straggler()
     assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
     assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
 
@@ -389,9 +389,9 @@
         job("run-4", at=3.0, gpus=0.0, task_count=1),
         job("run-5", at=9.0, gpus=1.0, task_count=4, team="blue"),
     ]
-    preemption.mark_guarantees(jobs, TEAMS)
+    preemption.mark_guaranteed_jobs(jobs, TEAMS)
     assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
     for index in range(3):
         jobs[0].finish(index)
-    preemption.mark_guarantees(jobs, TEAMS)  # judged once, when a job comes
+    preemption.mark_guaranteed_jobs(jobs, TEAMS)  # judged once, when a job comes
     assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
