--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
-from ryewing.autoscaling.options import Option
+from ryewing.autoscaling.options import RentalOption
 from ryewing.autoscaling.scale_out import ScaleOutPlan
 from ryewing.clients.cloud import RENT_MAX, Cloud, NoCapacityError
 from ryewing.clients.store import Put
@@ -51,7 +51,7 @@
             option.machine_type,
             option.zone,
             option.spot,
-            min(RENT_MAX, plan.count),
+            min(RENT_MAX, plan.machine_count),
         )
         self.pending[request.id] = request
         result = self._term.store.txn(
@@ -73,12 +73,12 @@
         """Send a recorded request to the cloud; it stays pending if the cloud does not answer."""
         if not self._term.may_begin():
             return
-        option = Option(request.machine_type, request.zone, request.spot)
+        option = RentalOption(request.machine_type, request.zone, request.spot)
         try:
             names = self.cloud.rent(request)
         except NoCapacityError:
             log.info("event=no-capacity machine_type=%s zone=%s spot=%s", *option)
-            self.backoff.refused(option, monotonic_now())
+            self.backoff.record_no_capacity(option, monotonic_now())
             names = []
         self._add_machines(request, option, names)
         self.pending.pop(request.id, None)
@@ -88,15 +88,15 @@
         self._term.writes_needed.set()
 
     def _add_machines(
-        self, request: RentalRequest, option: Option, names: Sequence[MachineId]
+        self, request: RentalRequest, option: RentalOption, names: Sequence[MachineId]
     ) -> None:
         """Add the machines that a request has brought."""
         now = monotonic_now()
         if names:
             if len(names) < request.count:
-                self.backoff.refused(option, now)
+                self.backoff.record_no_capacity(option, now)
             else:
-                self.backoff.granted(option)
+                self.backoff.reset(option)
             log.info(
                 "event=rented count=%d requested=%d machine_type=%s zone=%s spot=%s rental=%s",
                 len(names),
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -16,7 +16,7 @@
 from ryewing.scheduling.plan import Batch, BatchPart, Plan
 from ryewing.scheduling.snapshot import SchedulingSnapshot
 from ryewing.state.jobs import Job
-from ryewing.state.machine import COLD, FETCHED_NOW, WARM, MachineKind
+from ryewing.state.machine import COLD, FETCHING, WARM, MachineKind
 from ryewing.units import MachineId, Zone
 from ryewing.wire.jobs import SERVICE, JobSpec
 
@@ -193,7 +193,7 @@
         """
         spec = job.spec
         machine = capacity.machine
-        if machine.faults:
+        if machine.failed_jobs:
             # The machine failed a task and has finished none since, so it gets one task as a probe.
             return 0 if machine.assignments or capacity.images_placed else 1
         warmth = machine.warmth(spec.image)
@@ -201,7 +201,7 @@
             return spec.task_count
         if fetch_s(spec, machine.machine_type.fetch_gb_per_s) <= LONG_FETCH_S:
             return spec.task_count
-        if warmth == FETCHED_NOW:
+        if warmth == FETCHING:
             return spec.task_count if self.all_jobs_tried else 0
         if self.snapshot.fetches_share and capacity.fetches_other_image(spec.image):
             return 0  # fetches that share the rate take as long as one after the other
@@ -228,7 +228,8 @@
         if job.spec.spread:
             zone = capacity.machine.zone
             max_tasks = min(
-                max_tasks, job.zone_max - limits.tasks_by_zone[zone] - chosen_by_zone.get(zone, 0)
+                max_tasks,
+                job.max_tasks_per_zone - limits.tasks_by_zone[zone] - chosen_by_zone.get(zone, 0),
             )
         if job.is_service and limits.displaced_share_max < math.inf:
             if is_cold:
--- a/src/ryewing/scheduling/job_limits.py
+++ b/src/ryewing/scheduling/job_limits.py
@@ -33,7 +33,7 @@
         self.gpu_reserve = gpu_reserve.for_job(job)
         """What its tasks must leave free for each free GPU."""
         self.victim_key = victim_key(job)
-        self.tasks_by_zone: Counter[Zone] = Counter(job.zones)
+        self.tasks_by_zone: Counter[Zone] = Counter(job.tasks_by_zone)
         """How many of its tasks are in each zone, including those placed in this cycle."""
         self.sampled_only = False
         """Whether only a sample of the candidate machines was examined for it."""
--- a/src/ryewing/scheduling/queueing.py
+++ b/src/ryewing/scheduling/queueing.py
@@ -104,7 +104,7 @@
     spec = job.spec
     if job.is_service:
         return ()  # a service has no end, so it can't be late
-    has_begun = bool(job.live) or job.done_count > 0
+    has_begun = bool(job.assigned_tasks) or job.done_count > 0
     limits_s: set[float] = set()
     for objective in objectives:
         if objective.job_class != spec.job_class:
@@ -160,7 +160,7 @@
     chosen = [
         job
         for job in jobs
-        if not job.live and not job.done_count and now - job.accepted_at > OVERDUE_AGE_S
+        if not job.assigned_tasks and not job.done_count and now - job.accepted_at > OVERDUE_AGE_S
     ]
     return sorted(chosen, key=_by_priority_and_age)
 
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -87,7 +87,7 @@
         its present machine is about to be reclaimed, the new one may also have to fetch the image.
         """
         job, machine = assignment.job, assignment.machine
-        if job is None or assignment.task.number not in job.live:
+        if job is None or assignment.task.number not in job.assigned_tasks:
             return
         state = self._state
         will_be_reclaimed = machine.notice_s is not None
@@ -118,7 +118,7 @@
         return [
             capacity
             for capacity in self._state.candidates(job).capacities
-            if not capacity.machine.faults
+            if not capacity.machine.failed_jobs
             and self._state.may_use(job, capacity)
             and self._state.meets_image_limits(job.spec, capacity)
             and (must_move or gpu_cost(job.spec, capacity.machine) <= present_cost)
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -51,8 +51,8 @@
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     guards: list[tuple[Callable[[], None], Callable[[], None]]] = [
         (
-            lambda: setattr(machine, "acknowledged", -1),
-            lambda: setattr(machine, "acknowledged", 0),
+            lambda: setattr(machine, "acknowledged_bump", -1),
+            lambda: setattr(machine, "acknowledged_bump", 0),
         ),
         (lambda: setattr(machine, "recorded", False), lambda: setattr(machine, "recorded", True)),
         (lambda: harness.later(3.1, renewed=False), lambda: harness.later(0.0)),
@@ -64,7 +64,7 @@
     for take_away, give_back in guards:
         take_away()
         heartbeat = worker.heartbeat()
-        heartbeat.token = 0 if not machine.handshaken else heartbeat.token
+        heartbeat.token = 0 if not machine.acknowledged_term else heartbeat.token
         answer = harness.leader.on_heartbeat(heartbeat)
         assert answer is not None
         assert not starts(answer.commands)
@@ -188,7 +188,7 @@
     assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)  # the handshake
-    assert machine.handshaken
+    assert machine.acknowledged_term
     assert worker.token == fencing_token(TermNumber(6))
     assert harness.leader.scheduler.check_reconciled()
     harness.leader.scheduler.run_cycle()
@@ -221,12 +221,12 @@
     bound = policy().hold_s + settings().params.workers.lease_s
     harness.later(bound - policy().gather_s - 0.5)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     harness.leader.scheduler.run_cycle()
     assert ("run-1/0" in harness.assignments("i-000002")) is (free_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())  # old hold and one lease are over
+    harness.leader.term.cluster.expire_leases(harness.clock())  # old hold and one lease are over
     harness.leader.scheduler.run_cycle()
     assert "run-1/0" in harness.assignments("i-000002")
 
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -61,7 +61,7 @@
             machine = self.cluster.add(
                 MachineId(f"i-{n:06d}"), machine_type, Zone("abc"[n % 3]), n % 5 == 0, T0
             )
-            machine.acknowledged, machine.recorded = 0, True
+            machine.acknowledged_bump, machine.recorded = 0, True
 
     def job(self, ref: str, **changes: Any) -> Job:
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
@@ -70,7 +70,7 @@
         """Fill every machine that has no cards with a job's tasks."""
         numbers = iter(range(one.spec.task_count))
         for machine in self.cluster.machines.values():
-            while not machine.machine_type.gpus and machine.cpus >= one.spec.cpus:
+            while not machine.machine_type.gpus and machine.free_cpus >= one.spec.cpus:
                 task = TaskId(one.id, next(numbers))
                 self.cluster.assign(machine, task, Attempt(1), TaskPhase.RUNNING, T0)
 
@@ -190,7 +190,7 @@
     for n, machine in enumerate(fleet.cluster.machines.values()):
         for k in range(8):
             machine.record_image(f"some-longer-image-name-{(n + k) % 40:02d}", 1.0)
-    encoded = msgspec.msgpack.encode(ImageLocality(1, *fleet.cluster.images()))
+    encoded = msgspec.msgpack.encode(ImageLocality(1, *fleet.cluster.cached_images()))
     assert len(encoded) <= 2000 + 32 * size  # names once, then a byte for each image of a machine
 
 
@@ -214,7 +214,7 @@
     before = harness.store.writes
     harness.ready(*workers)
     assert harness.store.writes - before <= size // 20 + 1
-    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
+    assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
     harness.new_leader(6)
     assert len(harness.leader.term.cluster.machines) == size
     assert all(m.recorded for m in harness.leader.term.cluster.machines.values())
@@ -229,7 +229,7 @@
         result = harness.store.txn({}, [Put(live_key(name), record)])
         found = harness.leader.term.job_table.put(record, KeyVersion(result.revision))
         found.finish(n)
-        harness.leader.term.job_table.touch(found)
+        harness.leader.term.job_table.reindex(found)
     before = harness.store.writes
     harness.write()
     assert harness.store.writes - before <= jobs // 16 + 1
@@ -244,7 +244,7 @@
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
         found = harness.leader.term.job_table.put(record, KeyVersion(1))
         found.finish(0)
-        harness.leader.term.job_table.touch(found)
+        harness.leader.term.job_table.reindex(found)
     harness.write()
     harness.new_leader(6)  # none of the jobs is in the store
     assert not harness.leader.term.job_table.jobs
@@ -317,8 +317,8 @@
 def written(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
     """Make every wanted change; return how many."""
     count = 0
-    while wanted := list(pages.changed()):
-        change = pages.change(wanted[0], STATE.txn_ops, 48 * 1024)
+    while wanted := list(pages.dirty_pages()):
+        change = pages.next_transaction(wanted[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
             assignment = store.get(key)
             assert condition == (assignment.key_version if assignment is not None else 0)
@@ -326,10 +326,10 @@
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
             store[put.key] = Entry(put.key, msgspec.Raw(data), key_version)
-        assert sum(len(bytes(store[put.key].data)) for put in change.ops) <= change.size + 2 * len(
-            change.ops
-        )
-        pages.written(change, Revision(key_version))
+        assert sum(
+            len(bytes(store[put.key].data)) for put in change.ops
+        ) <= change.size_bytes + 2 * len(change.ops)
+        pages.record_applied(change, Revision(key_version))
         count += len(change.ops)
     return count
 
@@ -359,11 +359,11 @@
 def test_a_change_made_while_a_write_is_under_way_is_written_too() -> None:
     pages = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
     number = pages.put("run-1/0", "AA==")
-    change = pages.change(number, 8, 1024)
+    change = pages.next_transaction(number, 8, 1024)
     pages.put("run-1/0", "gA==")
-    pages.written(change, Revision(7))
-    assert pages.lacks(number)
-    assert pages.change(number, 8, 1024).conditions == {pages.key(number): 7}
+    pages.record_applied(change, Revision(7))
+    assert pages.is_dirty(number)
+    assert pages.next_transaction(number, 8, 1024).conditions == {pages.key(number): 7}
 
 
 def hear(harness: LeaderHarness, worker: FakeWorker) -> None:
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -10,9 +10,9 @@
 from support.harness import LeaderHarness
 
 from ryewing.clients.peers import ImageLocality
-from ryewing.state.failure_detector import AVOID_S, BACKOFF_MAX_S, BACKOFF_MIN_S
+from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S, MACHINE_AVOIDANCE_S
 from ryewing.state.jobs import Job
-from ryewing.state.machine import RAN_FOR_A_WHILE_S
+from ryewing.state.machine import MIN_STABLE_RUN_S
 from ryewing.units import JobId, MachineId
 
 
@@ -57,7 +57,7 @@
     lines = [record.getMessage() for record in caplog.records]
     assert sum("event=backed-off" in line for line in lines) == 1
     assert sum("event=task-failed" in line for line in lines) <= len(workers)
-    assert not any(m.faults for m in harness.leader.term.cluster.machines.values())
+    assert not any(m.failed_jobs for m in harness.leader.term.cluster.machines.values())
 
 
 def test_what_was_not_sent_yet_need_not_fail_as_well(harness: LeaderHarness) -> None:
@@ -66,7 +66,7 @@
     harness.place()
     fail_all(harness, workers[:3])
     assert job.backoff_s
-    assert not job.live
+    assert not job.assigned_tasks
     assert not harness.assignments(workers[3].name)
 
 
@@ -83,7 +83,7 @@
             harness.place()
             for worker in workers:
                 harness.exchange(worker)
-        assert len(job.live) == 1
+        assert len(job.assigned_tasks) == 1
         fail_all(harness, workers)
         seen.append(job.backoff_s)
     assert seen == [2.0, 4.0, 8.0, 16.0, 32.0, BACKOFF_MAX_S, BACKOFF_MAX_S, BACKOFF_MAX_S]
@@ -100,18 +100,18 @@
     harness.place()
     for worker in workers * 2:
         harness.exchange(worker)
-    assert len(job.live) == 1
+    assert len(job.assigned_tasks) == 1
     if ends:
         for worker in workers:
             worker.finish("done")
     else:
-        harness.later(RAN_FOR_A_WHILE_S + 0.1)
+        harness.later(MIN_STABLE_RUN_S + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.write()
     harness.place()
     assert not job.backoff_s
-    assert len(job.live) > 1
+    assert len(job.assigned_tasks) > 1
 
 
 def test_a_machine_that_has_recovered_is_used_again(harness: LeaderHarness) -> None:
@@ -119,20 +119,20 @@
     workers = harness.ready_workers(2)
     job = live_job(harness, "run-1", task_count=60)
     job.finish(59)
-    harness.leader.term.job_table.touch(job)
+    harness.leader.term.job_table.reindex(job)
     harness.write()
     harness.place()
-    assert len(set(job.live.values())) == 2
+    assert len(set(job.assigned_tasks.values())) == 2
     fail_all(harness, workers)
     harness.place()
-    assert not job.live
+    assert not job.assigned_tasks
     assert not job.backoff_s
-    harness.later(AVOID_S + 0.1)
+    harness.later(MACHINE_AVOIDANCE_S + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
-    assert job.live
-    assert AVOID_S < 90.0
+    assert job.assigned_tasks
+    assert MACHINE_AVOIDANCE_S < 90.0
 
 
 def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
@@ -193,9 +193,9 @@
     harness.place()
     fail_all(harness, workers[:1])
     machine = harness.leader.term.cluster.machines[MachineId(workers[0].name)]
-    assert machine.faults == {job.id}
+    assert machine.failed_jobs == {job.id}
     harness.leader.apply_cancel(job.id)
-    assert not machine.faults
+    assert not machine.failed_jobs
 
 
 def test_a_successor_is_told_which_jobs_fail_everywhere(harness: LeaderHarness) -> None:
@@ -204,7 +204,7 @@
     job = failed_job(harness, workers)
     healthy = live_job(harness, "run-2", task_count=2)
     healthy.finish(0)
-    harness.leader.term.job_table.touch(healthy)
+    harness.leader.term.job_table.reindex(healthy)
     harness.write()
     told = harness.leader.image_locality()
     assert told.failing == {job.id: BACKOFF_MIN_S}
@@ -216,7 +216,7 @@
     harness.ready(*workers)
     harness.place()
     inherited = leader.term.job_table.jobs[JobId("run-1")]
-    assert len(inherited.live) == 1
+    assert len(inherited.assigned_tasks) == 1
     fail_all(harness, workers)
     assert inherited.backoff_s == 2 * BACKOFF_MIN_S
 
@@ -273,5 +273,5 @@
         harness.exchange(worker)
     assert found is not None
     assert bool(found.backoff_s) is at_fault
-    suspects = [m for m in harness.leader.term.cluster.machines.values() if m.faults]
+    suspects = [m for m in harness.leader.term.cluster.machines.values() if m.failed_jobs]
     assert len(suspects) == (0 if at_fault else faulty)
