--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -1,4 +1,4 @@
-"""The indexes of a cycle: the same as looking at every machine, without looking at every one."""
+"""The indexes of `Candidates` match a scan of all machines, at a bounded cost."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RandomWorld(World):
-    """Machines with images and tasks of all priorities, and jobs that wait."""
+    """Machines with random images and with tasks of all priorities, and waiting jobs."""
 
     def __init__(self, seed: int, size: int = 40) -> None:
         super().__init__()
@@ -54,12 +54,12 @@
             spot=True,
         )
 
-    def waiting(self, count: int) -> list[Job]:
-        """Make jobs that wait."""
+    def waiting_jobs(self, count: int) -> list[Job]:
+        """Add jobs without assigned tasks."""
         return [self._job(f"run-2{number:04d}", 12) for number in range(count)]
 
-    def inputs(self, sample: int = 64) -> scheduling.SchedulingSnapshot:
-        """Give what a cycle starts from."""
+    def snapshot(self, sample: int = 64) -> scheduling.SchedulingSnapshot:
+        """Return the input of a cycle, with all machines."""
         teams = {team.name: team for team in settings().params.teams}
         capacities = [MachineCapacity(machine) for machine in self.machines]
         quota = TeamQuota(teams, {}, {})
@@ -69,18 +69,18 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_indexes_tell_what_every_machine_would(seed: int) -> None:
-    """Compared after each of many steps in which room is taken and tasks are stopped."""
+def test_indexes_match_a_scan_of_all_machines(seed: int) -> None:
+    """The results are compared after each of many steps that claim resources or stop a task."""
     world = RandomWorld(seed)
-    jobs = world.waiting(10)
-    state = CycleState(world.inputs(), jobs)
+    jobs = world.waiting_jobs(10)
+    state = CycleState(world.snapshot(), jobs)
     preemptor = Preemptor(state)
     for _ in range(60):
         job = world.rng.choice(jobs)
         state.begin_turn(job)
         candidates = state.candidates(job)
         for part in (candidates, *map(candidates.with_at_most_gpus, candidates.gpu_counts())):
-            _assert_same_as_a_scan(job, part, preemptor)
+            _assert_matches_scan(job, part, preemptor)
         chosen = world.rng.choice(candidates.capacities)
         victims = preemptor.victims_on(job, chosen)
         if victims:
@@ -90,14 +90,14 @@
             chosen.claim(job.spec, 1)
 
 
-def _assert_same_as_a_scan(job: Job, part: Candidates, preemptor: Preemptor) -> None:
+def _assert_matches_scan(job: Job, candidates: Candidates, preemptor: Preemptor) -> None:
     image = job.spec.image
-    here = part.capacities
-    assert part.fitting(job.spec) == [c for c in here if c.may_fit(job.spec)]
-    assert part.with_image(image) == [c for c in here if c.machine.warmth(image) < COLD]
-    assert preemptor.usable_machines(job, part, all_or_nothing=False) == [
+    capacities = candidates.capacities
+    assert candidates.fitting(job.spec) == [c for c in capacities if c.may_fit(job.spec)]
+    assert candidates.with_image(image) == [c for c in capacities if c.machine.warmth(image) < COLD]
+    assert preemptor.usable_machines(job, candidates, all_or_nothing=False) == [
         capacity
-        for capacity in here
+        for capacity in capacities
         if any(
             may_preempt(job, assignment) and assignment not in capacity.stopping
             for assignment in capacity.machine.assignments.values()
@@ -105,12 +105,15 @@
     ]
 
 
-def test_machines_that_a_single_job_avoids_are_left_out_for_it_alone() -> None:
-    """What is stopped for it is seen by what it looks at next: found with a replica that stopped
-    one task more than it needed."""
+def test_candidates_narrowed_for_one_job_see_its_preemptions() -> None:
+    """Narrowing for one job leaves the shared candidates as they are.
+
+    A job's next step must see the tasks that its previous step stopped. Without that, a replica
+    preempted one task more than it needed.
+    """
     world = RandomWorld(1)
     job = world.job("run-9", priority="production", cpus=16.0, spot=True)
-    state = CycleState(world.inputs(), [job])
+    state = CycleState(world.snapshot(), [job])
     state.begin_turn(job)
     candidates = state.candidates(job)
     narrowed = state.narrowed(candidates, candidates.capacities[1:])
@@ -132,19 +135,19 @@
 
 
 @pytest.mark.parametrize("scale", [1, 4])
-def test_a_cycle_asks_each_machine_a_bounded_number_of_times(
+def test_the_checks_per_cycle_grow_linearly_with_machines_and_jobs(
     monkeypatch: pytest.MonkeyPatch, scale: int
 ) -> None:
-    """Of four times the machines and jobs, four times the questions, not sixteen times."""
+    """With four times the machines and jobs, there are four times the checks, not sixteen times."""
     world = RandomWorld(5, 200 * scale)
-    jobs = world.waiting(40 * scale)
-    asked: list[int] = []
+    jobs = world.waiting_jobs(40 * scale)
+    checks: list[int] = []
     may_fit = MachineCapacity.may_fit
 
-    def counted(capacity: MachineCapacity, spec: object) -> bool:
-        asked.append(1)
+    def counting_may_fit(capacity: MachineCapacity, spec: object) -> bool:
+        checks.append(1)
         return may_fit(capacity, spec)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(MachineCapacity, "may_fit", counted)
-    scheduling.run_cycle(world.inputs(policy().sample), jobs)
-    assert len(asked) <= 12 * len(world.machines) + 4 * policy().sample * len(jobs)
+    monkeypatch.setattr(MachineCapacity, "may_fit", counting_may_fit)
+    scheduling.run_cycle(world.snapshot(policy().sample), jobs)
+    assert len(checks) <= 12 * len(world.machines) + 4 * policy().sample * len(jobs)
--- a/tests/scheduling/test_fairness.py
+++ b/tests/scheduling/test_fairness.py
@@ -1,7 +1,8 @@
-"""Against a steady stream of smaller work: the largest begin, and every class and team is served.
+"""Fairness under a steady stream of small jobs: large jobs begin, and no class or team starves.
 
-A small world in steps of five seconds: cycles place, tasks run their time, and as much new small
-work comes as has ended, so that there is never room to spare.
+A small cluster runs in steps of five seconds. In each step, tasks end after their estimated time,
+new small jobs arrive for those that ended, and a cycle places tasks. There are always more jobs
+than free resources.
 """
 
 from __future__ import annotations
@@ -36,11 +37,11 @@
 )
 
 STEP_S = 5.0
-BOUND_S = 240.0
+MAX_START_DELAY_S = 240.0
 
 
-class Stream:
-    """Machines, a queue of small jobs that never ends, and one large job."""
+class SteadyLoad:
+    """A cluster with a constant number of waiting small jobs, and one large job."""
 
     def __init__(self, machines: int, small: dict[str, Any], waiting: int) -> None:
         self.job_table = JobTable()
@@ -49,7 +50,7 @@
         self.small = small
         self.waiting = waiting
         self.count = 0
-        self.began: dict[str, float] = {}
+        self.start_delays_s: dict[str, float] = {}
         self.rng = random.Random(3)
         for n in range(machines):
             machine = self.cluster.add(
@@ -62,7 +63,7 @@
         record = JobRecord(job_spec(f"run-{self.count}", **changes), self.now)
         return self.job_table.put(record, KeyVersion(1))
 
-    def end_tasks(self) -> None:
+    def finish_tasks(self) -> None:
         for machine in self.cluster.machines.values():
             for assignment in list(machine.assignments.values()):
                 job = assignment.job
@@ -77,7 +78,7 @@
 
     def step(self) -> None:
         self.now += STEP_S
-        self.end_tasks()
+        self.finish_tasks()
         small = sum(job.shortfall > 0 for job in self.job_table) - 1
         for _ in range(max(0, self.waiting - small)):
             self.accept(**self.small)
@@ -99,7 +100,7 @@
         for assignment in stopped:
             self.cluster.drop(assignment, MonotonicTime(self.now))
         for batch in plan.batches:
-            self.began.setdefault(batch.job.id, self.now - batch.job.accepted_at)
+            self.start_delays_s.setdefault(batch.job.id, self.now - batch.job.accepted_at)
             for machine, count in batch.parts:
                 for number in batch.job.dequeue(count):
                     task = TaskId(batch.job.id, number)
@@ -108,8 +109,14 @@
                     )
 
 
-ONE = {"shape": "group", "priority": "urgent", "task_count": 1, "cpus": 30.0, "estimated_s": 60.0}
-PAIR = {**ONE, "task_count": 2, "same_zone": True}
+SINGLE_GANG = {
+    "shape": "group",
+    "priority": "urgent",
+    "task_count": 1,
+    "cpus": 30.0,
+    "estimated_s": 60.0,
+}
+PAIR_GANG = {**SINGLE_GANG, "task_count": 2, "same_zone": True}
 ARRAY = {"priority": "standard", "task_count": 8, "cpus": 4.0, "estimated_s": 30.0}
 
 
@@ -117,42 +124,45 @@
     ("small", "waiting", "large"),
     [
         (
-            ONE,
+            SINGLE_GANG,  # small gangs get each machine that becomes free
             4,
-            {**ONE, "task_count": 6, "same_zone": True},
-        ),  # small gangs take each machine freed
-        (PAIR, 4, {**ONE, "task_count": 6, "same_zone": True}),
-        (PAIR, 4, {**ONE, "task_count": 9}),  # from both zones
-        ({**ARRAY, "priority": "urgent"}, 6, {**ONE, "task_count": 6, "same_zone": True}),
-        (ARRAY, 30, {**ARRAY, "task_count": 2000}),  # put off by the order, as it can't be on time
+            {**SINGLE_GANG, "task_count": 6, "same_zone": True},
+        ),
+        (PAIR_GANG, 4, {**SINGLE_GANG, "task_count": 6, "same_zone": True}),
+        (PAIR_GANG, 4, {**SINGLE_GANG, "task_count": 9}),  # needs machines of both zones
+        ({**ARRAY, "priority": "urgent"}, 6, {**SINGLE_GANG, "task_count": 6, "same_zone": True}),
+        (ARRAY, 30, {**ARRAY, "task_count": 2000}),  # deferred, since it can't be on time
         (ARRAY, 30, {**ARRAY, "team": "blue", "priority": "idle"}),  # lower priority, another team
         (ARRAY, 30, {**ARRAY, "priority": "idle", "task_count": 2000, "job_class": "other"}),
     ],
 )
-def test_the_largest_begin_within_four_minutes(
+def test_large_jobs_begin_within_four_minutes(
     small: dict[str, Any], waiting: int, large: dict[str, Any]
 ) -> None:
-    stream = Stream(12, small, waiting)
+    load = SteadyLoad(12, small, waiting)
     for _ in range(12):
-        stream.step()
-    one = stream.accept(**large)
-    while one.id not in stream.began and stream.now - one.accepted_at < 4 * BOUND_S:
-        stream.step()
-    assert stream.began.get(one.id, 4 * BOUND_S) <= BOUND_S
-
-
-@pytest.mark.parametrize("small", [ONE, PAIR, ARRAY])
-def test_room_that_is_kept_is_used_for_what_ends_in_time(small: dict[str, Any]) -> None:
-    """A reservation must not empty a zone for minutes: short work goes on beside it."""
-    stream = Stream(12, small, 4)
+        load.step()
+    large_job = load.accept(**large)
+    while (
+        large_job.id not in load.start_delays_s
+        and load.now - large_job.accepted_at < 4 * MAX_START_DELAY_S
+    ):
+        load.step()
+    assert load.start_delays_s.get(large_job.id, 4 * MAX_START_DELAY_S) <= MAX_START_DELAY_S
+
+
+@pytest.mark.parametrize("small", [SINGLE_GANG, PAIR_GANG, ARRAY])
+def test_reserved_machines_are_used_by_tasks_that_end_in_time(small: dict[str, Any]) -> None:
+    """A reservation must not leave a zone idle for minutes: short tasks are backfilled."""
+    load = SteadyLoad(12, small, 4)
     for _ in range(12):
-        stream.step()
-    stream.accept(**{**ONE, "task_count": 6, "same_zone": True})
-    quick = {**ARRAY, "estimated_s": 5.0}
-    used = []
+        load.step()
+    load.accept(**{**SINGLE_GANG, "task_count": 6, "same_zone": True})
+    short_array = {**ARRAY, "estimated_s": 5.0}
+    utilizations = []
     for _ in range(40):
-        stream.accept(**quick)
-        stream.step()
-        free = sum(m.free_cpus for m in stream.cluster.machines.values())
-        used.append(1 - free / (12 * CPU.cpus))
-    assert sum(used) / len(used) > 0.8
+        load.accept(**short_array)
+        load.step()
+        free = sum(m.free_cpus for m in load.cluster.machines.values())
+        utilizations.append(1 - free / (12 * CPU.cpus))
+    assert sum(utilizations) / len(utilizations) > 0.8
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -1,4 +1,4 @@
-"""Where tasks go."""
+"""On which machines a cycle places tasks of arrays and gangs, and which tasks it preempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ryewing.wire.workers import Heartbeat, ReportedTask
 
 
-def test_fullest_fitting_machine_first() -> None:
+def test_the_fullest_fitting_machine_is_used_first() -> None:
     world = World()
     world.machine("i-1")
     world.put(world.job("run-9", task_count=5), world.machine("i-2"), 5)
@@ -23,48 +23,50 @@
 @pytest.mark.parametrize(
     ("changes", "expected"),
     [
-        ({"task_count": 16}, 16),  # 8 a machine
-        ({"task_count": 17, "shape": "group"}, 0),  # whole or not at all
+        ({"task_count": 16}, 16),  # 8 per machine
+        ({"task_count": 17, "shape": "group"}, 0),  # all members or none
         ({"task_count": 16, "shape": "group"}, 16),
-        ({"task_count": 16, "shape": "group", "same_zone": True}, 0),  # 8 a zone
+        ({"task_count": 16, "shape": "group", "same_zone": True}, 0),  # 8 per zone
         ({"task_count": 8, "shape": "group", "same_zone": True}, 8),
         ({"task_count": 16, "same_zone": True}, 8),
-        ({"task_count": 9, "spread": True}, 9),  # 5 and 4
+        ({"task_count": 9, "spread": True}, 9),  # 5 and 4 per zone
         ({"task_count": 16, "spread": True, "zone": "a"}, 8),
         ({"task_count": 16, "zone": "b"}, 8),
         ({"task_count": 16, "machine_types": ["g4"]}, 0),
-        ({"task_count": 20, "team": "blue"}, 16),  # limit of 64 processors
+        ({"task_count": 20, "team": "blue"}, 16),  # the team's limit is 64 CPUs
     ],
 )
-def test_placement_keeps_the_jobs_wishes(changes: dict[str, Any], expected: int) -> None:
+def test_placement_follows_the_constraints_of_the_spec(
+    changes: dict[str, Any], expected: int
+) -> None:
     world = World()
     world.machine("i-1", zone="a")
     world.machine("i-2", zone="b")
-    world.machine("i-3", zone="c", spot=True)  # nobody here may use spot machines
+    world.machine("i-3", zone="c", spot=True)  # these jobs may not use spot machines
     placed = spread_of(world.plan(world.job("run-1", **changes)))
     assert sum(placed.values()) == expected
     assert "i-3" not in placed
 
 
-def test_spread_counts_tasks_that_are_there() -> None:
+def test_spread_counts_tasks_that_already_run() -> None:
     world = World()
     a, b = world.machine("i-1", zone="a"), world.machine("i-2", zone="b")
-    one = world.job("run-1", task_count=8, spread=True)
-    world.put(one, a, 4)
-    assert spread_of(world.plan(one)) == {b.id: 4}
+    waiting_job = world.job("run-1", task_count=8, spread=True)
+    world.put(waiting_job, a, 4)
+    assert spread_of(world.plan(waiting_job)) == {b.id: 4}
 
 
-def test_together_stays_where_an_old_attempt_still_is() -> None:
+def test_a_same_zone_job_stays_in_the_zone_of_its_running_tasks() -> None:
     world = World()
     a = world.machine("i-1", zone="a")
     world.machine("i-2", zone="b")
-    one = world.job("run-1", task_count=12, same_zone=True)
-    world.put(one, a, 8)  # zone a is full
-    assert spread_of(world.plan(one)) == {}
+    waiting_job = world.job("run-1", task_count=12, same_zone=True)
+    world.put(waiting_job, a, 8)  # zone a is full
+    assert spread_of(world.plan(waiting_job)) == {}
 
 
 @pytest.mark.parametrize(("unseen", "expected"), [((0.0, 0.0), 8), ((0.0, 4.0), 4)])
-def test_unreconciled_room_counts_against_limits(
+def test_unreconciled_resources_count_against_limits(
     unseen: tuple[float, float], expected: int
 ) -> None:
     world = World()
@@ -77,29 +79,29 @@
     assert sum(placed.values()) == expected - 2
 
 
-def test_tasks_without_gpus_leave_what_gpus_need() -> None:
-    """Found on a quiet day: GPUs lay idle because others held their processors."""
+def test_tasks_without_gpus_leave_cpus_for_gpu_tasks() -> None:
+    """On a lightly loaded day, GPUs stayed idle because other tasks held the CPUs beside them."""
     world = World()
-    world.machine("i-1", GPU)  # 24 processors, 4 GPUs
+    world.machine("i-1", GPU)  # 24 CPUs, 4 GPUs
     world.job("run-9", gpus=1.0, cpus=5.0)
     assert spread_of(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1)
-    assert spread_of(world.plan(urgent)) == {"i-1": 1}  # more important work may
+    assert spread_of(world.plan(urgent)) == {"i-1": 1}  # a higher priority is exempt
 
 
 @pytest.mark.parametrize(("kept", "expected"), [(0.0, 24), (2.0, 14), (5.0, 4), (99.0, 4)])
-def test_only_gpus_that_are_soon_wanted_are_kept(kept: float, expected: int) -> None:
-    """Found on a rough day: 200 processors lay idle beside GPUs that nobody wanted."""
+def test_the_gpu_reserve_covers_only_the_expected_gpu_demand(kept: float, expected: int) -> None:
+    """On a day with difficult conditions, 200 CPUs stayed idle beside GPUs without demand."""
     world = World()
     for n in range(2):
         world.machine(f"i-{n}", GPU)
     world.job("run-9", gpus=1.0, cpus=5.0)
-    one = world.job("run-1", task_count=40, cpus=2.0, memory_gb=1.0)
-    assert sum(spread_of(world.plan(one, kept=kept)).values()) == expected
+    waiting_job = world.job("run-1", task_count=40, cpus=2.0, memory_gb=1.0)
+    assert sum(spread_of(world.plan(waiting_job, kept=kept)).values()) == expected
 
 
-def test_urgent_work_preempts_less_important_work_rather_than_strand_gpus() -> None:
-    """Found on quiet days: gangs that ran for minutes beside GPUs that nobody could use."""
+def test_an_urgent_gang_preempts_rather_than_strand_gpus() -> None:
+    """On lightly loaded days, gangs ran for minutes on machines whose GPUs then became unusable."""
     world = World()
     world.machine("i-1", GPU)
     idle = world.job("run-9", task_count=8)
@@ -112,18 +114,24 @@
     assert {assignment.machine.id for assignment in plan.preemptions} == {"i-2"}
 
 
-def test_both_steps_of_urgent_work_keep_to_one_zone() -> None:
-    """Found by the table above: a second step chose its zone anew."""
+def test_placing_by_gpu_count_keeps_a_same_zone_job_in_one_zone() -> None:
+    """Machines without GPUs and then machines with GPUs are tried in two steps.
+
+    The second step once chose a zone of its own, which the table of constraints above revealed.
+    """
     world = World()
     world.machine("i-1", zone="a")
     world.machine("i-2", GPU, zone="b")
     world.job("run-8", gpus=1.0)
-    one = world.job("run-1", priority="urgent", task_count=12, same_zone=True)
-    assert spread_of(world.plan(one)) == {"i-1": 8}
+    waiting_job = world.job("run-1", priority="urgent", task_count=12, same_zone=True)
+    assert spread_of(world.plan(waiting_job)) == {"i-1": 8}
 
 
 def test_preemption_tries_every_zone() -> None:
-    """Found on a rough day: bound to the first zone looked at, an urgent job waited for ever."""
+    """On a day with difficult conditions, an urgent job waited forever.
+
+    It was restricted to the first zone that was examined.
+    """
     world = World()
     idle = world.job("run-9", priority="idle", task_count=96, cpus=1.0, memory_gb=1.0)
     for n, zone in enumerate("abc"):
@@ -145,14 +153,14 @@
         ("urgent", "red", False, "standard", False, True),
         ("standard", "red", False, "standard", False, False),
         ("idle", "red", False, "standard", False, False),
-        ("standard", "red", True, "standard", False, True),  # a borrower gives way
-        ("standard", "blue", True, "standard", False, False),  # of its own team: no
-        ("urgent", "red", False, "idle", True, False),  # guaranteed work gives way to nobody
-        ("standard", "red", True, "standard", True, False),  # two guarantees: no
-        ("standard", "red", True, "urgent", False, False),  # nor can it stop that in turn
+        ("standard", "red", True, "standard", False, True),  # beyond its guarantee: yes
+        ("standard", "blue", True, "standard", False, False),  # same team: no
+        ("urgent", "red", False, "idle", True, False),  # a guaranteed victim: no
+        ("standard", "red", True, "standard", True, False),  # both guaranteed: no
+        ("standard", "red", True, "urgent", False, False),  # a victim of higher priority: no
     ],
 )
-def test_who_may_be_stopped_for_whom(
+def test_which_jobs_may_preempt_a_task(
     priority: str,
     team: str,
     guaranteed: bool,
@@ -165,13 +173,13 @@
     victim = world.job("run-9", priority=victim_priority, team="blue", task_count=1)
     victim.guaranteed = victim_guaranteed
     world.put(victim, machine, 1)
-    one = world.job("run-1", priority=priority, team=team)
-    one.guaranteed = guaranteed
+    waiting_job = world.job("run-1", priority=priority, team=team)
+    waiting_job.guaranteed = guaranteed
     assignment = next(iter(machine.assignments.values()))
-    assert preemption.may_preempt(one, assignment) is expected
+    assert preemption.may_preempt(waiting_job, assignment) is expected
 
 
-def test_room_being_freed_is_claimed_once() -> None:
+def test_releasing_resources_are_claimed_only_once() -> None:
     world = World()
     machine = world.machine("i-1")
     idle = world.job("run-9", priority="idle", task_count=8)
@@ -180,10 +188,10 @@
         world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
     )
     assert len(plan.preemptions) == 8  # two for the first job, the rest for the second
-    assert [(one.id, n) for one, n in plan.unplaced] == [("run-2", 2)]
+    assert [(unplaced.id, n) for unplaced, n in plan.unplaced] == [("run-2", 2)]
 
 
-def test_work_per_cycle_is_bounded_by_the_sample() -> None:
+def test_the_sample_bounds_the_machines_used_for_one_job() -> None:
     world = World()
     for n in range(300):
         world.machine(f"i-{n}")
@@ -191,13 +199,13 @@
     assert len(spread_of(plan)) == 16
 
 
-def test_arrays_wait_a_little_for_the_image_and_gangs_do_not() -> None:
+def test_arrays_wait_briefly_for_warm_machines_and_gangs_do_not() -> None:
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 1.0)
     world.put(world.job("run-9", task_count=8, image="other"), warm, 8)
     array = world.job("run-1", task_count=1, image_gb=1.0)
-    other = world.job("run-8", task_count=6, image_gb=1.0)  # with this one, room is not plenty
+    other = world.job("run-8", task_count=6, image_gb=1.0)  # so that CPUs are not plentiful
     assert spread_of(world.plan(array, other)) == {}
     assert spread_of(world.plan(array, other, now=102.6))[cold.id] >= 1  # half of the 5 s fetch
     assert spread_of(world.plan(world.job("run-2", task_count=1, shape="group", image_gb=1.0))) == {
@@ -205,34 +213,34 @@
     }
 
 
-def test_nobody_waits_for_an_image_where_room_is_plenty() -> None:
-    """Found on a quiet day: arrays of many tasks waited beside hundreds of free GPUs."""
+def test_arrays_do_not_wait_for_an_image_while_resources_are_plentiful() -> None:
+    """On a lightly loaded day, arrays of many tasks waited although hundreds of GPUs were free."""
     world = World()
     world.machine("i-1").record_image("img-1", 5.0)
     world.put(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
     for n in range(2, 5):
         world.machine(f"i-{n}")
     array = world.job("run-1", task_count=12, image_gb=5.0)  # 25 s at 0.2 GB/s
-    # Six are served by the warm machine in the time of a fetch; the others begin one at once.
+    # The warm machine runs six tasks within the time of a fetch; the others fetch at once.
     assert sum(spread_of(world.plan(array)).values()) == 6
     many = world.job("run-2", task_count=50, image_gb=5.0)
-    # Where it is not, only what would lie idle otherwise begins a fetch, with one task each.
+    # Without plentiful resources, only machines that would stay idle begin a fetch, for one task.
     assert spread_of(world.plan(array, many)) == {"i-2": 1, "i-3": 1, "i-4": 1}
 
 
 @pytest.mark.parametrize(
     ("tasks", "fetching", "expected"),
     [
-        (4, None, {}),  # 4 tasks of 30 s: the busy warm machine's room is sooner than a fetch
-        (40, None, {"i-2": 1}),  # what it doesn't get through in a fetch: one task to begin it
-        (40, "img-7", {}),  # two fetches at once share the rate: neither would be sooner
-        (40, "img-1", {"i-2": 7}),  # under way already: idle room may as well wait for it
+        (4, None, {}),  # 4 tasks of 30 s: the busy warm machine is free sooner than a fetch ends
+        (40, None, {"i-2": 1}),  # more than it can run within a fetch: one task begins a fetch
+        (40, "img-7", {}),  # a second fetch would share the rate, so neither would end sooner
+        (40, "img-1", {"i-2": 7}),  # already being fetched: idle resources may wait for it
     ],
 )
-def test_cold_starts_only_for_what_warm_machines_cannot_serve(
+def test_cold_starts_only_for_tasks_that_warm_machines_cannot_run(
     tasks: int, fetching: str | None, expected: dict[str, int]
 ) -> None:
-    """Found on a busy day: with fetches of a minute a third of the GPUs in use were fetching."""
+    """On a busy day with fetches of a minute, fetching tasks held a third of the GPUs in use."""
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 10.0)
@@ -241,32 +249,31 @@
         other = world.job("run-8", task_count=1, image=fetching, image_gb=10.0)
         world.put(other, cold, 1)
     array = world.job("run-1", task_count=tasks, image_gb=10.0)  # 50 s at 0.2 GB/s
-    filler = world.job(
-        "run-7", task_count=90, image="img-0", machine_types=["g4"]
-    )  # room isn't plenty
+    # The filler keeps CPUs from being plentiful.
+    filler = world.job("run-7", task_count=90, image="img-0", machine_types=["g4"])
     plan = world.plan(array, filler)
     assert spread_of(plan) == expected
     if not expected and tasks == 4:
-        assert array not in [one for one, _count in plan.unplaced]  # and nothing is rented for it
-        # Once it has waited for as long as a fetch takes, it may use what lies idle.
+        # Nothing is rented for it.
+        assert array not in [unplaced for unplaced, _count in plan.unplaced]
+        # Once it has waited for as long as a fetch takes, it may fetch on idle machines.
         assert spread_of(world.plan(array, filler, now=140.0)) == {}
         assert spread_of(world.plan(array, filler, now=151.0)) == {"i-2": 1}
 
 
-def test_room_freed_for_one_job_serves_another_in_the_same_cycle() -> None:
-    """Where a task might fit is remembered in a cycle, until something is stopped."""
+def test_resources_freed_for_one_job_are_available_to_another_in_the_same_cycle() -> None:
+    """A cycle caches where a task might fit, and updates the cache when it stops a task."""
     world = World()
     large = world.job("run-9", task_count=1, cpus=32.0, memory_gb=1.0)
     world.put(large, world.machine("i-1"), 1)
-    world.job(
-        "run-8", priority="production", gpus=1.0
-    )  # nobody is more important than work with GPUs
+    # No job has a higher priority than the job with GPUs.
+    world.job("run-8", priority="production", gpus=1.0)
     before = world.job("run-1", priority="idle", task_count=1, cpus=8.0)
     urgent = world.job("run-2", priority="urgent", task_count=1)
     after = world.job("run-3", task_count=1, cpus=8.0)
     plan = world.plan(before, urgent, after)
     assert len(plan.preemptions) == 1
-    assert [one for one, _count in plan.unplaced] == [before]
+    assert [unplaced for unplaced, _count in plan.unplaced] == [before]
 
 
 @pytest.mark.parametrize(
@@ -274,20 +281,23 @@
     [
         (["run-1", "run-2"], 11.0, False),
         (["run-1", "run-2"], 20.0, True),
-        (["run-1"], 20.0, False),  # slow by itself: that says nothing of sharing
+        (["run-1"], 20.0, False),  # a slow single fetch is no evidence of sharing
     ],
 )
 def test_whether_fetches_share_the_rate_is_learned(
     images: list[str], took_s: float, share: bool
 ) -> None:
-    """The page says that they may: where not, one after the other cost half of what can be had."""
+    """The protocol says only that fetches may share the rate.
+
+    Where they do not, fetching one image after the other wasted half of the rate available.
+    """
     world = World()
     now = 0.0
     for n in range(20):
         machine = world.machine(f"i-{n}")
         for ref in images:
-            one = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
-            world.put(one, machine, 1)
+            fetching = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
+            world.put(fetching, machine, 1)
         assert not world.cluster.is_fetch_rate_shared()
     for machine in world.cluster.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
@@ -303,13 +313,16 @@
     assert world.cluster.is_fetch_rate_shared() is share
 
 
-def test_a_gang_that_lacks_a_member_gets_it_where_the_image_is() -> None:
-    """Found on a busy day: each that gave up was replaced where it had to fetch, for minutes."""
+def test_a_missing_gang_member_goes_to_a_machine_with_the_image() -> None:
+    """On a busy day, each member that gave up was replaced on a machine that had to fetch.
+
+    This continued for minutes.
+    """
     world = World()
-    world.machine("i-1")  # without GPUs, so first by rights
+    world.machine("i-1")  # it has no GPUs, so it would otherwise be chosen first
     warm, other = world.machine("i-2", GPU), world.machine("i-3")
     warm.record_image("img-1", 5.0)
-    world.job("run-9", gpus=1.0)  # there is work with GPUs, less important
+    world.job("run-9", gpus=1.0)  # a job with GPUs and a lower priority
     gang = world.job(
         "run-1", shape="group", priority="urgent", task_count=2, cpus=20.0, image_gb=5.0
     )
@@ -320,7 +333,7 @@
     assert queueing.order(jobs, [], none, none, WallTime(0.0))[0] is gang
 
 
-def test_a_job_that_fails_everywhere_tries_one_task_whatever_lies_idle() -> None:
+def test_a_job_that_fails_everywhere_gets_one_task_even_if_machines_are_idle() -> None:
     world = World()
     for n in range(3):
         world.machine(f"i-{n}")
@@ -330,18 +343,18 @@
 
 
 def test_a_gang_avoids_machines_that_are_fetching() -> None:
-    """Found on a busy day: one member's image came 40 s late, and the others gave up in turn."""
+    """On a busy day, one member's image came 40 s late, and the others gave up in turn."""
     world = World()
     for n in range(4):
         world.machine(f"i-{n}")
     other = world.job("run-9", task_count=1, image="img-9", image_gb=5.0)
-    world.put(other, world.machine("i-0"), 1)  # the fullest, so first by rights
+    world.put(other, world.machine("i-0"), 1)  # the fullest, so it would otherwise be chosen first
     gang = world.job("run-1", shape="group", task_count=3, cpus=20.0, image_gb=2.0)
     assert set(spread_of(world.plan(gang))) == {"i-1", "i-2", "i-3"}
 
 
-def test_one_task_seeds_a_long_fetch_and_nothing_is_rented_for_the_rest() -> None:
-    """Found on quiet days: whole machines waited for a fetch of a minute, GPUs and all."""
+def test_one_task_begins_a_long_fetch_and_nothing_is_rented_for_the_others() -> None:
+    """On lightly loaded days, whole machines with their GPUs waited for a fetch of a minute."""
     world = World()
     world.machine("i-1")
     array = world.job("run-1", task_count=8, image_gb=5.0)  # 25 s at 0.2 GB/s
@@ -352,27 +365,29 @@
 
 
 def test_a_machine_that_failed_a_task_gets_one_at_a_time() -> None:
-    """Found in inc-9466: 32 tasks of other jobs followed 16 failed ones onto a faulty machine."""
+    """In inc-9466, 16 tasks failed on a faulty machine, and it then got 32 tasks of other jobs."""
     world = World()
     suspect = world.machine("i-1")
     suspect.failed_jobs.add(JobId("run-9"))
-    one = world.job("run-1", task_count=8)
-    assert spread_of(world.plan(one)) == {"i-1": 1}
-    world.put(one, suspect, 1)
-    assert spread_of(world.plan(one)) == {}
-    suspect.failed_jobs.clear()  # as a finish does
-    assert spread_of(world.plan(one)) == {"i-1": 7}
+    waiting_job = world.job("run-1", task_count=8)
+    assert spread_of(world.plan(waiting_job)) == {"i-1": 1}
+    world.put(waiting_job, suspect, 1)
+    assert spread_of(world.plan(waiting_job)) == {}
+    suspect.failed_jobs.clear()  # as when a task finishes
+    assert spread_of(world.plan(waiting_job)) == {"i-1": 7}
 
 
-def test_a_machine_where_the_same_job_takes_longer_is_used_last() -> None:
+def test_a_machine_where_jobs_take_longer_than_elsewhere_is_used_last() -> None:
     world = World()
     slow, other = world.machine("i-1"), world.machine("i-2")
-    world.put(world.job("run-9", task_count=1), slow, 1)  # the fuller one, so first by rights
+    world.put(
+        world.job("run-9", task_count=1), slow, 1
+    )  # the fuller one, so it would otherwise be chosen first
     many = world.job("run-8", task_count=50)
     world.job_table.record_run_time(many, 20.0)
     for _ in range(2):
         slow.record_relative_run_time(many, 40.0)
-    assert not slow.is_straggler()  # two tasks are chance
+    assert not slow.is_straggler()  # two tasks are too few
     slow.record_relative_run_time(many, 40.0)
     other.record_relative_run_time(many, 24.0)
     assert slow.is_straggler()
@@ -390,8 +405,8 @@
         job("run-5", at=9.0, gpus=1.0, task_count=4, team="blue"),
     ]
     preemption.mark_guaranteed_jobs(jobs, TEAMS)
-    assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
+    assert [each.guaranteed for each in jobs] == [True, False, False, False, True]
     for index in range(3):
         jobs[0].finish(index)
-    preemption.mark_guaranteed_jobs(jobs, TEAMS)  # judged once, when a job comes
-    assert [one.guaranteed for one in jobs] == [True, False, False, False, True]
+    preemption.mark_guaranteed_jobs(jobs, TEAMS)  # decided once, in a job's first cycle
+    assert [each.guaranteed for each in jobs] == [True, False, False, False, True]
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -1,4 +1,4 @@
-"""In which order jobs get room."""
+"""The order in which jobs get resources (`queueing.order`)."""
 
 from __future__ import annotations
 
@@ -7,27 +7,30 @@
 from support.placement_world import order_of
 
 
-def test_what_can_be_on_time_goes_before_what_cannot() -> None:
+def test_jobs_that_can_be_on_time_go_before_those_that_cannot() -> None:
     jobs = [
         job("run-1", at=0.0, task_count=100, cpus=1.0),  # too large to be on time with the others
         job("run-2", at=1.0, task_count=4, cpus=1.0),
-        job("run-3", at=-40.0, task_count=4, cpus=1.0),  # late for 60 s, not for 120 s
+        job("run-3", at=-40.0, task_count=4, cpus=1.0),  # misses 60 s, meets 120 s
     ]
     assert order_of(jobs, 16.0, 5.0) == ["run-2", "run-3", "run-1"]
 
 
-def test_work_before_a_priority_is_not_supply_for_it() -> None:
-    """Found on a drawn day: what goes first was not counted, so all of the rest was late."""
+def test_work_of_higher_priorities_counts_as_load_for_lower_ones() -> None:
+    """The load of jobs that go first must be counted.
+
+    On a randomly generated day it was not, and all jobs of the lower priority were late.
+    """
     first = job("run-1", at=0.0, task_count=12, cpus=1.0, priority="urgent")
     rest = [
-        job("run-2", at=0.0, task_count=12, cpus=1.0),  # in time alone, not after the first
+        job("run-2", at=0.0, task_count=12, cpus=1.0),  # on time only without the urgent job
         job("run-3", at=0.5, task_count=2, cpus=1.0),
     ]
     assert order_of(rest, 16.0, 1.0) == ["run-2", "run-3"]
     assert order_of([*rest, first], 16.0, 1.0) == ["run-1", "run-3", "run-2"]
 
 
-def test_far_overdue_jobs_come_first() -> None:
+def test_starved_jobs_go_first() -> None:
     jobs = [job("run-1", at=0.0, task_count=1000), job("run-2", at=390.0)]
     assert order_of(jobs, 16.0, 300.0)[0] == "run-2"
     assert order_of(jobs, 16.0, 400.0)[0] == "run-1"
@@ -36,18 +39,18 @@
 @pytest.mark.parametrize(
     ("now", "first"),
     [
-        (40.0, "run-2"),  # large, and late for 60 s: put off
-        (70.0, "run-1"),  # it makes 120 s only if it goes now
-        (95.0, "run-2"),  # too late for that as well
+        (40.0, "run-2"),  # run-1 is large and misses 60 s, so it is deferred
+        (70.0, "run-1"),  # it meets 120 s only if it goes now
+        (95.0, "run-2"),  # it can't meet 120 s any more
     ],
 )
-def test_a_job_about_to_miss_its_last_deadline_comes_first(now: float, first: str) -> None:
-    """Found on a day with a zone cut off: four in a hundred missed every deadline they had."""
+def test_a_job_about_to_miss_its_last_deadline_goes_first(now: float, first: str) -> None:
+    """On a day with a zone that was cut off, four percent of jobs missed all their deadlines."""
     jobs = [job("run-1", at=0.0, task_count=40, cpus=1.0), job("run-2", at=now - 1.0, cpus=1.0)]
     assert order_of(jobs, 16.0, now)[0] == first
 
 
-def test_rank_and_guarantee_go_before_deadlines() -> None:
+def test_guarantee_and_priority_go_before_deadlines() -> None:
     jobs = [
         job("run-1", priority="idle"),
         job("run-2", priority="urgent"),
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Where replicas go, and when they are moved."""
+"""On which machines replicas are placed, and when they are moved."""
 
 from __future__ import annotations
 
@@ -18,25 +18,28 @@
 from ryewing.state.machine import Assignment, Machine
 from ryewing.units import Attempt, MachineId, MonotonicTime, TaskId
 
-# -- where replicas go --------------------------------------------------------------------------
+# -- placement ----------------------------------------------------------------------------------
 
 
-def test_less_important_work_is_preempted_for_the_image_rather_than_fetching() -> None:
+def test_a_replica_preempts_on_a_warm_machine_rather_than_fetch() -> None:
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
     world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
-    world.machine("i-2")  # ten seconds for the image
+    world.machine("i-2")  # it needs ten seconds for the image
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert not found.batches
     assert len(found.preemptions) == 1
-    quick = World()
-    quick.machine("i-1").record_image("img-1", 2.0)
-    assert spread_of(quick.plan(quick.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
+    idle = World()
+    idle.machine("i-1").record_image("img-1", 2.0)
+    assert spread_of(idle.plan(idle.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
 
 
-def test_what_exits_at_once_is_stopped_for_a_replica_rather_than_what_saves_first() -> None:
-    """Found in an incident: a task that saved for five seconds had least to lose."""
+def test_a_replica_preempts_tasks_that_exit_at_once_before_tasks_that_save() -> None:
+    """In an incident, the victim with the least work to lose saved for five seconds.
+
+    The replica started that much later.
+    """
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
@@ -45,17 +48,19 @@
     world.put(world.job("run-9", task_count=4, image="img-9"), warm, 4)
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
-    only = World()
-    slow = only.machine("i-1")
+    single = World()
+    slow = single.machine("i-1")
     slow.record_image("img-1", 2.0)
-    only.put(only.job("run-8", task_count=8, checkpoint_s=10.0, save_s=9.0, image="img-9"), slow, 8)
-    only.machine("i-2")  # ten seconds for the image: no later than the save
-    small = only.job("run-1", **{**SERVICE, "image_gb": 1.0}, task_count=1)
-    assert list(spread_of(only.plan(small))) == ["i-2"]
+    single.put(
+        single.job("run-8", task_count=8, checkpoint_s=10.0, save_s=9.0, image="img-9"), slow, 8
+    )
+    single.machine("i-2")  # ten seconds for the image, no longer than the save
+    small = single.job("run-1", **{**SERVICE, "image_gb": 1.0}, task_count=1)
+    assert list(spread_of(single.plan(small))) == ["i-2"]
 
 
-def test_replicas_are_not_all_on_one_machine() -> None:
-    """One machine held most of a small site's replicas, and died."""
+def test_replicas_are_not_all_packed_onto_one_machine() -> None:
+    """One machine ran most of a small site's replicas when it failed."""
     world = World()
     for name in ("i-1", "i-2", "i-3"):
         world.machine(name).record_image("img-1", 2.0)
@@ -65,7 +70,7 @@
     assert "i-1" not in spread_of(found)
 
 
-def test_a_fetch_that_is_soon_over_is_not_worth_stopping_anything() -> None:
+def test_a_replica_preempts_nothing_to_avoid_a_short_fetch() -> None:
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
@@ -77,8 +82,11 @@
     assert not found.preemptions
 
 
-def test_cold_replicas_go_to_machines_of_their_own() -> None:
-    """All on one machine, the next service found a single one with the image, and that was full."""
+def test_replicas_that_fetch_go_to_different_machines() -> None:
+    """When all were on one machine, the next service found only that machine with the image.
+
+    That machine was full.
+    """
     world = World()
     for n in range(6):
         world.machine(f"i-{n}")
@@ -90,7 +98,7 @@
     assert spread_of(few.plan(few.job("run-1", **SERVICE, task_count=4)))["i-0"] == 4
 
 
-def test_the_worker_that_reports_soonest_gets_the_start() -> None:
+def test_a_replica_goes_to_the_machine_with_the_next_heartbeat() -> None:
     world = World()
     for name in ("i-1", "i-2", "i-3"):
         world.machine(name).record_image("img-1", 2.0)
@@ -101,8 +109,11 @@
     assert spread_of(found) == {"i-2": 1}
 
 
-def test_replicas_keep_out_of_the_way_of_large_tasks() -> None:
-    """The third beside a task of 30 processors of 32 keeps such tasks off a machine for good."""
+def test_replicas_do_not_displace_large_tasks() -> None:
+    """A third replica of one CPU leaves less than 30 of a machine's 32 CPUs.
+
+    Tasks of 30 CPUs then never fit there while it runs.
+    """
     world = World()
     for name in ("i-1", "i-2"):
         world.machine(name).record_image("img-1", 2.0)
@@ -110,11 +121,14 @@
     found = world.plan(world.job("run-1", **SERVICE, task_count=4), recent_specs=(large,))
     assert spread_of(found) == {"i-1": 2, "i-2": 2}
     more = world.plan(world.job("run-2", **SERVICE, task_count=6), recent_specs=(large,))
-    assert sum(spread_of(more).values()) == 6  # where there is no other room, they go
+    assert sum(spread_of(more).values()) == 6  # they are placed if no other machine fits
 
 
-def test_where_a_replica_has_to_fetch_the_next_ones_find_room() -> None:
-    """Fullest first chose machines of gangs, which don't give way: half of all fetched anew."""
+def test_a_replica_fetches_on_a_machine_where_later_replicas_will_fit() -> None:
+    """The fullest machines ran gangs, which can't be preempted for later replicas.
+
+    Half of all replicas then had to fetch the image again.
+    """
     world = World()
     gangs, arrays = world.machine("i-1"), world.machine("i-2")
     world.put(world.job("run-8", shape="group", task_count=7), gangs, 7)
@@ -124,10 +138,10 @@
 
 
 @pytest.mark.parametrize(("large_vcpus", "expected"), [(16.0, "i-1"), (32.0, "i-2")])
-def test_half_a_machine_of_large_tasks_is_kept_off_rather_than_fetching(
+def test_a_replica_displaces_up_to_half_a_machine_of_large_tasks_rather_than_fetch(
     large_vcpus: float, expected: str
 ) -> None:
-    """Beside two gang tasks there was room for two replicas: half of all had to fetch anew."""
+    """With two gang tasks per machine, only two replicas fitted, so half of all had to fetch."""
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 2.0)
@@ -139,7 +153,7 @@
 
 
 @pytest.mark.parametrize("tasks", [1, 2, 3, 5, 8])
-def test_the_spread_holds_at_every_single_start(tasks: int) -> None:
+def test_every_placement_keeps_the_spread(tasks: int) -> None:
     world = World()
     for n in range(6):
         world.machine(f"i-{n}", zone="abc"[n % 3])
@@ -158,7 +172,7 @@
 
 
 @pytest.mark.parametrize("priority", ["urgent", "standard"])
-def test_a_replica_is_the_last_to_give_way(priority: str) -> None:
+def test_replicas_are_preempted_last(priority: str) -> None:
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
@@ -166,20 +180,19 @@
     world.put(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
     found = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
     assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
-    better = World()
-    there = better.machine("i-1")
-    lowest = better.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
-    better.put(lowest, there, 1)
-    better.put(better.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
-    found = better.plan(better.job("run-1", priority="production", cpus=16.0, task_count=1))
-    assert [assignment.task.job for assignment in found.preemptions] == [
-        "run-9"
-    ]  # though it is of a higher priority
+    second = World()
+    there = second.machine("i-1")
+    lowest = second.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
+    second.put(lowest, there, 1)
+    second.put(second.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
+    found = second.plan(second.job("run-1", priority="production", cpus=16.0, task_count=1))
+    # The task is preempted although the replica has a lower priority.
+    assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
     both = world.plan(world.job("run-2", priority=priority, cpus=32.0, task_count=1))
     assert {assignment.task.job for assignment in both.preemptions} == {"run-8", "run-9"}
 
 
-def test_less_important_work_stops_no_replica_of_a_higher_priority() -> None:
+def test_a_job_preempts_no_replica_of_a_higher_priority() -> None:
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-9", **{**SERVICE, "cpus": 32.0}, task_count=1)
@@ -192,8 +205,8 @@
 # -- moves --------------------------------------------------------------------------------------
 
 
-def going(world: World, reason: str) -> tuple[Machine, Assignment]:
-    machine = world.machine("i-1", GPU if reason == "unwanted" else CPU)
+def add_replica_to_move(world: World, reason: str) -> tuple[Machine, Assignment]:
+    machine = world.machine("i-1", GPU if reason == "cordoned" else CPU)
     machine.record_image("img-1", 2.0)
     world.put(world.job("run-1", **SERVICE, task_count=1), machine, 1)
     if reason == "notice":
@@ -206,25 +219,25 @@
 
 
 @pytest.mark.parametrize(
-    ("reason", "elsewhere", "moved", "stops"),
+    ("reason", "elsewhere", "moved", "preemptions"),
     [
         ("notice", "warm", True, 0),
         ("notice", "cold", True, 0),
-        ("notice", "full", False, 1),  # room is made first
-        ("notice", "none", False, 0),  # it serves on until it must stop
+        ("notice", "full", False, 1),  # another task is preempted first
+        ("notice", "none", False, 0),  # the replica runs until the machine is reclaimed
         ("faulty", "warm", True, 0),
         ("faulty", "cold", False, 0),
-        ("unwanted", "warm", True, 0),
-        ("unwanted", "cold", False, 0),
-        ("unwanted", "full", False, 0),
-        ("unwanted", "gpus", False, 0),  # the next one to be unwanted
+        ("cordoned", "warm", True, 0),
+        ("cordoned", "cold", False, 0),
+        ("cordoned", "full", False, 0),
+        ("cordoned", "gpus", False, 0),  # that machine would be cordoned next
     ],
 )
-def test_a_replica_is_stopped_for_a_move_only_where_there_is_room(
-    reason: str, elsewhere: str, moved: bool, stops: int
+def test_a_replica_moves_only_to_a_machine_with_free_resources(
+    reason: str, elsewhere: str, moved: bool, preemptions: int
 ) -> None:
     world = World()
-    _machine, assignment = going(world, reason)
+    _machine, assignment = add_replica_to_move(world, reason)
     if elsewhere != "none":
         expensive = msgspec.structs.replace(GPU, price=99.0)
         there = world.machine("i-2", expensive if elsewhere == "gpus" else CPU)
@@ -234,7 +247,7 @@
             world.put(world.job("run-9", task_count=8, image="img-9"), there, 8)
     found = world.plan(moving=[assignment])
     assert (found.moves == [assignment]) is moved
-    assert len(found.preemptions) == stops
+    assert len(found.preemptions) == preemptions
     assert not found.batches
 
 
@@ -246,62 +259,66 @@
     world.put(service, world.machine("i-2", zone="b"), 1)
     here.notice_s = 10.0
     assignment = next(iter(here.assignments.values()))
-    assert not world.plan(moving=[assignment]).moves  # only zone b has room, and it has its half
+    # Only zone b has free resources, and half of the replicas run there already.
+    assert not world.plan(moving=[assignment]).moves
     world.machine("i-3", zone="a")
     assert world.plan(moving=[assignment]).moves == [assignment]
 
 
-def test_a_machine_about_to_go_hands_its_replica_on(harness: LeaderHarness) -> None:
+def test_a_replica_moves_off_a_machine_with_a_termination_notice(harness: LeaderHarness) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one)
     name = serve(harness, one, task_count=1)
     one.notice_s = 10.0
-    assert "halt" not in verbs(harness.exchange(one))  # no room elsewhere: it serves on
+    assert "halt" not in verbs(harness.exchange(one))  # no other machine is free
     harness.place()
     assert "halt" not in verbs(harness.exchange(one))
     harness.ready(other)
     harness.place()
     assert "halt" in verbs(harness.exchange(one))
     harness.place()
-    assert not starts(harness.exchange(other))  # not before it is gone
+    assert not starts(harness.exchange(other))  # not before the old replica has ended
     harness.exchange(one)
     harness.place()
     assert len(starts(harness.exchange(other))) == 1
     assert list(replicas(harness, name).values()) == [other.name]
 
 
-def test_moves_off_unwanted_machines_are_few(harness: LeaderHarness) -> None:
-    """A third of a service's replicas was moved within minutes, as the GPUs wanted went up and
-    down: each move is a gap."""
-    dear = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
-    harness.ready(*dear)
-    serve(harness, *dear, task_count=8)
+def test_moves_off_cordoned_machines_are_rate_limited(harness: LeaderHarness) -> None:
+    """Each move leaves a gap without the replica.
+
+    Without the limit, a third of a service's replicas was moved within minutes as the demand for
+    GPUs rose and fell.
+    """
+    gpu_workers = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
+    harness.ready(*gpu_workers)
+    serve(harness, *gpu_workers, task_count=8)
     harness.leader.term.began_at = MonotonicTime(harness.clock() - 10_000.0)
-    plain = harness.worker("i-000009")
-    harness.ready(plain)
+    cpu_worker = harness.worker("i-000009")
+    harness.ready(cpu_worker)
     cluster = harness.leader.term.cluster
-    cluster.machines[MachineId(plain.name)].record_image("img-s", 2.0)
-    for worker in dear:
+    cluster.machines[MachineId(cpu_worker.name)].record_image("img-s", 2.0)
+    for worker in gpu_workers:
         machine = cluster.machines[MachineId(worker.name)]
         machine.cordoned, machine.cordoned_since = True, harness.clock()
 
     def moved(after_s: float) -> int:
         harness.later(after_s)
-        harness.exchange(plain)
+        harness.exchange(cpu_worker)
         harness.later(1.5)  # its next heartbeat is due soon
         harness.place()
-        return sum(verbs(harness.exchange(worker)).count("halt") for worker in dear)
+        return sum(verbs(harness.exchange(worker)).count("halt") for worker in gpu_workers)
 
     assert moved(MOVE_AFTER_S - 4.0) == 0
     assert moved(2.0) == 1
-    for worker in dear:
+    for worker in gpu_workers:
         harness.exchange(worker)
     gap = MOVE_GAP_S / (MOVE_SHARE * 8)
     assert moved(gap - 10.0) == 0
     assert moved(80.0) == 1
 
 
-def test_machines_with_replicas_are_the_last_of_their_type_to_be_unwanted() -> None:
+def test_machines_with_replicas_are_the_last_of_their_type_to_be_cordoned() -> None:
     world = World()
     machines = [world.machine(f"i-{n}", GPU) for n in range(4)]
     world.put(world.job("run-1", **SERVICE, task_count=1), machines[3], 1)
