--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -138,7 +138,7 @@
     that, in this order:
 
     - the job has not failed on the machine;
-    - the machine is not slow;
+    - the machine is not a straggler;
     - the task strands no GPUs;
     - the machine has the image, because a fetch takes longer than most tasks wait;
     - if it does not, it has few of the images that waiting arrays need;
