--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -69,7 +69,7 @@
             self._fetch_on_leftover_capacity(job)
         return self._state.plan
 
-    # -- turns --------------------------------------------------------------------------------
+    # -- jobs ---------------------------------------------------------------------------------
 
     def _place_overdue(self, overdue: Sequence[Job]) -> None:
         """Place the jobs that have waited too long to begin.
@@ -85,8 +85,8 @@
                 self._place(job, max(1, int(OVERDUE_ARRAY_SHARE * job.spec.task_count)))
                 continue
             self._place(job)  # every missing replica of a service counts, so all are placed
-            found_no_room = bool(plan.unplaced) and plan.unplaced[-1].job is job
-            if job.is_gang and found_no_room and not has_reserved:
+            found_no_resources = bool(plan.unplaced) and plan.unplaced[-1].job is job
+            if job.is_gang and found_no_resources and not has_reserved:
                 reserve(self._state, job)
                 has_reserved = True
 
@@ -218,7 +218,8 @@
         if not job.is_gang:
             if remaining > 0 and candidates.slowest_fetch_s(job.spec) > LONG_FETCH_S:
                 remaining -= self._count_fitting_on_fetching(job, remaining, usable)
-            # The other tasks start soonest on warm machines, so nothing is rented for them.
+            # Tasks beyond the limit on cold starts start soonest on warm machines, so nothing is
+            # rented for them.
             remaining = min(remaining, max(0, limits.cold_starts_left))
         if remaining > 0 and not limits.sampled_only:
             self._state.plan.unplaced.append(Unplaced(job, remaining))
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -27,9 +27,9 @@
     warm.record_image("img-1", 2.0)
     world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")  # it needs ten seconds for the image
-    found = world.plan(world.job("run-1", **SERVICE, task_count=1))
-    assert not found.batches
-    assert len(found.preemptions) == 1
+    plan = world.plan(world.job("run-1", **SERVICE, task_count=1))
+    assert not plan.batches
+    assert len(plan.preemptions) == 1
     idle = World()
     idle.machine("i-1").record_image("img-1", 2.0)
     assert spread_of(idle.plan(idle.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
@@ -46,8 +46,8 @@
     saves = world.job("run-8", task_count=4, image="img-9", checkpoint_s=10.0, save_s=5.0)
     world.put(saves, warm, 4)
     world.put(world.job("run-9", task_count=4, image="img-9"), warm, 4)
-    found = world.plan(world.job("run-1", **SERVICE, task_count=1))
-    assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
+    plan = world.plan(world.job("run-1", **SERVICE, task_count=1))
+    assert [assignment.task.job for assignment in plan.preemptions] == ["run-9"]
     single = World()
     slow = single.machine("i-1")
     slow.record_image("img-1", 2.0)
@@ -66,8 +66,8 @@
         world.machine(name).record_image("img-1", 2.0)
     for n in range(3):
         world.put(world.job(f"run-{n}", **SERVICE, task_count=2), world.machine("i-1"), 2)
-    found = world.plan(world.job("run-9", **SERVICE, task_count=2))
-    assert "i-1" not in spread_of(found)
+    plan = world.plan(world.job("run-9", **SERVICE, task_count=2))
+    assert "i-1" not in spread_of(plan)
 
 
 def test_a_replica_preempts_nothing_to_avoid_a_short_fetch() -> None:
@@ -77,9 +77,9 @@
     world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")
     tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SHORT_WAIT_S - 0.5)}, task_count=1)
-    found = world.plan(tiny)
-    assert spread_of(found) == {"i-2": 1}
-    assert not found.preemptions
+    plan = world.plan(tiny)
+    assert spread_of(plan) == {"i-2": 1}
+    assert not plan.preemptions
 
 
 def test_replicas_that_fetch_go_to_different_machines() -> None:
@@ -93,9 +93,12 @@
     assert spread_of(world.plan(world.job("run-1", **SERVICE, task_count=4))) == dict.fromkeys(
         ("i-0", "i-1", "i-2", "i-3"), 1
     )
-    few = World()
-    few.machine("i-0")
-    assert spread_of(few.plan(few.job("run-1", **SERVICE, task_count=4)))["i-0"] == 4
+    single_machine = World()
+    single_machine.machine("i-0")
+    assert (
+        spread_of(single_machine.plan(single_machine.job("run-1", **SERVICE, task_count=4)))["i-0"]
+        == 4
+    )
 
 
 def test_a_replica_goes_to_the_machine_with_the_next_heartbeat() -> None:
@@ -103,10 +106,10 @@
     for name in ("i-1", "i-2", "i-3"):
         world.machine(name).record_image("img-1", 2.0)
     waits = {"i-1": 2.6, "i-2": 0.4, "i-3": 1.8}
-    found = world.plan(
+    plan = world.plan(
         world.job("run-1", **SERVICE, task_count=1), next_heartbeat_in_s=lambda m: waits[str(m.id)]
     )
-    assert spread_of(found) == {"i-2": 1}
+    assert spread_of(plan) == {"i-2": 1}
 
 
 def test_replicas_do_not_displace_large_tasks() -> None:
@@ -118,8 +121,8 @@
     for name in ("i-1", "i-2"):
         world.machine(name).record_image("img-1", 2.0)
     large = job_spec("run-7", cpus=30.0, memory_gb=8.0)
-    found = world.plan(world.job("run-1", **SERVICE, task_count=4), recent_specs=(large,))
-    assert spread_of(found) == {"i-1": 2, "i-2": 2}
+    plan = world.plan(world.job("run-1", **SERVICE, task_count=4), recent_specs=(large,))
+    assert spread_of(plan) == {"i-1": 2, "i-2": 2}
     more = world.plan(world.job("run-2", **SERVICE, task_count=6), recent_specs=(large,))
     assert sum(spread_of(more).values()) == 6  # they are placed if no other machine fits
 
@@ -133,8 +136,8 @@
     gangs, arrays = world.machine("i-1"), world.machine("i-2")
     world.put(world.job("run-8", shape="group", task_count=7), gangs, 7)
     world.put(world.job("run-9", task_count=6), arrays, 6)
-    found = world.plan(world.job("run-1", **{**SERVICE, "image": "img-s"}, task_count=1))
-    assert spread_of(found) == {"i-2": 1}
+    plan = world.plan(world.job("run-1", **{**SERVICE, "image": "img-s"}, task_count=1))
+    assert spread_of(plan) == {"i-2": 1}
 
 
 @pytest.mark.parametrize(("large_vcpus", "expected"), [(16.0, "i-1"), (32.0, "i-2")])
@@ -148,8 +151,8 @@
     world.put(world.job("run-9", **{**SERVICE, "image": "img-9"}, task_count=1), cold, 1)
     large = job_spec("run-7", cpus=large_vcpus, memory_gb=8.0)
     assert cold.warmth("img-1") != warm.warmth("img-1")
-    found = world.plan(world.job("run-1", **SERVICE, task_count=1), recent_specs=(large,))
-    assert list(spread_of(found)) == [expected]
+    plan = world.plan(world.job("run-1", **SERVICE, task_count=1), recent_specs=(large,))
+    assert list(spread_of(plan)) == [expected]
 
 
 @pytest.mark.parametrize("tasks", [1, 2, 3, 5, 8])
@@ -178,16 +181,16 @@
     service = world.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
     world.put(service, machine, 1)
     world.put(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
-    found = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
-    assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
+    plan = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
+    assert [assignment.task.job for assignment in plan.preemptions] == ["run-9"]
     second = World()
-    there = second.machine("i-1")
+    target = second.machine("i-1")
     lowest = second.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
-    second.put(lowest, there, 1)
-    second.put(second.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
-    found = second.plan(second.job("run-1", priority="production", cpus=16.0, task_count=1))
+    second.put(lowest, target, 1)
+    second.put(second.job("run-9", priority="standard", cpus=16.0, task_count=1), target, 1)
+    plan = second.plan(second.job("run-1", priority="production", cpus=16.0, task_count=1))
     # The task is preempted although the replica has a lower priority.
-    assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
+    assert [assignment.task.job for assignment in plan.preemptions] == ["run-9"]
     both = world.plan(world.job("run-2", priority=priority, cpus=32.0, task_count=1))
     assert {assignment.task.job for assignment in both.preemptions} == {"run-8", "run-9"}
 
@@ -240,25 +243,25 @@
     _machine, assignment = add_replica_to_move(world, reason)
     if elsewhere != "none":
         expensive = msgspec.structs.replace(GPU, price=99.0)
-        there = world.machine("i-2", expensive if elsewhere == "gpus" else CPU)
+        target = world.machine("i-2", expensive if elsewhere == "gpus" else CPU)
         if elsewhere != "cold":
-            there.record_image("img-1", 2.0)
+            target.record_image("img-1", 2.0)
         if elsewhere == "full":
-            world.put(world.job("run-9", task_count=8, image="img-9"), there, 8)
-    found = world.plan(moving=[assignment])
-    assert (found.moves == [assignment]) is moved
-    assert len(found.preemptions) == preemptions
-    assert not found.batches
+            world.put(world.job("run-9", task_count=8, image="img-9"), target, 8)
+    plan = world.plan(moving=[assignment])
+    assert (plan.moves == [assignment]) is moved
+    assert len(plan.preemptions) == preemptions
+    assert not plan.batches
 
 
 def test_a_move_keeps_the_spread() -> None:
     world = World()
-    here = world.machine("i-1", zone="a")
+    source = world.machine("i-1", zone="a")
     service = world.job("run-1", **SERVICE, task_count=2, spread=True)
-    world.put(service, here, 1)
+    world.put(service, source, 1)
     world.put(service, world.machine("i-2", zone="b"), 1)
-    here.notice_s = 10.0
-    assignment = next(iter(here.assignments.values()))
+    source.notice_s = 10.0
+    assignment = next(iter(source.assignments.values()))
     # Only zone b has free resources, and half of the replicas run there already.
     assert not world.plan(moving=[assignment]).moves
     world.machine("i-3", zone="a")
