--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -69,7 +69,7 @@
         """Take a step twice a second while the term may begin new work; never returns."""
         while True:
             gevent.sleep(STEP_EVERY_S)
-            if not self._term.may_begin():
+            if not self._term.may_start_operations():
                 continue
             try:
                 self.step()
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -125,7 +125,11 @@
         commands = repeatable_commands(self._term, machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
-        if machine.notice_s is not None or machine.being_released or not self._term.may_begin():
+        if (
+            machine.notice_s is not None
+            or machine.being_released
+            or not self._term.may_start_operations()
+        ):
             return commands
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         for assignment in machine.assignments.values():
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -53,7 +53,7 @@
         """
         if (
             not self.term.state_loaded.is_set()
-            or not self.term.may_start()
+            or not self.term.has_authority()
             or job_id in self.writer.final_states.pending
         ):
             return None
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -41,7 +41,7 @@
         machines are used as before.
         """
         releases = releases[:RELEASE_MAX]
-        if not self._term.may_begin():
+        if not self._term.may_start_operations():
             # Requests were made, or the process stood still, since this was decided: a successor
             # may use these machines by now.
             return
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -71,7 +71,7 @@
 
     def send(self, request: RentalRequest) -> None:
         """Send a recorded request to the cloud; it stays pending if the cloud does not answer."""
-        if not self._term.may_begin():
+        if not self._term.may_start_operations():
             return
         option = RentalOption(request.machine_type, request.zone, request.spot)
         try:
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -79,7 +79,7 @@
             self.term.scheduling_needed.wait(MAX_CYCLE_GAP_S)
             self.term.scheduling_needed.clear()
             began = time.perf_counter()
-            if self.term.may_begin() and self.check_reconciled():
+            if self.term.may_start_operations() and self.check_reconciled():
                 self.run_cycle()
             took_s = time.perf_counter() - began
             gevent.sleep(max(MIN_CYCLE_GAP_S, self.rest_s(took_s)))
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -95,7 +95,7 @@
         while True:
             self.term.writes_needed.wait(IDLE_WAIT_S)
             self.term.writes_needed.clear()
-            if not self.term.may_start():
+            if not self.term.has_authority():
                 gevent.sleep(NO_LEASE_PAUSE_S)
                 continue
             try:
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -91,16 +91,16 @@
         if not self.stopped:
             self._on_lost(reason)
 
-    def may_start(self) -> bool:
+    def has_authority(self) -> bool:
         """Return whether the lease certainly holds now, and the jobs are known.
 
         See docs/design.md, safety argument 2.
         """
         return not self.stopped and self.lease_validity.has_authority(monotonic_now())
 
-    def may_begin(self) -> bool:
+    def may_start_operations(self) -> bool:
         """Return whether tasks may be started, and machines rented or released, now."""
-        return not self.sealed and self.may_start()
+        return not self.sealed and self.has_authority()
 
     def machine_type(self, name: str) -> MachineType:
         """Return a machine type; one that isn't known has no room."""
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -122,7 +122,11 @@
 
     def _may_change_records(self) -> bool:
         """Return whether this leader is past reconciliation and may start tasks now."""
-        return bool(self._demands) and self._term.may_begin() and self._leader.scheduler.reconciled
+        return (
+            bool(self._demands)
+            and self._term.may_start_operations()
+            and self._leader.scheduler.reconciled
+        )
 
     # -- reading ----------------------------------------------------------------------------
 
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -85,7 +85,7 @@
     east.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
     east.leader.autoscaler.rentals.pending.clear()
     assert not east.cloud.released
-    assert not east.leader.term.may_begin()
+    assert not east.leader.term.may_start_operations()
     east.leader.term.sealed = False
     assert len(starts(east.exchange(worker))) == 2
 
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -89,7 +89,7 @@
                 continue
             for elector in node.electors.values():
                 leader = elector.leader
-                if leader is None or not leader.term.may_start():
+                if leader is None or not leader.term.has_authority():
                     continue
                 for machine in leader.term.cluster.machines:
                     owners.setdefault(machine, []).append(f"{name}/{elector.shard}")
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -201,14 +201,14 @@
     def _writing(self, leader: Leader) -> Callable[[], None]:
         def write() -> None:
             for _ in range(8):
-                if not leader.term.may_start() or not leader.writer.write_once():
+                if not leader.term.has_authority() or not leader.writer.write_once():
                     return
 
         return write
 
     def _placing(self, leader: Leader) -> Callable[[], None]:
         def place() -> None:
-            if leader.term.may_begin() and leader.scheduler.check_reconciled():
+            if leader.term.may_start_operations() and leader.scheduler.check_reconciled():
                 leader.scheduler.run_cycle()
 
         return place
@@ -248,7 +248,7 @@
     def _giving_up(self, leader: Leader) -> Callable[[], None]:
         def give_up() -> None:
             gone = leader.autoscaler.unhealthy_machines(self.clock())
-            if gone and leader.term.may_begin():
+            if gone and leader.term.may_start_operations():
                 leader.autoscaler.releaser.release(gone)
 
         return give_up
