--- a/src/ryewing/leader/cloud_inventory.py
+++ b/src/ryewing/leader/cloud_inventory.py
@@ -51,7 +51,7 @@
         page = self.listing.read_page(now)
         for listed in page.machines:
             name = MachineId(listed.id)
-            if name in self._term.released or not self._term.scope.covers(listed.zone):
+            if name in self._term.released_machines or not self._term.scope.covers(listed.zone):
                 continue  # gone, or another shard's, whose leader alone counts and releases it
             machine = self._term.cluster.machines.get(name)
             if machine is None:
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -45,7 +45,7 @@
         """Return the response to a heartbeat, or None if this node must not answer 200 now."""
         now = monotonic_now()
         name = MachineId(heartbeat.machine)
-        if not self._may_answer(heartbeat, now) or name in self._term.released:
+        if not self._may_answer(heartbeat, now) or name in self._term.released_machines:
             return None
         machine = self._term.cluster.machines.get(name)
         if machine is None:
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -74,6 +74,6 @@
         if machine.address:
             self._direct_messages.workers.forget(machine.address)
         self._writer.forget_machine(machine.id)
-        self._term.released[machine.id] = None
-        if len(self._term.released) > RELEASED_NAMES_KEPT:
-            self._term.released.popitem(last=False)
+        self._term.released_machines[machine.id] = None
+        if len(self._term.released_machines) > RELEASED_NAMES_KEPT:
+            self._term.released_machines.popitem(last=False)
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -69,7 +69,7 @@
         )
         self.machine_types: dict[str, MachineType] = {}
         """The machine types by name, each with those of its zones that are in the scope."""
-        self.released: OrderedDict[MachineId, None] = OrderedDict()
+        self.released_machines: OrderedDict[MachineId, None] = OrderedDict()
         """Machines that are certainly gone: nothing that comes in their name counts."""
         self.teams = {team.name: team for team in self.settings.params.teams}
         """The teams as the settings have them."""
