--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -74,7 +74,7 @@
             self._cancel(job)
         return True
 
-    def full(self) -> bool:
+    def job_memory_full(self) -> bool:
         """Return whether more jobs would endanger the memory of this process."""
         memory_mb = self.term.scope.share * self.term.settings.params.resources.mem_mb
         capacity_bytes = memory_mb * JOBS_MEMORY_SHARE * 1e6
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -83,9 +83,9 @@
         """Take in a cancel that the store has; True once no older state can be told from here."""
         return self.job_watcher.apply_cancel(job_id)
 
-    def full(self) -> bool:
+    def job_memory_full(self) -> bool:
         """Return whether more jobs would endanger the memory of this process."""
-        return self.job_watcher.full()
+        return self.job_watcher.job_memory_full()
 
     def image_locality(self) -> ImageLocality:
         """Return what a successor should know of the machines' images and of failing jobs."""
--- a/src/ryewing/process/leader_load.py
+++ b/src/ryewing/process/leader_load.py
@@ -60,7 +60,7 @@
         """Return whether the leader holds as many jobs as its memory allows."""
         leader = self._followed.leader
         if leader is not None:
-            return leader.full()
+            return leader.job_memory_full()
         load = self.latest()
         return load is not None and load.full
 
@@ -71,11 +71,11 @@
         """
         leader = self._followed.leader
         load = self.latest() if self._followed.shard is not None and leader is not None else None
-        return load if load is not None else Ack(leader is None or not leader.full())
+        return load if load is not None else Ack(leader is None or not leader.job_memory_full())
 
     def _measure(self, leader: Leader) -> ShardLoadAnswer:
         backlog = leader.scheduler.backlog() if self._followed.shard is not None else 0.0
-        return ShardLoadAnswer(leader.full(), backlog)
+        return ShardLoadAnswer(leader.job_memory_full(), backlog)
 
     def _query(self) -> None:
         shard = self._followed.shard
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -139,7 +139,7 @@
     for number in range(round(limit) + 1):
         record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
         east.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
-    assert east.leader.full()
+    assert east.leader.job_memory_full()
 
 
 TYPES = {machine_type.name: machine_type for machine_type in (CPU, GPU)}
