--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -94,7 +94,7 @@
         }
         return ImageLocality(int(self.term.number), *self.term.cluster.cached_images(), backoff_s)
 
-    def drained(self) -> bool:
+    def is_quiesced(self) -> bool:
         """Return whether nothing is under way whose outcome a successor would have to find out.
 
         What is not written yet does not count: workers keep their finishes until they are.
--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -98,7 +98,7 @@
         """Resign once nothing is under way, then record that the target may lead."""
         if leader is not None:
             waited_s = monotonic_now() - self._sealed_since[name]
-            if not leader.drained() and waited_s < DRAIN_MAX_S:
+            if not leader.is_quiesced() and waited_s < DRAIN_MAX_S:
                 return
             leader.resign(TermEndReason.SHARD_MOVING)
         self._advance(name, stored, lambda old: settle(old, self._node))
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -90,26 +90,26 @@
     assert len(starts(east.exchange(worker))) == 2
 
 
-def test_a_term_is_drained_once_nothing_is_under_way(east: LeaderHarness) -> None:
+def test_a_term_is_quiesced_once_nothing_is_under_way(east: LeaderHarness) -> None:
     """No start of which it isn't known whether it arrived, and no write without its answer."""
     worker = east.ready_worker()
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
     east.begin(worker, task_count=1)
-    assert not east.leader.drained()
+    assert not east.leader.is_quiesced()
     east.exchange(worker)
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
     east.end(worker)
     txn, drained = east.store.txn, []
 
     def watched_txn(*args: Any) -> TxnResult:
-        drained.append(east.leader.drained())
+        drained.append(east.leader.is_quiesced())
         return txn(*args)
 
     east.store.txn = watched_txn  # type: ignore[method-assign, assignment]
     east.write()
     assert drained
     assert not any(drained)
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
 
 
 def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
