--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -169,7 +169,7 @@
         """Estimate how many seconds the unplaced work without GPUs would keep all machines busy."""
         return backlog.drain_s(self.term.cluster.machines.values(), self.unplaced)
 
-    def backlog(self) -> float:
+    def backlog_share(self) -> float:
         """Return what the unplaced tasks need as a share of the resources of all machines."""
         return backlog.backlog_share(self.term.cluster.machines.values(), self.unplaced)
 
--- a/src/ryewing/process/leader_load.py
+++ b/src/ryewing/process/leader_load.py
@@ -74,7 +74,7 @@
         return load if load is not None else Ack(leader is None or not leader.job_memory_full())
 
     def _measure(self, leader: Leader) -> ShardLoadAnswer:
-        backlog = leader.scheduler.backlog() if self._followed.shard is not None else 0.0
+        backlog = leader.scheduler.backlog_share() if self._followed.shard is not None else 0.0
         return ShardLoadAnswer(leader.job_memory_full(), backlog)
 
     def _query(self) -> None:
