--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -37,7 +37,7 @@
 second."""
 MAX_CYCLE_GAP_S = 1.0
 """How long the loop waits for a change before it runs a cycle all the same."""
-CYCLE_REST_FACTOR = 9.0
+CYCLE_PAUSE_FACTOR = 9.0
 """The loop rests for this many times a cycle's length: cycles take a tenth of the time at most,
 so that a leader under constant load still answers workers, users and health checks first."""
 LOGGED_NAMES_MAX = 20
@@ -82,11 +82,11 @@
             if self.term.may_start_operations() and self.check_reconciled():
                 self.run_cycle()
             took_s = time.perf_counter() - began
-            gevent.sleep(max(MIN_CYCLE_GAP_S, self.rest_s(took_s)))
+            gevent.sleep(max(MIN_CYCLE_GAP_S, self.pause_after_s(took_s)))
 
-    def rest_s(self, took_s: float) -> float:
+    def pause_after_s(self, took_s: float) -> float:
         """Return how long to rest after a cycle: longer where other terms may share the process."""
-        return ((CYCLE_REST_FACTOR + 1.0) / self.term.scope.share - 1.0) * took_s
+        return ((CYCLE_PAUSE_FACTOR + 1.0) / self.term.scope.share - 1.0) * took_s
 
     def check_reconciled(self) -> bool:
         """Return whether reconciliation is over: every machine heard, or waited for long enough.
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -16,7 +16,7 @@
 from ryewing.clients.store import Put, TxnResult
 from ryewing.leader.autoscaler import Autoscaler
 from ryewing.leader.division import NoShardError, NotReadyError
-from ryewing.leader.scheduler import CYCLE_REST_FACTOR
+from ryewing.leader.scheduler import CYCLE_PAUSE_FACTOR
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
@@ -129,8 +129,8 @@
     for name, (rate, whole) in rates.items():
         assert rate == pytest.approx(0.5 * whole), name
     took = 1.0
-    assert 2 * took / (took + leader.scheduler.rest_s(took)) == pytest.approx(
-        1 / (CYCLE_REST_FACTOR + 1)
+    assert 2 * took / (took + leader.scheduler.pause_after_s(took)) == pytest.approx(
+        1 / (CYCLE_PAUSE_FACTOR + 1)
     )
 
 
