--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -123,7 +123,7 @@
             if heartbeat.machine != machine.id:
                 return
             if term_of_token(heartbeat.token) > self._term.number:
-                self._term.end(TermEndReason.OVERRULED)
+                self._term.end(TermEndReason.LATER_TOKEN)
                 return
             self._apply_answer(machine, heartbeat, known_version)
             if heartbeat.incarnation == incarnation:
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -64,7 +64,7 @@
         if term_of_token(heartbeat.token) > self._term.number:
             # The worker has seen a later leader: it would drop a 200 from here, yet it would keep
             # sending to this node while its lease expires.
-            self._term.end(TermEndReason.OVERRULED)
+            self._term.end(TermEndReason.LATER_TOKEN)
             return False
         if (
             self._term.stopped
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -62,7 +62,7 @@
             and self.reachability.is_cut_from_workers(now)
         ):
             # Another node may reach them; waiting for it costs every machine its tasks.
-            self._lease_keeper.resign(TermEndReason.CUT_FROM_WORKERS)
+            self._lease_keeper.resign(TermEndReason.WORKERS_UNREACHABLE)
 
     def _expire_leases(self, now: MonotonicTime) -> None:
         """Drop what was on machines whose lease has ended."""
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -201,7 +201,7 @@
         )
         self.leader = None
         self.leader_name = None
-        if reason in (TermEndReason.CUT_FROM_WORKERS, TermEndReason.JOBS_NOT_FOLLOWED):
+        if reason in (TermEndReason.WORKERS_UNREACHABLE, TermEndReason.JOBS_NOT_FOLLOWED):
             self._abstain_until = MonotonicTime(monotonic_now() + ABSTAIN_S)
         leader.stop()
 
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -269,7 +269,7 @@
     tend(harness, longest_s)
     assert harness.lost == []
     tend(harness, 0.5)
-    assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
+    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
     assert longest_s < policy().silence_s
 
 
@@ -282,4 +282,4 @@
     tend(harness, 2.0)
     assert harness.lost == []
     tend(harness, 9.0)
-    assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
+    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
