--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -59,7 +59,7 @@
         if (
             term.settings.members
             and self._scheduler.reconciled
-            and self.reachability.is_cut_from_workers(now)
+            and self.reachability.are_workers_unreachable(now)
         ):
             # Another node may reach them; waiting for it costs every machine its tasks.
             self._lease_keeper.resign(TermEndReason.WORKERS_UNREACHABLE)
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -6,11 +6,11 @@
 from ryewing.state.cluster_state import ClusterState
 from ryewing.units import MonotonicTime
 
-CUT_MACHINES_MIN = 4
+MIN_MACHINES_HEARD = 4
 """Of fewer machines nothing is concluded."""
-CUT_SHARE = 0.7
+SILENT_SHARE = 0.7
 """A leader counts as cut off when more than this share of its machines is silent."""
-CUT_PROBE_S = 0.5
+PROBE_ANSWER_S = 0.5
 """How long a late machine has to answer when asked directly, before it counts as silent."""
 STALL_S = 2.0
 """Rounds of maintenance that lie further apart show that this process stood still."""
@@ -21,7 +21,7 @@
 
     def __init__(self, cluster: ClusterState, report_s: float, began_at: MonotonicTime) -> None:
         self._cluster = cluster
-        self._silent_after_s = PROBE_AFTER * report_s + CUT_PROBE_S
+        self._silent_after_s = PROBE_AFTER * report_s + PROBE_ANSWER_S
         self._last_round_at = self._running_since = began_at
 
     def note_round(self, now: MonotonicTime) -> None:
@@ -30,7 +30,7 @@
             self._running_since = now
         self._last_round_at = now
 
-    def is_cut_from_workers(self, now: MonotonicTime) -> bool:
+    def are_workers_unreachable(self, now: MonotonicTime) -> bool:
         """Return whether most machines fell silent at once, so that the fault is likely here.
 
         Each has missed a heartbeat and not answered when asked directly. Time in which this process
@@ -43,4 +43,4 @@
                 continue
             known += 1
             silent += now - max(machine.heard_at, self._running_since) > self._silent_after_s
-        return known >= CUT_MACHINES_MIN and silent > CUT_SHARE * known
+        return known >= MIN_MACHINES_HEARD and silent > SILENT_SHARE * known
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -14,7 +14,7 @@
 from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.term_end_reason import TermEndReason
-from ryewing.leader.worker_reachability import CUT_PROBE_S
+from ryewing.leader.worker_reachability import PROBE_ANSWER_S
 from ryewing.state.pending_terminations import PendingTermination
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
@@ -243,7 +243,7 @@
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert harness.leader.maintenance.reachability.is_cut_from_workers(harness.clock()) is cut
+    assert harness.leader.maintenance.reachability.are_workers_unreachable(harness.clock()) is cut
 
 
 def tend(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
@@ -265,7 +265,7 @@
 ) -> None:
     """Measured on days with such a cut: 7.1 s from the cut to the resignation."""
     silent_fleet(harness, monkeypatch)
-    longest_s = PROBE_AFTER * harness.settings.params.workers.report_s + CUT_PROBE_S
+    longest_s = PROBE_AFTER * harness.settings.params.workers.report_s + PROBE_ANSWER_S
     tend(harness, longest_s)
     assert harness.lost == []
     tend(harness, 0.5)
