--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -44,7 +44,7 @@
 
     # -- what users ask ---------------------------------------------------------------------
 
-    def poll(self, job_id: JobId) -> JobStatus | None:
+    def job_status(self, job_id: JobId) -> JobStatus | None:
         """Return a job's state, or None if only the store can tell.
 
         While a final write is under way nobody but the store knows whether it was applied; an
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -75,9 +75,9 @@
         """Return the answer to a worker, or None if this node must not answer 200 now."""
         return self.heartbeats.on_heartbeat(heartbeat)
 
-    def poll(self, job_id: JobId) -> JobStatus | None:
+    def job_status(self, job_id: JobId) -> JobStatus | None:
         """Return a job's state, or None if only the store can tell."""
-        return self.job_watcher.poll(job_id)
+        return self.job_watcher.job_status(job_id)
 
     def apply_cancel(self, job_id: JobId) -> bool:
         """Take in a cancel that the store has; True once no older state can be told from here."""
--- a/src/ryewing/process/electors.py
+++ b/src/ryewing/process/electors.py
@@ -45,7 +45,7 @@
         None if no leader here knows the job, or is allowed to answer now.
         """
         for elector in self.values():
-            status = elector.leader.poll(job) if elector.leader is not None else None
+            status = elector.leader.job_status(job) if elector.leader is not None else None
             if status is not None:
                 return LedJobStatus(status, elector.shard)
         return None
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -29,7 +29,7 @@
     harness.place()
     assert len(starts(harness.exchange(worker))) == 4
     harness.exchange(worker)
-    state = harness.leader.poll(job)
+    state = harness.leader.job_status(job)
     assert state is not None
     assert (state.status, state.running) == ("running", 4)
     worker.finish()
@@ -293,7 +293,7 @@
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
     # It may have been applied: only the store can tell a user now.
-    assert harness.leader.poll(job) is None
+    assert harness.leader.job_status(job) is None
     harness.store.lose_answers = False
     harness.write()
     assert harness.finals == {job: "done"}
@@ -301,9 +301,9 @@
 
 def test_no_state_is_told_without_the_lease(harness: LeaderHarness) -> None:
     job = harness.accept()
-    assert harness.leader.poll(job) is not None
+    assert harness.leader.job_status(job) is not None
     harness.later(3.1, renewed=False)
-    assert harness.leader.poll(job) is None
+    assert harness.leader.job_status(job) is None
 
 
 def test_a_cancel_halts_and_never_starts_again(harness: LeaderHarness) -> None:
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -55,7 +55,7 @@
     harness.ready(one, other)
     name = serve(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
-    assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
+    assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (one, other):
         if worker.tasks:
@@ -67,7 +67,7 @@
         harness.place()
         for worker in (one, other):
             harness.exchange(worker)
-    state = harness.leader.poll(name)
+    state = harness.leader.job_status(name)
     assert state is not None
     assert (state.status, state.done, state.running) == ("running", 0, 2)
     assert harness.store.get(final_key(name)) is None
@@ -300,7 +300,7 @@
     before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
-        state = leader.poll(name)
+        state = leader.job_status(name)
         assert state is not None
         assert state.status == "queued"
         for worker in workers:
@@ -312,7 +312,7 @@
         for worker in workers:
             commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
-        state = leader.poll(name)
+        state = leader.job_status(name)
         assert state is not None
         assert (state.status, state.running) == ("running", 4)
     assert [set(worker.tasks) for worker in workers] == before
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -295,7 +295,7 @@
     assert (answer is not None) is answers
     assert bool(answer and starts(answer.commands)) is starts_work
     # Nothing is told from memory that a reader of the store might contradict.
-    assert (harness.leader.poll(job) is not None) is starts_work
+    assert (harness.leader.job_status(job) is not None) is starts_work
 
 
 def test_a_node_alone_in_losing_the_store_makes_no_user_find_that_out_again(
@@ -374,7 +374,7 @@
         assert not harness.cloud.released
         assert not machine.being_released
     elif act == "tell":
-        assert leader.poll(job) is None
+        assert leader.job_status(job) is None
     else:
         leader.direct_messages.send(machine)
         assert not leader.direct_messages.workers.sent  # type: ignore[attr-defined]
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.states: dict[str, JobStatus] = {}
 
-    def poll(self, job: JobId) -> JobStatus | None:
+    def job_status(self, job: JobId) -> JobStatus | None:
         return self.states.get(job)
 
     def on_heartbeat(self, _heartbeat: Any) -> HeartbeatResponse | None:
@@ -72,7 +72,7 @@
         return None
 
     def local_status(self, job: JobId) -> JobStatus | None:
-        return self.leader.poll(job) if self.leader is not None else None
+        return self.leader.job_status(job) if self.leader is not None else None
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         return self.leader.on_heartbeat(heartbeat) if self.leader is not None else None
