--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -47,7 +47,7 @@
         option = plan.options[0]
         self._requests += 1
         request = RentalRequest(
-            self._term.scope.request_name(self._term.number, self._requests),
+            self._term.scope.rental_id(self._term.number, self._requests),
             option.machine_type,
             option.zone,
             option.spot,
--- a/src/ryewing/leader/scope.py
+++ b/src/ryewing/leader/scope.py
@@ -47,7 +47,7 @@
             for machine_type in machine_types
         ]
 
-    def request_name(self, term: TermNumber, number: int) -> str:
+    def rental_id(self, term: TermNumber, number: int) -> str:
         """Return the name of a term's rental request.
 
         It holds the shard, since terms of two shards may have the same number.
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -60,7 +60,7 @@
     assert {request.zone for request in east.cloud.requests} == {"a"}
     assert {request.id for request in east.cloud.requests} == {"r-east-5-1"}
     west = TermScope(WEST, frozenset({Zone("b")}), 0.5)
-    assert west.request_name(TermNumber(5), 1) != east.scope.request_name(TermNumber(5), 1)
+    assert west.rental_id(TermNumber(5), 1) != east.scope.rental_id(TermNumber(5), 1)
 
 
 @pytest.mark.parametrize("shard", ["west", None])
