--- a/src/ryewing/leader/division.py
+++ b/src/ryewing/leader/division.py
@@ -37,7 +37,7 @@
     def store_for(self, scope: TermScope, store: Store) -> KeyValueStore:
         """Return the part of the store that a term keeps its records in."""
 
-    def choose(
+    def choose_shard(
         self,
         spec: JobSpec,
         machine_types: Mapping[str, MachineType],
@@ -61,7 +61,7 @@
         """Return the store itself."""
         return store
 
-    def choose(
+    def choose_shard(
         self,
         _spec: JobSpec,
         _machine_types: Mapping[str, MachineType],
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -190,7 +190,7 @@
             for shard, elector in self.electors.items()
             if shard is not None
         }
-        return self.division.choose(spec, self._machine_types, loads)
+        return self.division.choose_shard(spec, self._machine_types, loads)
 
     def full(self, shard: ShardName | None) -> bool:
         """Return whether a shard's leader holds as many jobs as its memory allows."""
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -49,7 +49,7 @@
             return store
         return ShardStore(store, scope.shard)
 
-    def choose(
+    def choose_shard(
         self,
         spec: JobSpec,
         machine_types: Mapping[str, MachineType],
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -165,14 +165,14 @@
     division = ShardDivision(DIVISION, random.Random(1))
     spec = job_spec("run-1", **changes)
     with pytest.raises(NotReadyError):
-        division.choose(spec, types, {})
+        division.choose_shard(spec, types, {})
     division.is_confirmed = True
     news = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
     if not able:
         with pytest.raises(NoShardError):
-            division.choose(spec, types, news)
+            division.choose_shard(spec, types, news)
         return
-    chosen = {division.choose(spec, types, news) for _ in range(50)}
+    chosen = {division.choose_shard(spec, types, news) for _ in range(50)}
     assert chosen == able
 
 
@@ -181,14 +181,15 @@
     division.is_confirmed = True
     loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
-    assert {division.choose(spec, TYPES, loads) for _ in range(20)} == {WEST}
+    assert {division.choose_shard(spec, TYPES, loads) for _ in range(20)} == {WEST}
     full = {**loads, WEST: ShardLoadAnswer(True, 0.5)}
-    assert {division.choose(spec, TYPES, full) for _ in range(20)} == {EAST}
+    assert {division.choose_shard(spec, TYPES, full) for _ in range(20)} == {EAST}
     blind = [
-        division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None}) for n in range(40)
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None})
+        for n in range(40)
     ]
     assert set(blind) == {EAST, WEST}
     assert blind == [
-        division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
         for n in range(40)
     ]
