--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-ATTEMPTS_LEFT = 1 << 20
+MIN_ATTEMPTS_LEFT = 1 << 20
 """A term ends when it has no more attempts than this to give out: far more than a cycle plans."""
 
 
@@ -50,7 +50,7 @@
 
         Attempts never repeat, so those of a term are bounded; the next term has new ones.
         """
-        return self.attempts_used > MAX_ATTEMPTS - ATTEMPTS_LEFT
+        return self.attempts_used > MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
 
     def apply(self, plan: Plan, now: MonotonicTime) -> None:
         """Assign the tasks that a cycle has placed, and stop those that it has to stop."""
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -16,7 +16,7 @@
 from ryewing.config.settings import Settings
 from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, max_sends_in_flight
 from ryewing.leader.machine_releaser import RELEASED_NAMES_KEPT
-from ryewing.leader.plan_applier import ATTEMPTS_LEFT
+from ryewing.leader.plan_applier import MIN_ATTEMPTS_LEFT
 from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.state.attempts import TaskPhase
 from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
@@ -219,7 +219,7 @@
     """An attempt beyond its term's would be one of the next term's, and attempts never repeat."""
     harness.ready_worker()
     harness.accept(task_count=1)
-    harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - ATTEMPTS_LEFT
+    harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
     assert not harness.lost
@@ -239,7 +239,7 @@
                 for number in range(fleet)}  # fmt: skip
     assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
     assert fleet < RELEASED_NAMES_KEPT
-    assert fleet * 2 * 32 < ATTEMPTS_LEFT  # a task for each half of a processor
+    assert fleet * 2 * 32 < MIN_ATTEMPTS_LEFT  # a task for each half of a processor
     assert max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * MAX_SENDS_IN_FLIGHT
     names = [f"i-{number:06d}" for number in range(fleet)]
     assert len(abbreviate_names(names)) < 12 * LOGGED_NAMES_MAX
