--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -29,20 +29,21 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SENDS_IN_FLIGHT = 24
+BASE_SENDS_IN_FLIGHT = 24
 SENDS_SHARE = 0.02
-"""The bound on concurrent exchanges: `MAX_SENDS_IN_FLIGHT`, or this share of the sockets if that is
-more. A silent machine occupies one for two seconds, and the loss of a zone silences thousands."""
+"""The bound on concurrent exchanges is this share of the process's sockets, and at least
+`BASE_SENDS_IN_FLIGHT`. An exchange with a silent machine lasts two seconds, and the loss of a zone
+silences thousands of machines."""
 MAX_ROUNDS = 2
 """Messages in one exchange: the second is sent if the worker's incarnation was not the one known,
 since a worker then executes nothing."""
-PROBE_AFTER = 1.6
+PROBE_AFTER_INTERVALS = 1.6
 """The heartbeat intervals after which a silent machine is probed."""
 
 
 def max_sends_in_flight(sockets: int) -> int:
     """Return the bound on concurrent exchanges for a number of sockets."""
-    return max(MAX_SENDS_IN_FLIGHT, int(SENDS_SHARE * sockets))
+    return max(BASE_SENDS_IN_FLIGHT, int(SENDS_SHARE * sockets))
 
 
 class DirectMessages:
@@ -146,7 +147,7 @@
 
         Machines that can hold no task are left out.
         """
-        late = PROBE_AFTER * self._term.settings.params.workers.report_s
+        late = PROBE_AFTER_INTERVALS * self._term.settings.params.workers.report_s
         for machine in list(self._term.cluster.machines.values()):
             if machine.lease_expires_by is None:
                 continue
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryewing.leader.direct_messages import PROBE_AFTER
+from ryewing.leader.direct_messages import PROBE_AFTER_INTERVALS
 from ryewing.state.cluster_state import ClusterState
 from ryewing.units import MonotonicTime
 
@@ -21,7 +21,7 @@
 
     def __init__(self, cluster: ClusterState, report_s: float, began_at: MonotonicTime) -> None:
         self._cluster = cluster
-        self._silent_after_s = PROBE_AFTER * report_s + PROBE_ANSWER_S
+        self._silent_after_s = PROBE_AFTER_INTERVALS * report_s + PROBE_ANSWER_S
         self._last_round_at = self._running_since = began_at
 
     def note_round(self, now: MonotonicTime) -> None:
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -10,7 +10,7 @@
 
 from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.cloud import CloudUnavailableError
-from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
+from ryewing.leader.direct_messages import BASE_SENDS_IN_FLIGHT, PROBE_AFTER_INTERVALS
 from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.term_end_reason import TermEndReason
@@ -194,7 +194,7 @@
     direct_messages.probe(harness.clock())
     direct_messages.probe(harness.clock())
     assert not contacted  # nothing was sent during the loop over the machines
-    assert len(direct_messages.senders) == MAX_SENDS_IN_FLIGHT
+    assert len(direct_messages.senders) == BASE_SENDS_IN_FLIGHT
     direct_messages.senders.join()
     assert sorted(contacted) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
 
@@ -265,7 +265,7 @@
 ) -> None:
     """Measured on days with such a cut: 7.1 s from the cut to the resignation."""
     silent_fleet(harness, monkeypatch)
-    longest_s = PROBE_AFTER * harness.settings.params.workers.report_s + PROBE_ANSWER_S
+    longest_s = PROBE_AFTER_INTERVALS * harness.settings.params.workers.report_s + PROBE_ANSWER_S
     tend(harness, longest_s)
     assert harness.lost == []
     tend(harness, 0.5)
