--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -29,7 +29,7 @@
 KEY_REMOVALS_AT_ONCE = 32
 WRITE_SHARE = 0.65
 """The part of the write rate for terms; the rest is for renewals and accepting submissions."""
-SET_ASIDE_S = 30.0
+REJECTED_WRITE_RETRY_S = 30.0
 """How long a change that the store won't take is left alone."""
 IDLE_WAIT_S = 1.0
 """How long the loop waits for something to write before it looks by itself."""
@@ -199,4 +199,4 @@
             return
         self._ops_max = self._ops_allowed
         if not chosen[0].on_refused():
-            self._set_aside[chosen[0].key] = MonotonicTime(now + SET_ASIDE_S)
+            self._set_aside[chosen[0].key] = MonotonicTime(now + REJECTED_WRITE_RETRY_S)
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -16,7 +16,7 @@
 from ryewing.config.settings_file import load_settings
 from ryewing.leader.machine_records import MACHINE_PREFIX, MachineRecord
 from ryewing.leader.rentals import REQUEST_PREFIX
-from ryewing.leader.state_writer import SET_ASIDE_S
+from ryewing.leader.state_writer import REJECTED_WRITE_RETRY_S
 from ryewing.state import machine_type_catalogue as catalogue
 from ryewing.state.job_records import FINISHED_PREFIX, JobRecord, final_key, live_key
 from ryewing.state.paged_records import PagedRecords
@@ -289,7 +289,7 @@
     for _ in range(5):
         harness.leader.writer.write_once()
     assert len(harness.store.rejected) == refused  # left alone for a while
-    harness.later(SET_ASIDE_S + 1)
+    harness.later(REJECTED_WRITE_RETRY_S + 1)
     harness.narrow(value_kb=8.0)
     harness.write()
     assert not harness.leader.term.job_table.jobs[large].unwritten
