--- a/src/ryewing/leader/replica_moves.py
+++ b/src/ryewing/leader/replica_moves.py
@@ -13,15 +13,15 @@
 from ryewing.state.machine import Assignment, Machine
 from ryewing.units import MonotonicTime
 
-MOVE_AFTER_S = 30.0
+MOVE_AFTER_CORDON_S = 30.0
 """How long a machine must have been cordoned before a replica is moved off it."""
-MOVE_GAP_S = 1.5
+MOVE_DOWNTIME_S = 1.5
 """The time for which a moved replica doesn't run."""
-MOVE_SHARE = 0.0005
-"""The share of a class's replica time that moves off cordoned machines may cost. Without this bound
-and `MOVE_AFTER_S` a third of a service's replicas was moved within minutes of their start, as the
-GPUs wanted went down and up; with one move each 5 s, a service of twenty missed a hundredth of its
-time as a day ran out."""
+MOVE_DOWNTIME_SHARE = 0.0005
+"""The share of a job class's replica time that moves off cordoned machines may cost. Without this
+bound and `MOVE_AFTER_CORDON_S`, a third of a service's replicas were moved within minutes of their
+start, because the number of wanted GPUs fell and rose again. With one move every 5 s, a service of
+twenty replicas lost a hundredth of its time towards the end of a day."""
 
 
 class ReplicaMoves:
@@ -85,13 +85,13 @@
             for job in self._term.job_table
             if job.is_service and job.spec.job_class == job_class
         )
-        interval_s = MOVE_GAP_S / (MOVE_SHARE * max(1, running))
+        interval_s = MOVE_DOWNTIME_S / (MOVE_DOWNTIME_SHARE * max(1, running))
         return now - self._moved_at.get(job_class, self._term.began_at) >= interval_s
 
 
 def _only_replicas_keep(machine: Machine, now: MonotonicTime) -> bool:
     """Return whether a machine has been cordoned for long enough and runs nothing but replicas."""
-    return now - machine.cordoned_since >= MOVE_AFTER_S and all(
+    return now - machine.cordoned_since >= MOVE_AFTER_CORDON_S and all(
         assignment.job is not None and assignment.job.is_service
         for assignment in machine.assignments.values()
     )
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -12,7 +12,7 @@
 from support.services import SERVICE, replicas, serve
 
 from ryewing.autoscaling.scale_in import machines_to_cordon
-from ryewing.leader.replica_moves import MOVE_AFTER_S, MOVE_GAP_S, MOVE_SHARE
+from ryewing.leader.replica_moves import MOVE_AFTER_CORDON_S, MOVE_DOWNTIME_S, MOVE_DOWNTIME_SHARE
 from ryewing.scheduling import SHORT_WAIT_S
 from ryewing.state.attempts import TaskPhase
 from ryewing.state.machine import Assignment, Machine
@@ -292,11 +292,11 @@
         harness.place()
         return sum(verbs(harness.exchange(worker)).count("halt") for worker in dear)
 
-    assert moved(MOVE_AFTER_S - 4.0) == 0
+    assert moved(MOVE_AFTER_CORDON_S - 4.0) == 0
     assert moved(2.0) == 1
     for worker in dear:
         harness.exchange(worker)
-    gap = MOVE_GAP_S / (MOVE_SHARE * 8)
+    gap = MOVE_DOWNTIME_S / (MOVE_DOWNTIME_SHARE * 8)
     assert moved(gap - 10.0) == 0
     assert moved(80.0) == 1
 
