--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-RELEASED_NAMES_KEPT = 20_000
+RELEASED_MACHINES_KEPT = 20_000
 """How many released machines are remembered: copies of their messages may still arrive."""
 
 
@@ -75,5 +75,5 @@
             self._direct_messages.workers.forget(machine.address)
         self._writer.forget_machine(machine.id)
         self._term.released_machines[machine.id] = None
-        if len(self._term.released_machines) > RELEASED_NAMES_KEPT:
+        if len(self._term.released_machines) > RELEASED_MACHINES_KEPT:
             self._term.released_machines.popitem(last=False)
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -15,7 +15,7 @@
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.direct_messages import BASE_SENDS_IN_FLIGHT, max_sends_in_flight
-from ryewing.leader.machine_releaser import RELEASED_NAMES_KEPT
+from ryewing.leader.machine_releaser import RELEASED_MACHINES_KEPT
 from ryewing.leader.plan_applier import MIN_ATTEMPTS_LEFT
 from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.state.attempts import TaskPhase
@@ -238,7 +238,7 @@
     machines = {f"i-{number:06d}": list(range(number % 1900, number % 1900 + 40))
                 for number in range(fleet)}  # fmt: skip
     assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
-    assert fleet < RELEASED_NAMES_KEPT
+    assert fleet < RELEASED_MACHINES_KEPT
     assert fleet * 2 * 32 < MIN_ATTEMPTS_LEFT  # a task for each half of a processor
     assert (
         max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * BASE_SENDS_IN_FLIGHT
