--- a/src/ryewing/leader/machine_records.py
+++ b/src/ryewing/leader/machine_records.py
@@ -49,21 +49,21 @@
         super().__init__(store, PagedRecords(MACHINE_PREFIX, value_kb))
         self._cluster = cluster
         self._scheduling_needed = scheduling_needed
-        self.wanted: set[MachineId] = set()
+        self.pending: set[MachineId] = set()
         """Machines to be recorded, or to be recorded anew."""
 
     def forget(self, machine: MachineId) -> None:
         """Remove the record of a machine that is gone."""
-        self.wanted.discard(machine)
+        self.pending.discard(machine)
         self.pages.drop(machine)
 
     def update_pages(self) -> dict[int, list[PagedMachine]]:
         """Bring the pages up to date; return the wanted machines by the number of their page."""
         by_page: dict[int, list[PagedMachine]] = {}
-        for name in list(self.wanted):
+        for name in list(self.pending):
             machine = self._cluster.machines.get(name)
             if machine is None:
-                self.wanted.discard(name)
+                self.pending.discard(name)
                 continue
             # Once written, it stays: found when a successor repeated a request whose machines had
             # been heard by its predecessor, and wrote that they never were.
@@ -79,6 +79,6 @@
         """Let tasks start on the machines that are recorded as heard now."""
         for machine, heard in records:
             if heard or machine.heard_at is None:
-                self.wanted.discard(machine.id)
+                self.pending.discard(machine.id)
             machine.recorded = machine.recorded or heard
         self._scheduling_needed.set()
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -133,7 +133,7 @@
             if record.heard:
                 machine.recorded = True
                 machine.lease_expires_by = MonotonicTime(now + may_hold_s)
-        self._writer.machine_records.wanted.update(MachineId(name) for name in found_twice)
+        self._writer.machine_records.pending.update(MachineId(name) for name in found_twice)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
         """Take up which machines have which images, and the backoff of failing jobs."""
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -70,7 +70,7 @@
 
     def record_machine(self, machine: MachineId) -> None:
         """Want a machine's record to be written."""
-        self.machine_records.wanted.add(machine)
+        self.machine_records.pending.add(machine)
 
     def forget_machine(self, machine: MachineId) -> None:
         """Want the record of a machine that is gone to be removed."""
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -226,7 +226,7 @@
         assert found is not None
         assert found.shortfall == 1
         harness.write()
-        assert not harness.leader.writer.machine_records.wanted
+        assert not harness.leader.writer.machine_records.pending
         harness.later(6.0)
     harness.exchange(worker)
     harness.exchange(worker)
