--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -63,7 +63,7 @@
         self.inventory = CloudInventory(
             term, direct_messages, self.releaser, MachineListing(cloud, limits.rps)
         )
-        self.machine_types = MachineTypeRefresher(term, cloud)
+        self.machine_type_refresher = MachineTypeRefresher(term, cloud)
 
     def autoscaling_loop(self) -> None:
         """Take a step twice a second while the term may begin new work; never returns."""
@@ -88,8 +88,8 @@
         unhealthy = self.unhealthy_machines(now)
         if unhealthy:
             self.releaser.release(unhealthy)
-        if self.machine_types.due(now):
-            self.machine_types.refresh()
+        if self.machine_type_refresher.due(now):
+            self.machine_type_refresher.refresh()
         if self.inventory.listing.due(now):
             self.inventory.read_page()
         self.rentals.send_pending()
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -63,7 +63,7 @@
         Raise StoreUnavailableError if the store did not answer: everything has to be read again.
         """
         now = monotonic_now()
-        machine_types = self._autoscaler.machine_types.load_stored()
+        machine_types = self._autoscaler.machine_type_refresher.load_stored()
         if machine_types:
             self._term.set_machine_types(machine_types)
         self._load_jobs(now)
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -451,12 +451,12 @@
     """They were noted as known before the write: after an outage no follower learned them."""
     harness.store.down = True
     with pytest.raises(StoreUnavailableError):
-        harness.leader.autoscaler.machine_types.refresh()
+        harness.leader.autoscaler.machine_type_refresher.refresh()
     harness.store.down = False
-    harness.leader.autoscaler.machine_types.refresh()
+    harness.leader.autoscaler.machine_type_refresher.refresh()
     assert harness.store.get(catalogue.KEY) is not None
     before = harness.store.writes
-    harness.leader.autoscaler.machine_types.refresh()
+    harness.leader.autoscaler.machine_type_refresher.refresh()
     assert harness.store.writes == before
 
 
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -38,7 +38,7 @@
     """Give all parts of a leader that make requests to the cloud a fake of it."""
     autoscaler = leader.autoscaler
     autoscaler.rentals.cloud = autoscaler.releaser.cloud = cloud
-    autoscaler.inventory.listing.cloud = autoscaler.machine_types.cloud = cloud
+    autoscaler.inventory.listing.cloud = autoscaler.machine_type_refresher.cloud = cloud
 
 
 class DirectWorkers:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -69,7 +69,7 @@
     harness.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHES))])
     harness.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
     leader = harness.new_leader(6)
-    assert leader.autoscaler.machine_types.load_stored() == [CPU, GPU]
+    assert leader.autoscaler.machine_type_refresher.load_stored() == [CPU, GPU]
     gang = leader.term.job_table.jobs[JobId("run-000412")]
     assert gang.is_gang
     assert gang.spec.same_zone
