--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -75,17 +75,17 @@
         """Return the answer to a worker, or None if this node must not answer 200 now."""
         return self.heartbeats.on_heartbeat(heartbeat)
 
-    def poll(self, job_id: JobId) -> JobStatus | None:
+    def job_status(self, job_id: JobId) -> JobStatus | None:
         """Return a job's state, or None if only the store can tell."""
-        return self.job_watcher.poll(job_id)
+        return self.job_watcher.job_status(job_id)
 
     def apply_cancel(self, job_id: JobId) -> bool:
         """Take in a cancel that the store has; True once no older state can be told from here."""
         return self.job_watcher.apply_cancel(job_id)
 
-    def full(self) -> bool:
+    def job_memory_full(self) -> bool:
         """Return whether more jobs would endanger the memory of this process."""
-        return self.job_watcher.full()
+        return self.job_watcher.job_memory_full()
 
     def image_locality(self) -> ImageLocality:
         """Return what a successor should know of the machines' images and of failing jobs."""
@@ -94,7 +94,7 @@
         }
         return ImageLocality(int(self.term.number), *self.term.cluster.cached_images(), backoff_s)
 
-    def drained(self) -> bool:
+    def is_quiesced(self) -> bool:
         """Return whether nothing is under way whose outcome a successor would have to find out.
 
         What is not written yet does not count: workers keep their finishes until they are.
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -16,7 +16,7 @@
 from ryewing.clients.store import Put, TxnResult
 from ryewing.leader.autoscaler import Autoscaler
 from ryewing.leader.division import NoShardError, NotReadyError
-from ryewing.leader.scheduler import CYCLE_REST_FACTOR
+from ryewing.leader.scheduler import CYCLE_PAUSE_FACTOR
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
@@ -60,7 +60,7 @@
     assert {request.zone for request in east.cloud.requests} == {"a"}
     assert {request.id for request in east.cloud.requests} == {"r-east-5-1"}
     west = TermScope(WEST, frozenset({Zone("b")}), 0.5)
-    assert west.request_name(TermNumber(5), 1) != east.scope.request_name(TermNumber(5), 1)
+    assert west.rental_id(TermNumber(5), 1) != east.scope.rental_id(TermNumber(5), 1)
 
 
 @pytest.mark.parametrize("shard", ["west", None])
@@ -85,31 +85,31 @@
     east.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
     east.leader.autoscaler.rentals.pending.clear()
     assert not east.cloud.released
-    assert not east.leader.term.may_begin()
+    assert not east.leader.term.may_start_operations()
     east.leader.term.sealed = False
     assert len(starts(east.exchange(worker))) == 2
 
 
-def test_a_term_is_drained_once_nothing_is_under_way(east: LeaderHarness) -> None:
+def test_a_term_is_quiesced_once_nothing_is_under_way(east: LeaderHarness) -> None:
     """No start of which it isn't known whether it arrived, and no write without its answer."""
     worker = east.ready_worker()
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
     east.begin(worker, task_count=1)
-    assert not east.leader.drained()
+    assert not east.leader.is_quiesced()
     east.exchange(worker)
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
     east.end(worker)
     txn, drained = east.store.txn, []
 
     def watched_txn(*args: Any) -> TxnResult:
-        drained.append(east.leader.drained())
+        drained.append(east.leader.is_quiesced())
         return txn(*args)
 
     east.store.txn = watched_txn  # type: ignore[method-assign, assignment]
     east.write()
     assert drained
     assert not any(drained)
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
 
 
 def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
@@ -129,8 +129,8 @@
     for name, (rate, whole) in rates.items():
         assert rate == pytest.approx(0.5 * whole), name
     took = 1.0
-    assert 2 * took / (took + leader.scheduler.rest_s(took)) == pytest.approx(
-        1 / (CYCLE_REST_FACTOR + 1)
+    assert 2 * took / (took + leader.scheduler.pause_after_s(took)) == pytest.approx(
+        1 / (CYCLE_PAUSE_FACTOR + 1)
     )
 
 
@@ -139,7 +139,7 @@
     for number in range(round(limit) + 1):
         record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
         east.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
-    assert east.leader.full()
+    assert east.leader.job_memory_full()
 
 
 TYPES = {machine_type.name: machine_type for machine_type in (CPU, GPU)}
@@ -165,14 +165,14 @@
     division = ShardDivision(DIVISION, random.Random(1))
     spec = job_spec("run-1", **changes)
     with pytest.raises(NotReadyError):
-        division.choose(spec, types, {})
+        division.choose_shard(spec, types, {})
     division.is_confirmed = True
     news = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
     if not able:
         with pytest.raises(NoShardError):
-            division.choose(spec, types, news)
+            division.choose_shard(spec, types, news)
         return
-    chosen = {division.choose(spec, types, news) for _ in range(50)}
+    chosen = {division.choose_shard(spec, types, news) for _ in range(50)}
     assert chosen == able
 
 
@@ -181,14 +181,15 @@
     division.is_confirmed = True
     loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
-    assert {division.choose(spec, TYPES, loads) for _ in range(20)} == {WEST}
+    assert {division.choose_shard(spec, TYPES, loads) for _ in range(20)} == {WEST}
     full = {**loads, WEST: ShardLoadAnswer(True, 0.5)}
-    assert {division.choose(spec, TYPES, full) for _ in range(20)} == {EAST}
+    assert {division.choose_shard(spec, TYPES, full) for _ in range(20)} == {EAST}
     blind = [
-        division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None}) for n in range(40)
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None})
+        for n in range(40)
     ]
     assert set(blind) == {EAST, WEST}
     assert blind == [
-        division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
         for n in range(40)
     ]
