--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -44,7 +44,7 @@
 
     # -- what users ask ---------------------------------------------------------------------
 
-    def poll(self, job_id: JobId) -> JobStatus | None:
+    def job_status(self, job_id: JobId) -> JobStatus | None:
         """Return a job's state, or None if only the store can tell.
 
         While a final write is under way nobody but the store knows whether it was applied; an
@@ -53,7 +53,7 @@
         """
         if (
             not self.term.state_loaded.is_set()
-            or not self.term.may_start()
+            or not self.term.has_authority()
             or job_id in self.writer.final_states.pending
         ):
             return None
@@ -74,7 +74,7 @@
             self._cancel(job)
         return True
 
-    def full(self) -> bool:
+    def job_memory_full(self) -> bool:
         """Return whether more jobs would endanger the memory of this process."""
         memory_mb = self.term.scope.share * self.term.settings.params.resources.mem_mb
         capacity_bytes = memory_mb * JOBS_MEMORY_SHARE * 1e6
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-RELEASED_NAMES_KEPT = 20_000
+RELEASED_MACHINES_KEPT = 20_000
 """How many released machines are remembered: copies of their messages may still arrive."""
 
 
@@ -41,7 +41,7 @@
         machines are used as before.
         """
         releases = releases[:RELEASE_MAX]
-        if not self._term.may_begin():
+        if not self._term.may_start_operations():
             # Requests were made, or the process stood still, since this was decided: a successor
             # may use these machines by now.
             return
@@ -74,6 +74,6 @@
         if machine.address:
             self._direct_messages.workers.forget(machine.address)
         self._writer.forget_machine(machine.id)
-        self._term.released[machine.id] = None
-        if len(self._term.released) > RELEASED_NAMES_KEPT:
-            self._term.released.popitem(last=False)
+        self._term.released_machines[machine.id] = None
+        if len(self._term.released_machines) > RELEASED_MACHINES_KEPT:
+            self._term.released_machines.popitem(last=False)
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -1,4 +1,4 @@
-"""Choosing machines for tasks with room, free or to be released: by zone and in order."""
+"""Chooses machines with enough free or releasing resources for a job's tasks."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from ryewing.state.machine import COLD
 from ryewing.units import Zone
 
-REPLICAS_TOGETHER = 4
-"""Up to this many replicas the fullest machine comes first; beyond, others where a replica would
-start as soon do, since a machine that dies takes all its replicas with it."""
+PACKED_REPLICAS_MAX = 4
+"""How many replicas are packed onto the fullest machine. With more, other machines where a replica
+would start as soon come first, because a machine failure stops all replicas on the machine."""
 
 SortKey = tuple[float, ...]
-"""Orders machines: the smallest first."""
+"""A sort key for machines: the smallest is chosen first."""
 
 
-class _ZoneChoice:
-    """What was chosen in one zone, or in all of them."""
+class _ZoneSelection:
+    """The machines chosen in one zone, or in all zones together."""
 
-    __slots__ = ("choices", "cold", "count")
+    __slots__ = ("choices", "cold_count", "count")
 
     def __init__(self) -> None:
         self.choices: list[Choice] = []
         self.count = 0
-        """How many tasks were chosen for."""
-        self.cold = 0
-        """How many of them would have to fetch their image."""
+        """How many tasks the choices are for."""
+        self.cold_count = 0
+        """How many of these tasks go to machines that have to fetch the image."""
 
 
 class Selector:
-    """Chooses machines for the job at hand."""
+    """Chooses machines for the current job."""
 
     def __init__(self, state: CycleState) -> None:
         self._state = state
@@ -43,32 +43,34 @@
         job: Job,
         wanted: int,
         capacities: list[MachineCapacity],
-        whole: bool = False,
-        with_releasing: bool = False,
+        all_or_nothing: bool = False,
+        include_releasing: bool = False,
     ) -> list[Choice]:
-        """Choose machines for up to `wanted` tasks, or for all of them or none if `whole`.
+        """Choose machines for up to `wanted` tasks, or for all of them or none if `all_or_nothing`.
 
-        `with_releasing`: room counts that tasks being stopped will release. Of several zones the
-        one that takes the most tasks is chosen, and of those the one with the fewest fetches.
+        `include_releasing` counts the resources of tasks being stopped as free. Of several zones,
+        the one that takes the most tasks is chosen; among equals, the one with the fewest fetches.
         """
         spec, gpu_reserve_on = job.spec, self._state.gpu_reserve_on
         fitting = [
             capacity
             for capacity in capacities
-            if capacity.count_fitting(spec, 1, with_releasing, gpu_reserve_on(capacity))
+            if capacity.count_fitting(spec, 1, include_releasing, gpu_reserve_on(capacity))
         ]
         if not fitting:
             return []
         sort_key = self._replica_order if job.is_service else _task_order
         fitting.sort(key=partial(sort_key, job))
-        best = _ZoneChoice()
+        best = _ZoneSelection()
         for zone in self._state.zones_for(job, fitting):
-            found = self._choose_in_zone(job, wanted, fitting, zone, with_releasing)
-            if found.count > best.count or (found.count == best.count and found.cold < best.cold):
+            found = self._choose_in_zone(job, wanted, fitting, zone, include_releasing)
+            if found.count > best.count or (
+                found.count == best.count and found.cold_count < best.cold_count
+            ):
                 best = found
-            if found.count == wanted and (found.cold == 0 or not whole):
+            if found.count == wanted and (found.cold_count == 0 or not all_or_nothing):
                 break
-        if whole and best.count < wanted:
+        if all_or_nothing and best.count < wanted:
             return []
         return best.choices
 
@@ -78,21 +80,23 @@
         wanted: int,
         fitting: list[MachineCapacity],
         zone: Zone | None,
-        with_releasing: bool,
-    ) -> _ZoneChoice:
-        """Choose machines in order, all in `zone` if it isn't None."""
+        include_releasing: bool,
+    ) -> _ZoneSelection:
+        """Choose machines in the order of `fitting`, all in `zone` if it isn't None."""
         state, spec = self._state, job.spec
-        found = _ZoneChoice()
+        found = _ZoneSelection()
         by_zone: dict[Zone, int] = {}
         for capacity in fitting:
             machine = capacity.machine
             if zone is not None and machine.zone != zone:
                 continue
-            most = state.task_limit(job, capacity, wanted - found.count, by_zone, found.cold)
-            if most <= 0:
+            max_tasks = state.task_limit(
+                job, capacity, wanted - found.count, by_zone, found.cold_count
+            )
+            if max_tasks <= 0:
                 continue
             count = capacity.count_fitting(
-                spec, most, with_releasing, state.gpu_reserve_on(capacity)
+                spec, max_tasks, include_releasing, state.gpu_reserve_on(capacity)
             )
             if count <= 0:
                 continue
@@ -100,51 +104,60 @@
             found.count += count
             by_zone[machine.zone] = by_zone.get(machine.zone, 0) + count
             if machine.warmth(spec.image) == COLD:
-                found.cold += count
+                found.cold_count += count
             if found.count == wanted:
                 break
         return found
 
     def _replica_order(self, job: Job, capacity: MachineCapacity) -> SortKey:
-        """Order machines for a replica.
+        """Return a machine's sort key for a replica.
 
-        Healthy ones come first, then those where it takes no room from large tasks, starts
-        soonest, and needs no machine with expensive GPUs.
+        The criteria in order: no recent faults, the least displacement of large tasks, the soonest
+        start, the lowest cost of GPUs that the replica would not use, few replicas already there,
+        and the fullest machine.
         """
         spec, machine = job.spec, capacity.machine
-        cold = machine.warmth(spec.image) == COLD
+        is_cold = machine.warmth(spec.image) == COLD
         return (
             bool(machine.failed_jobs),
             capacity.displaced_share(spec, self._state.snapshot.recent_specs),
             round(self._state.start_s(spec, capacity)),
             gpu_cost(spec, machine),
-            max(0, capacity.replicas() - REPLICAS_TOGETHER),
-            # Where it has to fetch, the next replicas should find room beside it.
-            -capacity.preemptible_cpus() if cold else 0.0,
+            max(0, capacity.replica_count() - PACKED_REPLICAS_MAX),
+            # If the replica has to fetch, prefer machines where later replicas will fit too.
+            -capacity.preemptible_cpus() if is_cold else 0.0,
             spec.spot and not machine.spot,
             capacity.free_share(),
         )
 
 
 def _task_order(job: Job, capacity: MachineCapacity) -> SortKey:
-    """Order machines for tasks that end: the fullest first (bin packing; docs/design.md).
+    """Return a machine's sort key for tasks of arrays and gangs.
+
+    The fullest machine comes first (bin packing; docs/design.md), but these criteria come before
+    that, in this order:
+
+    - the job has not failed on the machine;
+    - the machine is not a straggler;
+    - the task strands no GPUs;
+    - the machine has the image, because a fetch takes longer than most tasks wait;
+    - if it does not, it has few of the images that waiting arrays need;
+    - the machine is a spot machine if the job may use them, because other jobs can use only regular
+      machines.
 
-    More important than that are: machines that aren't slow; machines whose GPUs the task would not
-    strand; the image, since a fetch takes longer than most tasks wait; and for jobs that may use
-    spot machines those, since other jobs can only use the ordinary ones. A gang that lacks a
-    member looks for the image first: all others wait, and give up in turn, until the new one has
-    it.
+    For a gang with missing members, the image comes before the GPUs. The other members wait for it,
+    and give up one after another, until the new member has its image.
     """
     spec, machine = job.spec, capacity.machine
-    cold = machine.warmth(spec.image) == COLD
+    is_cold = machine.warmth(spec.image) == COLD
     return (
-        # A job in backoff may go where it failed, but elsewhere its probe tells more.
+        # A job in backoff may use machines where it failed, but a probe elsewhere shows more.
         machine.id in job.failed_on,
         machine.is_straggler(),
         capacity.fetch_order(spec, True) if job.lacks_members else 0,
         stranded_gpus(spec, machine),
         capacity.fetch_order(spec, job.is_gang),
-        capacity.wanted_images[spec.gpus > 0] if cold else 0,
+        capacity.wanted_image_counts[spec.gpus > 0] if is_cold else 0,
         spec.spot and not machine.spot,
         capacity.free_share(),
     )
--- a/src/ryewing/scheduling/tasks.py
+++ b/src/ryewing/scheduling/tasks.py
@@ -1,4 +1,4 @@
-"""Placing tasks on given machines, in the three stages of a job's turn."""
+"""Places a job's tasks on candidate machines in three stages."""
 
 from __future__ import annotations
 
@@ -11,34 +11,40 @@
 
 
 class TaskPlacer:
-    """Places tasks in free room, then in room about to be released, then by preemption."""
+    """Places tasks in free resources, then in releasing resources, then by preemption."""
 
     def __init__(self, state: CycleState) -> None:
         self._state = state
         self.selector = Selector(state)
         self.preemptor = Preemptor(state)
 
-    def place(self, job: Job, wanted: int, candidates: Candidates, whole: bool = False) -> int:
-        """Place tasks or claim room to be released for them; return for how many that was possible.
+    def place(
+        self, job: Job, wanted: int, candidates: Candidates, all_or_nothing: bool = False
+    ) -> int:
+        """Place tasks or claim releasing resources for them; return for how many tasks.
 
-        `whole`: for all of them or none.
+        With `all_or_nothing`, each stage does this for all of the tasks or none.
         """
         state, choose = self._state, self.selector.choose
-        fitting = state.sample(job, self._with_room(job, candidates))
-        left = wanted
-        left -= state.place(job, choose(job, left, fitting, whole))
-        if left > 0:
-            left -= state.claim(job, choose(job, left, fitting, whole, with_releasing=True))
-        if left > 0:
-            left -= self.preemptor.preempt(job, left, candidates, whole)
-        return wanted - left
-
-    def _with_room(self, job: Job, candidates: Candidates) -> list[MachineCapacity]:
-        """Return the machines where a task might fit without preemption and may begin."""
+        fitting = state.sample(job, self._fitting_machines(job, candidates))
+        remaining = wanted
+        remaining -= state.place(job, choose(job, remaining, fitting, all_or_nothing))
+        if remaining > 0:
+            remaining -= state.claim(
+                job, choose(job, remaining, fitting, all_or_nothing, include_releasing=True)
+            )
+        if remaining > 0:
+            remaining -= self.preemptor.preempt(job, remaining, candidates, all_or_nothing)
+        return wanted - remaining
+
+    def _fitting_machines(self, job: Job, candidates: Candidates) -> list[MachineCapacity]:
+        """Return machines where a task might fit without preemption, within the job's limits."""
         spec = job.spec
         if job.is_service:
             fitting = candidates.fitting(spec)
-            return [capacity for capacity in fitting if self._state.is_warm_enough(spec, capacity)]
+            return [
+                capacity for capacity in fitting if self._state.meets_image_limits(spec, capacity)
+            ]
         if self._state.limits.warm_only:
             return candidates.fitting_with_image(spec)
         return candidates.fitting(spec)
