--- a/src/ryewing/state/__init__.py
+++ b/src/ryewing/state/__init__.py
@@ -1,7 +1,7 @@
-"""What a leader knows: jobs, machines, assignments, pending terminations and judged failures.
+"""The leader's state: jobs, machines, assignments, pending terminations and detected failures.
 
-It owns this state, all of it in memory and changed only by calls that never wait, and the form of
-the records of jobs, machine types and record pages in the store. It may import `units`, `wire`,
-`config` and `clients`. The leader changes it; scheduling and autoscaling read it, and the API,
-process and sharding use its record forms.
+This package owns the state, which is held in memory and changed only by calls that never block. It
+also defines the store records of jobs, machine types and record pages. It may import `units`,
+`wire`, `config` and `clients`. The leader changes the state, scheduling and autoscaling read it,
+and the API, process and sharding packages use the record formats.
 """
--- a/src/ryewing/state/image_fetches.py
+++ b/src/ryewing/state/image_fetches.py
@@ -1,6 +1,7 @@
-"""Image fetches under way, and whether fetches at once share a machine's rate.
+"""Image fetches in progress, and whether concurrent fetches share a machine's rate.
 
-The protocol says only that they may (PROTOCOL, "GET /machine_types"), so it is learned.
+The protocol only allows that they share it (PROTOCOL, "GET /machine_types"), so the leader
+estimates it from observed fetches.
 """
 
 from __future__ import annotations
@@ -10,32 +11,32 @@
 SLOWDOWN_WEIGHT = 0.05
 """The weight of one fetch in the moving average of the slowdown."""
 SHARED_SLOWDOWN = 1.2
-"""The slowdown above which fetches count as sharing a machine's rate: 1 if they don't share it at
-all, 2 for two fetches that share it fully."""
+"""The slowdown above which concurrent fetches count as sharing a machine's rate. Two concurrent
+fetches have a slowdown of 1 if they don't share the rate and of 2 if they share it fully."""
 
 
 class ImageFetch:
-    """An image on its way to a machine, as reported by the tasks that wait for it."""
+    """The fetch of an image by a machine, as reported for the tasks that wait for the image."""
 
-    __slots__ = ("alone", "started_at")
+    __slots__ = ("exclusive", "started_at")
 
-    def __init__(self, started_at: MonotonicTime, alone: bool) -> None:
+    def __init__(self, started_at: MonotonicTime, exclusive: bool) -> None:
         self.started_at = started_at
-        self.alone = alone
-        """Whether the machine has fetched no other image at the same time."""
+        self.exclusive = exclusive
+        """Whether the machine has fetched no other image at the same time as this one."""
 
 
 class FetchContention:
-    """How much longer fetches at once take than single ones, learned over all machines."""
+    """Estimates how much longer concurrent fetches take than single ones, over all machines."""
 
     def __init__(self) -> None:
         self.slowdown = 1.0
-        """A moving average of measured over expected duration; 1 until anything is learned."""
+        """A moving average of the measured divided by the expected duration; 1 at first."""
 
-    def learn(self, slowdown: float) -> None:
-        """Learn from one fetch that ran beside others: its measured over its expected duration."""
+    def record_slowdown(self, slowdown: float) -> None:
+        """Add the slowdown of one fetch that overlapped with others to the moving average."""
         self.slowdown += SLOWDOWN_WEIGHT * (slowdown - self.slowdown)
 
     def is_rate_shared(self) -> bool:
-        """Return whether images fetched at once seem to share a machine's rate."""
+        """Return whether concurrent fetches seem to share a machine's rate."""
         return self.slowdown > SHARED_SLOWDOWN
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -1,6 +1,6 @@
-"""One machine as far as the leader knows it: its assignments, its images and how well it does.
+"""The leader's view of one machine: its assignments, cached images, performance and failures.
 
-`Assignment` is in the same module because each of the two classes refers to the other.
+`Assignment` is in this module because it and `Machine` refer to each other.
 """
 
 from __future__ import annotations
@@ -26,29 +26,30 @@
 from ryewing.wire.workers import ReportedTask
 
 MIN_STABLE_RUN_S = 15.0
-"""A replica that ran for this long did not fail at its start."""
+"""The run time after which the end of a replica no longer counts as a failure at startup."""
 
-# Plain integers and no enum: scheduling compares and adds them for each machine that it examines.
+# Plain integers instead of an enum, because scheduling compares and adds these values for every
+# machine that it examines.
 WARM = 0
-"""A value of `Machine.warmth`: the image is probably on the machine."""
+"""A value of `Machine.warmth`: the image is probably in the machine's cache."""
 FETCHING = 1
-"""A value of `Machine.warmth`: the image is being fetched for another task."""
+"""A value of `Machine.warmth`: the machine is fetching the image for another task."""
 COLD = 2
-"""A value of `Machine.warmth`: the image has to be fetched."""
+"""A value of `Machine.warmth`: the machine would have to fetch the image."""
 
 RELATIVE_RUN_TIME_WEIGHT = 0.2
-"""The weight of one finished task in the moving average of its machine's pace."""
+"""The weight of one finished task in `Machine.relative_run_time`, a moving average."""
 MAX_RELATIVE_RUN_TIME = 3.0
-"""The upper bound of what one task may contribute to that average."""
+"""The upper bound of the ratio that one task contributes to `Machine.relative_run_time`."""
 STRAGGLER_RELATIVE_RUN_TIME = 1.4
-"""The pace above which a machine is slow: its tasks take this many times as long as elsewhere."""
+"""The value of `Machine.relative_run_time` above which a machine is a straggler."""
 MEASURABLE_FETCH_S = 5.0
-"""The expected duration from which on a fetch is measured: its end shows in a heartbeat, which is
-seconds late."""
+"""The expected duration below which a fetch is not measured. The leader sees the end of a fetch
+only in the next heartbeat, seconds late, so measured durations of short fetches are inaccurate."""
 
 
 class Assignment:
-    """One task attempt on a machine: planned, assumed (its start was sent), or reported."""
+    """A task attempt on a machine: planned, sent but not reported yet, or reported by a worker."""
 
     __slots__ = (
         "attempt",
@@ -75,34 +76,36 @@
         self.task = task
         self.attempt = attempt
         self.job = job
-        """None if the leader knows no such job, or the job has no such task."""
+        """None if the leader does not know the job, or the job has no task of this number."""
         self.phase = phase
         self.planned_at = now
-        """When the leader planned it, or first heard of it."""
+        """When the leader planned the attempt, or first saw it in a heartbeat."""
         self.sent_after: HeartbeatVersion | None = None
-        """The heartbeat whose response carried the start; a later heartbeat settles it."""
+        """The heartbeat whose response carried the start command. The start was lost if a later
+        heartbeat does not show the attempt."""
         self.running_since: MonotonicTime | None = None
-        """When it was first seen to run."""
+        """When a heartbeat first showed the attempt as running."""
         self.start_observed = False
-        """Whether it was seen in an earlier phase first; not so for a task that was found running,
-        as after a failover."""
+        """Whether the leader saw the attempt in an earlier phase before it ran. False for a task
+        that was running already when the leader first saw it, as after a failover."""
 
 
 def is_stable(assignment: Assignment, now: MonotonicTime) -> bool:
-    """Return whether a task ran long enough not to have failed at its start.
+    """Return whether a task has run for long enough that its end is no failure at startup.
 
-    A replica that was found running counts as such, since nothing else is known of it.
+    A replica that was already running when the leader first saw it counts as stable, because its
+    start time is unknown.
     """
     if assignment.running_since is None:
         return False
-    found_serving = (
+    was_already_running = (
         not assignment.start_observed and assignment.job is not None and assignment.job.is_service
     )
-    return found_serving or now - assignment.running_since >= MIN_STABLE_RUN_S
+    return was_already_running or now - assignment.running_since >= MIN_STABLE_RUN_S
 
 
 class MachineKind(NamedTuple):
-    """What decides which jobs may use a machine."""
+    """The properties of a machine that determine which jobs may use it."""
 
     machine_type: str
     zone: Zone
@@ -110,10 +113,11 @@
 
 
 class Machine:
-    """One machine, which may be booting, in use, silent or about to be released.
+    """A machine, which may be booting, in use, silent or about to be released.
 
-    `AssignmentTable` keeps the assignments and the free resources, and `HeartbeatApplier` applies
-    what the worker reports; the leader's parts set the flags of use and release.
+    `AssignmentTable` maintains the assignments and the free resources, `HeartbeatApplier` applies
+    the worker's reports, and the leader's components set the flags for cordon, quarantine and
+    release.
     """
 
     __slots__ = (
@@ -153,78 +157,87 @@
         "zone",
     )
 
-    # What it is.
+    # Identity and type.
     id: MachineId
     machine_type: MachineType
     zone: Zone
     spot: bool
     address: str
-    """Where its worker takes direct messages; empty until it has told."""
+    """The address for direct messages to its worker; empty until a heartbeat contains one."""
     rented_at: MonotonicTime
     recorded: bool
-    """Whether the store has it as heard, so that a successor knows that it may hold tasks."""
+    """Whether the store records that the machine has sent a heartbeat. A new leader then knows that
+    the machine may hold tasks."""
 
-    # Its heartbeats and its lease.
+    # Heartbeats and the worker's lease.
     version: HeartbeatVersion
-    """The version of the newest heartbeat that was applied."""
+    """The version of the newest message that was applied."""
     heard_at: MonotonicTime | None
-    """When that heartbeat was applied; None if there was none in this term."""
+    """When that message was applied; None if the machine sent none in this term."""
     expired_incarnation: int
-    """The newest incarnation that has certainly ended: a heartbeat of it is an old copy."""
+    """The newest incarnation that has certainly ended. Heartbeats of it, or of an earlier one, are
+    delayed copies and are ignored."""
     lease_expires_by: MonotonicTime | None
-    """Until when its lease may run; None if its worker was never answered, or its lease ended."""
+    """The latest time at which the worker's lease can expire; None if the worker was never answered
+    or the lease has expired."""
     notice_s: float | None
-    """Seconds until the cloud takes it back, as of its newest heartbeat; None without a notice."""
+    """Seconds until the cloud reclaims the machine, as of the newest heartbeat; None without a
+    reclaim notice."""
     notice_received_at: MonotonicTime
-    """When the notice was first seen."""
+    """When a heartbeat first contained the reclaim notice."""
 
-    # Whether the leader's messages reach its worker (safety argument 4 in docs/design.md).
+    # Acknowledgement of the leader's messages (safety argument 4 in docs/design.md).
     acknowledged_bump: int
-    """The highest bump of this term's token that it has shown; -1 if it has shown none."""
+    """The highest bump of this term's token that the worker has returned; -1 if none."""
     required_bump: int
-    """The token bump that it has to show before it gets work: nothing else proves that our
-    responses reach it."""
+    """The token bump that the worker has to return before it gets work, because only a returned
+    token proves that the leader's responses reach the worker."""
     unacknowledged_since: MonotonicTime | None
-    """Since when its heartbeats arrive although it doesn't acknowledge our token."""
+    """Since when heartbeats have arrived without the required token bump; None if it is
+    acknowledged."""
     token_bumps: int
-    """How often its token was raised in this term."""
+    """How many times its token was bumped in this term."""
     token_bumped_at: MonotonicTime | None
-    """When its token was last raised to call for an early heartbeat."""
+    """When its token was last bumped to request an early heartbeat."""
 
-    # Whether it is to be used.
+    # Availability for new work.
     being_released: bool
-    """Whether the cloud is being asked to take it back."""
+    """Whether the release of the machine to the cloud is in progress."""
     cordoned: bool
-    """Whether no more work is wanted here: it is released once its tasks have ended."""
+    """Whether the machine gets no new work and is released once its tasks have ended."""
     cordoned_since: MonotonicTime
     quarantined: bool
-    """Whether it failed tasks of several healthy jobs, and takes no more."""
+    """Whether the machine gets no new work because tasks of several healthy jobs failed on it."""
     failed_jobs: set[JobId]
-    """Jobs that failed here since a task last finished, and that may be healthy themselves."""
+    """Jobs whose tasks failed on the machine since a task last finished there, except jobs that are
+    known or likely to be the cause themselves."""
     relative_run_time: float
-    """How long tasks take here, relative to tasks of the same jobs elsewhere."""
+    """A moving average of the run times of tasks on this machine, relative to the mean run times of
+    their jobs; 1 at first."""
 
-    # Its tasks.
+    # Tasks and resources.
     assignments: dict[TaskId, Assignment]
     idle_since: MonotonicTime
-    """When the last assignment was dropped, or else when the leader first knew the machine."""
+    """When the last assignment was dropped, or when the leader added the machine if it had none."""
     free_cpus: float
-    """What its assignments leave free, planned ones included; so also `gpus` and `memory_gb`."""
+    """CPUs that are not taken by assignments, including planned ones. `free_gpus` and
+    `free_memory_gb` are defined in the same way."""
     free_gpus: float
     free_memory_gb: float
     last_reported: dict[ReportedKey, ReportedTask]
-    """Attempts as its newest heartbeat showed them: only changes cost work in the next one."""
+    """The attempts in the newest message. The next message is compared with them, so that only
+    changed attempts are processed."""
     ended: dict[ReportedKey, EndedAttempt]
-    """Ended attempts that its worker still reports."""
+    """Ended attempts that the worker still reports."""
 
-    # Its images.
+    # Images.
     images: OrderedDict[str, float]
-    """Images that its worker probably has in its cache, with their sizes in GB; the most recently
-    used one is the last."""
+    """Images that are probably in the worker's cache, with their sizes in GB, in order of use: the
+    most recently used image is last."""
     images_in_use: Counter[str]
-    """Images of its assignments, so also those being fetched."""
+    """The number of assignments that use each image, including images that are being fetched."""
     fetches: dict[str, ImageFetch]
-    """Images that a heartbeat has shown to be fetched."""
+    """Image fetches in progress according to the heartbeats, by image."""
 
     def __init__(
         self,
@@ -276,21 +289,21 @@
 
     @property
     def acknowledged_term(self) -> bool:
-        """Whether a message has shown this term's token: its worker refuses older starts since."""
+        """Whether the worker has returned a token of this term, so that it refuses older starts."""
         return self.acknowledged_bump >= 0
 
     @property
     def acknowledges(self) -> bool:
-        """Whether its worker was seen to hear us since a message to it was last lost."""
+        """Whether the worker has acknowledged a message since the last message to it was lost."""
         return self.acknowledged_bump >= self.required_bump
 
     @property
     def kind(self) -> MachineKind:
-        """Type, zone and spot: what decides which jobs may use it."""
+        """The machine type, the zone and whether it is a spot machine."""
         return MachineKind(self.machine_type.name, self.zone, self.spot)
 
     def is_schedulable(self) -> bool:
-        """Return whether new tasks may be planned for it."""
+        """Return whether new tasks may be planned for the machine."""
         return (
             self.acknowledges
             and self.recorded
@@ -301,55 +314,56 @@
         )
 
     def record_relative_run_time(self, job: Job, took_s: float) -> None:
-        """Compare the run time of a finished task with its job's earlier tasks, on any machine."""
+        """Add a finished task to `relative_run_time`: its run time relative to its job's mean."""
         if job.mean_run_time_s:
             ratio = min(MAX_RELATIVE_RUN_TIME, took_s / job.mean_run_time_s)
             self.relative_run_time += RELATIVE_RUN_TIME_WEIGHT * (ratio - self.relative_run_time)
 
     def is_straggler(self) -> bool:
-        """Return whether tasks take much longer here.
+        """Return whether tasks take much longer on this machine than on others.
 
-        Machine types and chance make a difference of a tenth or two.
+        Different machine types and random variation change run times by 10 to 20 %.
         """
         return self.relative_run_time > STRAGGLER_RELATIVE_RUN_TIME
 
     def record_fetch(self, spec: JobSpec, fetching: bool, now: MonotonicTime) -> float | None:
-        """Record that a task's image is being fetched, or (`fetching` is false) no longer is.
+        """Record that a task's image is being fetched, or no longer is if `fetching` is false.
 
-        At the end of a fetch that had others beside it, return its measured over its expected
-        duration, else None: whether fetches share the machine's rate shows only in those.
+        At the end of a fetch that overlapped with others, return its slowdown (measured divided by
+        expected duration), else None: only overlapping fetches show whether fetches share the
+        machine's rate.
         """
         if fetching:
             if spec.image not in self.fetches and spec.image not in self.images:
-                self._begin_fetch(spec.image, now)
+                self._start_fetch(spec.image, now)
             return None
         fetch = self.fetches.pop(spec.image, None)
         expected_s = spec.image_gb / max(self.machine_type.fetch_gb_per_s, 1e-3)
-        if fetch is None or fetch.alone or expected_s < MEASURABLE_FETCH_S:
+        if fetch is None or fetch.exclusive or expected_s < MEASURABLE_FETCH_S:
             return None
         return (now - fetch.started_at) / expected_s
 
-    def _begin_fetch(self, image: str, now: MonotonicTime) -> None:
+    def _start_fetch(self, image: str, now: MonotonicTime) -> None:
         for name in [n for n in self.fetches if not self.images_in_use[n]]:
-            del self.fetches[name]  # no task waits for it any more: the worker has given it up
+            del self.fetches[name]  # the worker cancels a fetch that no task waits for
         for other in self.fetches.values():
-            other.alone = False
+            other.exclusive = False
         self.fetches[image] = ImageFetch(now, not self.fetches)
 
     def warmth(self, image: str) -> int:
-        """Return `WARM`, `FETCHING` or `COLD`: the smaller, the sooner a task can start."""
+        """Return `WARM`, `FETCHING` or `COLD`; a task starts sooner where the value is smaller."""
         if image in self.images:
             return WARM
         return FETCHING if self.images_in_use[image] > 0 else COLD
 
     def present_images(self) -> set[str]:
-        """Return the images that are probably here or being fetched: those not `COLD`."""
+        """Return the images that are not `COLD`: those probably cached or being fetched."""
         return {*self.images, *(name for name, count in self.images_in_use.items() if count > 0)}
 
     def record_image(self, image: str, size_gb: float) -> None:
-        """Record that a task of this image ran here, so that the worker has it in its cache.
+        """Record that the worker has the image in its cache.
 
-        The least recently used images are assumed to be evicted once the cache is full.
+        Assumes that the worker evicts the least recently used images once its cache is full.
         """
         self.images[image] = size_gb
         self.images.move_to_end(image)
