--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -1,7 +1,7 @@
-"""A live job as the leader knows it: its tasks, and what was learned of its run time and failures.
+"""The leader's view of a live job: its tasks, its observed run times and its failures.
 
-The tasks of a job are numbers from 0 on. A chunk is a range of `TASKS_PER_CHUNK` of them, whose
-finished ones are one record in the store.
+The tasks of a job are numbered from 0. A chunk is a range of `TASKS_PER_CHUNK` task numbers; the
+store has one record of the finished tasks of each chunk.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 class Job:
     """A live job as the leader knows it.
 
-    Work in proportion to its tasks is done only where tasks change: the next tasks to run are
-    found by a cursor over their numbers, and a list of those that were handed back. Nothing here
-    waits.
+    The cost of an operation depends on the number of tasks that change, not on the size of the job:
+    the tasks to run next come from a list of requeued tasks and a cursor over the task numbers. No
+    method blocks.
     """
 
     __slots__ = (
@@ -54,60 +54,63 @@
         "waiting_since",
     )
 
-    # What its user submitted.
+    # The submission.
     id: JobId
     spec: JobSpec
     accepted_at: WallTime
     priority: int
-    """The index of its priority in `PRIORITIES`: 0 is the most important."""
+    """The index of its priority in `PRIORITIES`; 0 is the highest."""
 
-    # Its record in the store.
+    # Records in the store.
     key_version: KeyVersion
     """The version of `j/<id>`."""
     cancelled: bool
     inherited: bool
-    """Whether it was accepted before this leader's term, so that its tasks may be on machines which
-    this leader has not heard yet."""
+    """Whether it was accepted before this leader's term. Its tasks may then be on machines that
+    have sent this leader no heartbeat yet."""
     unwritten: set[int]
-    """Numbers of the finished tasks that the store lacks."""
+    """Numbers of the finished tasks that are not in the store yet."""
     chunks_written: set[int]
-    """Chunks of finished tasks that have a record, or will have one."""
+    """Chunks whose finished tasks have a record in the store, or one that is to be written."""
 
-    # Its tasks.
+    # Tasks.
     assigned_tasks: dict[int, MachineId]
-    """The machine of each task that is on one or planned for one, by task number."""
+    """By task number: the machine that the task is on or planned for."""
     duplicates: dict[int, set[MachineId]]
-    """Further machines that a task was reported from: all but one of these heartbeats are old."""
+    """By task number: further machines that reported the task. At most one of the reports is
+    current; the others are delayed heartbeats."""
     tasks_by_zone: Counter[Zone]
-    """How many live tasks each zone has."""
+    """The number of assigned tasks in each zone."""
     running: int
-    """How many tasks run."""
+    """The number of running tasks."""
     done_count: int
-    """How many tasks have finished."""
+    """The number of finished tasks."""
     gang_attempt: int | None
-    """The attempt that a gang's missing members join."""
+    """The attempt in which replacements for missing members of a gang are started."""
 
-    # What scheduling knows of it.
+    # Scheduling.
     guarantee_decided: bool
-    """Whether it was decided if the job is within its team's guarantee."""
+    """Whether `guaranteed` has been decided."""
     guaranteed: bool
-    """Whether it is within its team's guarantee."""
+    """Whether the job is within its team's guarantee."""
     waiting_since: MonotonicTime | None
-    """Since when it has waited for a machine with its image."""
+    """Since when the job has waited for a machine that has its image."""
     mean_run_time_s: float | None
-    """A moving average of its tasks' run times; None until one has finished."""
+    """A moving average of the run times of its tasks; None until one was observed from start to
+    end."""
     estimate_factor: float
-    """How much longer than estimated the tasks of its class ran, within bounds."""
+    """The bounded ratio of the observed to the estimated run times of its job class."""
 
-    # What the failure detector knows of it.
+    # Failures; see `FailureDetector`.
     failed_on: dict[MachineId, MonotonicTime]
-    """Machines where its tasks failed, and when one did last."""
+    """Machines on which tasks of the job failed, with the time of the latest failure."""
     result_kept_by: set[MachineId]
-    """Machines whose workers keep the result of a replica: used only if there is no other."""
+    """Machines whose workers keep the result of a replica; used only if there is no other
+    machine."""
     backoff_s: float
-    """The delay before the next probe of a job that fails everywhere; 0 if it does not back off."""
+    """The delay before the next probe of a job that fails on every machine; 0 without backoff."""
     backoff_until: MonotonicTime
-    """No task is placed before this time."""
+    """No task of the job is placed before this time."""
 
     def __init__(self, record: JobRecord, key_version: KeyVersion, inherited: bool = False) -> None:
         self.id = JobId(record.spec.id)
@@ -128,11 +131,12 @@
         self.done_count = 0
         self.gang_attempt = None
         self._done_bits = bytearray((self.spec.task_count + 7) // 8)
-        """A bit for each task, set if it has finished."""
+        """One bit per task, set if the task has finished."""
         self._requeued: list[int] = []
-        """Tasks that left their machine unfinished; some may be live again, or listed twice."""
+        """Tasks that left their machine unfinished. The list may contain duplicates, and tasks that
+        have been assigned again."""
         self._next_number = 0
-        """The first task that was never taken."""
+        """The lowest task number that was never dequeued."""
 
         self.guarantee_decided = False
         self.guaranteed = False
@@ -147,17 +151,17 @@
 
     @property
     def is_gang(self) -> bool:
-        """Whether its tasks run all at once or none."""
+        """Whether the job is a gang: its tasks run all at the same time or not at all."""
         return self.spec.shape == GANG
 
     @property
     def lacks_members(self) -> bool:
-        """Whether it is a gang with some tasks on machines and others missing."""
+        """Whether the job is a gang with some tasks assigned and others missing."""
         return self.is_gang and bool(self.assigned_tasks) and self.shortfall > 0
 
     @property
     def is_service(self) -> bool:
-        """Whether its tasks (replicas) run until the job is cancelled."""
+        """Whether the job is a service: its tasks (replicas) run until the job is cancelled."""
         return self.spec.shape == SERVICE
 
     @property
@@ -167,25 +171,27 @@
 
     @property
     def shortfall(self) -> int:
-        """How many tasks are neither finished nor on a machine nor planned for one."""
+        """The number of tasks that are neither finished nor assigned; 0 for a cancelled job."""
         if self.cancelled:
             return 0
         return self.spec.task_count - self.done_count - len(self.assigned_tasks)
 
     @property
     def max_tasks_per_zone(self) -> int:
-        """How many tasks may be in one zone: half, rounded up, if the job is to be spread."""
+        """The maximum number of tasks in a zone: half, rounded up, if the job is to be spread."""
         return (self.spec.task_count + 1) // 2 if self.spec.spread else self.spec.task_count
 
     @property
     def grace_s(self) -> float:
-        """The grace period of a stopped task: the time that it needs to save, 0 if it can't."""
+        """The grace period of a stopped task, in seconds; 0 if the task saves nothing."""
         return self.spec.save_s if self.spec.checkpoint_s > 0 else 0.0
 
     def estimate_s(self) -> float:
-        """Return the estimated run time of a task: the user's estimate, corrected by what was seen.
+        """Return the estimated run time of a task in seconds.
 
-        A replica's is infinite, so it must not go into sums and products.
+        This is the mean of the observed run times, or else the user's estimate, corrected by the
+        estimate factor. It is infinite for replicas, so callers must not use it in sums and
+        products.
         """
         if self.is_service:
             return math.inf
@@ -198,10 +204,10 @@
         return bool(self._done_bits[number >> 3] & (1 << (number & 7)))
 
     def finish(self, number: int) -> bool:
-        """Record that a task has finished; return whether that is new, and has to be written.
+        """Record that a task has finished; return whether this is new and has to be written.
 
-        A replica never finishes, whatever its worker or a record says, so its job can't be `done`
-        (safety argument 7 in docs/design.md).
+        A replica never finishes, even if its worker or a record says so. A service therefore can't
+        become `done` (safety argument 7 in docs/design.md).
         """
         if self.is_service or not 0 <= number < self.spec.task_count or self.is_done(number):
             return False
@@ -211,31 +217,32 @@
         return True
 
     def requeue(self, number: int) -> None:
-        """Have a task run again that left its machine without having finished."""
+        """Queue a task again that left its machine without having finished."""
         if not self.is_done(number):
             self._requeued.append(number)
 
     def dequeue(self, count: int) -> list[int]:
-        """Choose up to `count` tasks to run next: those handed back first, the latest one ahead.
+        """Return up to `count` tasks to run next, starting with the task that was requeued last.
 
-        The caller has to assign them, which puts them into `assigned_tasks`.
+        Tasks that were never dequeued come after the requeued ones. The caller has to assign the
+        returned tasks, which adds them to `assigned_tasks`.
         """
         chosen: list[int] = []
-        returned = set()
+        chosen_requeued = set()
         while self._requeued and len(chosen) < count:
             number = self._requeued.pop()
             if (
-                number not in returned
+                number not in chosen_requeued
                 and number not in self.assigned_tasks
                 and not self.is_done(number)
             ):
                 chosen.append(number)
-                returned.add(number)
+                chosen_requeued.add(number)
         while self._next_number < self.spec.task_count and len(chosen) < count:
             number = self._next_number
             self._next_number += 1
             if (
-                number not in returned
+                number not in chosen_requeued
                 and number not in self.assigned_tasks
                 and not self.is_done(number)
             ):
@@ -243,7 +250,7 @@
         return chosen
 
     def load_chunk(self, chunk: int, text: str) -> None:
-        """Apply a record of finished tasks from the store; one that can't be read is ignored."""
+        """Apply a chunk's record of finished tasks from the store; ignore an undecodable record."""
         try:
             bits = base64.b64decode(text, validate=True)
         except (binascii.Error, ValueError):
@@ -257,17 +264,17 @@
                     self.unwritten.discard(number)
 
     def dirty_chunks(self) -> list[int]:
-        """Return the chunks with finished tasks that the store lacks, in order."""
+        """Return the chunks with finished tasks that are not in the store yet, in order."""
         return sorted({number // TASKS_PER_CHUNK for number in self.unwritten})
 
     def chunk_text(self, chunk: int) -> str:
-        """Return the record of a chunk of finished tasks: its bits in base 64."""
+        """Return the record of a chunk: the bits of its finished tasks, in base 64."""
         start = chunk * TASKS_PER_CHUNK // 8
         chunk_bits = bytes(self._done_bits[start : start + TASKS_PER_CHUNK // 8])
         return base64.b64encode(chunk_bits).decode("ascii")
 
     def status(self) -> JobStatus:
-        """Return what a user is told of a live job. `done` is told by the final record only."""
+        """Return the status of the live job for users; `done` comes only from the final record."""
         if self.cancelled:
             return JobStatus(self.id, FinalState.CANCELLED)
         state = RUNNING if self.running else QUEUED
