--- a/src/ryewing/state/assignment_table.py
+++ b/src/ryewing/state/assignment_table.py
@@ -1,7 +1,7 @@
-"""Assignments, and what they take of machines' resources and of teams' limits.
+"""Assignments and their use of machine resources and team limits.
 
-Every change of an assignment goes through `AssignmentTable`, which keeps four views in step: the
-machine's assignments and free resources, the job's live tasks, the team's usage, and the pending
+Every change of an assignment goes through `AssignmentTable`, which keeps four views consistent: the
+machine's assignments and free resources, the job's assigned tasks, the team's usage and the pending
 terminations.
 """
 
@@ -23,29 +23,29 @@
 class AssignmentTable:
     """The assignments on all machines, with the machines and jobs that they belong to.
 
-    Nothing here waits, so no greenlet sees the views out of step.
+    No method blocks, so no greenlet sees the views in an inconsistent state.
     """
 
     def __init__(self, job_table: JobTable, terminations: PendingTerminations) -> None:
         self.job_table = job_table
         self.terminations = terminations
         self.machines: dict[MachineId, Machine] = {}
-        """Every machine that this leader knows, by id."""
+        """All machines that this leader knows, by id."""
         self.team_cpus: dict[TeamName, float] = {}
-        """CPUs that each team's assignments take, planned ones included."""
+        """CPUs taken by each team's assignments, including planned ones."""
         self.team_gpus: dict[TeamName, float] = {}
-        """GPUs that each team's assignments take, planned ones included."""
+        """GPUs taken by each team's assignments, including planned ones."""
         self._planned: set[Assignment] = set()
-        """Assignments that were planned and not dropped. Those that have been sent since are
-        removed when `drop_stale_plans` goes through the set."""
+        """Assignments that were planned and not dropped. `drop_stale_plans` removes those that
+        have been sent in the meantime."""
 
     def assign(
         self, machine: Machine, task: TaskId, attempt: Attempt, phase: TaskPhase, now: MonotonicTime
     ) -> Assignment:
         """Add a task attempt to a machine.
 
-        A task of an unknown job, or one that its job does not have, is kept without a job: it
-        takes no resources and counts against no team.
+        A task of an unknown job, or with a number that its job does not have, is added without a
+        job: it takes no resources and does not count against any team's limit.
         """
         job = self.job_table.get(task.job)
         if job is not None and not 0 <= task.number < job.spec.task_count:
@@ -55,7 +55,7 @@
         if phase == TaskPhase.PLANNED:
             self._planned.add(assignment)
         if job is not None:
-            self._take_resources(machine, job.spec)
+            self._allocate_resources(machine, job.spec)
             self._add_location(job, task, machine.id)
             job.tasks_by_zone[machine.zone] += 1
             if phase == TaskPhase.RUNNING:
@@ -67,7 +67,7 @@
     def drop(self, assignment: Assignment, now: MonotonicTime, finished: bool = False) -> None:
         """Remove a task attempt from its machine.
 
-        Unless it has `finished`, its task is handed back to the job to run again.
+        Unless the task has `finished`, it is requeued if it is on no other machine.
         """
         machine = assignment.machine
         del machine.assignments[assignment.task]
@@ -78,7 +78,7 @@
         job = assignment.job
         if job is None:
             return
-        self._give_back_resources(machine, job.spec)
+        self._release_resources(machine, job.spec)
         job.tasks_by_zone[machine.zone] -= 1
         if assignment.phase == TaskPhase.RUNNING:
             job.running -= 1
@@ -86,31 +86,31 @@
         self.job_table.reindex(job)
 
     def drop_all(self, machine: Machine, now: MonotonicTime) -> None:
-        """Drop all that was on the machine, and forget what its worker has reported."""
+        """Drop all assignments of the machine, and clear what its worker has reported."""
         for assignment in list(machine.assignments.values()):
             self.drop(assignment, now)
         machine.ended.clear()
         machine.last_reported.clear()
 
     def drop_planned(self, machine: Machine, now: MonotonicTime) -> None:
-        """Drop the machine's assignments that were planned but not sent."""
+        """Drop the machine's assignments that are planned but not sent."""
         for assignment in list(machine.assignments.values()):
             if assignment.phase == TaskPhase.PLANNED:
                 self.drop(assignment, now)
 
-    def drop_stale_plans(self, now: MonotonicTime, patience_s: float) -> None:
-        """Drop plans older than `patience_s`, whose machine sent no heartbeat to fetch them.
+    def drop_stale_plans(self, now: MonotonicTime, max_age_s: float) -> None:
+        """Drop planned assignments older than `max_age_s`: their machine has not sent a heartbeat.
 
-        Nothing was sent, so nothing has to be waited for.
+        Their starts were not sent, so they can be dropped without waiting for the worker.
         """
         for assignment in list(self._planned):
             if assignment.phase != TaskPhase.PLANNED:
                 self._planned.discard(assignment)
-            elif now - assignment.planned_at > patience_s:
+            elif now - assignment.planned_at > max_age_s:
                 self.drop(assignment, now)
 
     def set_phase(self, assignment: Assignment, phase: TaskPhase, now: MonotonicTime) -> None:
-        """Move an assignment to the phase that its worker reports."""
+        """Set the phase of an assignment to the phase that its worker reports."""
         if assignment.phase == phase:
             return
         job = assignment.job
@@ -125,7 +125,7 @@
         assignment.phase = phase
 
     def assignments_of(self, job: Job) -> list[Assignment]:
-        """Return a job's assignments on all machines, with duplicates of a task at the end."""
+        """Return a job's assignments on all machines; duplicates of a task come last."""
         found = []
         duplicates = [
             (number, machine_id)
@@ -141,8 +141,8 @@
                 found.append(assignment)
         return found
 
-    def _take_resources(self, machine: Machine, spec: JobSpec) -> None:
-        """Count what one task of a job takes of its machine and its team's limit."""
+    def _allocate_resources(self, machine: Machine, spec: JobSpec) -> None:
+        """Add one task of a job to the usage of its machine and its team."""
         machine.free_cpus -= spec.cpus
         machine.free_gpus -= spec.gpus
         machine.free_memory_gb -= spec.memory_gb
@@ -151,8 +151,8 @@
         self.team_cpus[team] = self.team_cpus.get(team, 0.0) + spec.cpus
         self.team_gpus[team] = self.team_gpus.get(team, 0.0) + spec.gpus
 
-    def _give_back_resources(self, machine: Machine, spec: JobSpec) -> None:
-        """Undo `_take_resources`."""
+    def _release_resources(self, machine: Machine, spec: JobSpec) -> None:
+        """Subtract one task of a job from the usage of its machine and its team."""
         machine.free_cpus += spec.cpus
         machine.free_gpus += spec.gpus
         machine.free_memory_gb += spec.memory_gb
@@ -162,13 +162,13 @@
         self.team_gpus[team] -= spec.gpus
 
     def _add_location(self, job: Job, task: TaskId, machine_id: MachineId) -> None:
-        """Record which machine a task is on; it may be reported from more than one."""
+        """Record that a task is on a machine, possibly in addition to another machine."""
         other = job.assigned_tasks.get(task.number)
         if other is not None and other != machine_id:
-            # An old heartbeat that was delayed until a new leader began shows where the task used
-            # to be. Which of the two is the old one shows only later: until then the task counts
-            # as on both machines, and is gone once it is gone from both. Found by a table of
-            # cases: the old one went, and the task was started again.
+            # One of the two reports is a heartbeat that was delayed until a new leader started, and
+            # shows where the task was before. The leader can't tell yet which one, so it counts the
+            # task as on both machines until it is gone from both. Otherwise, dropping the outdated
+            # assignment would start the task a second time.
             log.error(
                 "task=%s event=task-on-two-machines machine=%s other=%s", task, machine_id, other
             )
@@ -178,7 +178,7 @@
     def _remove_location(
         self, job: Job, number: int, machine_id: MachineId, finished: bool
     ) -> None:
-        """Record that a task is no longer on a machine; hand it back if it is on none."""
+        """Record that a task is no longer on a machine; requeue it if it is on no machine."""
         others = job.duplicates.get(number)
         if others is not None:
             if job.assigned_tasks.get(number) == machine_id:
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -1,9 +1,10 @@
-"""The leader's view of all machines and their tasks. The workers' own state is the truth.
+"""The leader's view of all machines and their tasks; the workers' own state is authoritative.
 
-The cluster state is in memory only, and each heartbeat replaces what was known of its machine. What
-no heartbeat can tell is kept as an assumption until it is settled: a start that was sent, a silent
-machine whose lease may still run, and a machine known from the store that this leader has not heard
-yet (safety arguments 3 to 5 in docs/design.md).
+The cluster state is held in memory only, and each heartbeat replaces the known state of its
+machine. The leader keeps assumptions about facts that heartbeats have not shown, until they are
+confirmed or refuted: a start that was sent, a silent machine whose lease may still be valid, and a
+machine recorded in the store that has sent this leader no heartbeat yet (safety arguments 3 to 5 in
+docs/design.md).
 """
 
 from __future__ import annotations
@@ -30,22 +31,22 @@
 from ryewing.wire.cloud import MachineType
 
 LEASE_MARGIN_S = 0.5
-"""How much longer than its lease a worker is assumed to keep its tasks."""
+"""How much longer than its lease a worker is assumed to keep its tasks, in seconds."""
 
 
 class CachedImages(NamedTuple):
-    """Which images are in the caches of which machines, with every name once."""
+    """Which machines have which images in their caches; every image name is listed once."""
 
     images: list[tuple[str, float]]
-    """All images that are known to be anywhere, with their sizes in GB."""
+    """All images that are in the cache of any machine, with their sizes in GB."""
     machines: dict[str, list[int]]
-    """For each machine that has any, its images as indexes into `images`."""
+    """For each machine that has images: their indexes into `images`."""
 
 
 class ClusterState(AssignmentTable):
     """All machines of one term, with their assignments and the life cycle of their leases.
 
-    One greenlet at a time changes it, since no method waits.
+    No method blocks, so a call completes before another greenlet runs.
     """
 
     def __init__(
@@ -63,13 +64,13 @@
             term, self, self.failure_detector, self._fetch_contention
         )
         self.apply_heartbeat = self._heartbeats.apply
-        """Applies a worker's message; see `HeartbeatApplier.apply`. It is bound here, without a
-        method around it, as it is called for every heartbeat of every machine."""
+        """Applies a worker's message; see `HeartbeatApplier.apply`. It is bound directly, without a
+        wrapper method, because it is called for every heartbeat of every machine."""
         self._hold_s = lease_s * (1 + DRIFT) + LEASE_MARGIN_S
-        """How long after a 200 response a worker may still hold its tasks."""
+        """How long after a 200 response a worker may still keep its tasks, in seconds."""
 
     def token(self, machine: Machine) -> FencingToken:
-        """Return the token for any message to this machine: the highest one sent to it so far."""
+        """Return the token for a message to this machine: the highest token of this term so far."""
         return fencing_token(self.term, machine.token_bumps)
 
     # -- machines ---------------------------------------------------------------------------
@@ -82,7 +83,7 @@
         spot: bool,
         now: MonotonicTime,
     ) -> Machine:
-        """Return the machine of this id, which is added if it is not known."""
+        """Return the machine of this id; add it if it is not known."""
         machine = self.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, machine_type, zone, spot, now)
@@ -90,22 +91,22 @@
         return machine
 
     def remove(self, machine: Machine, now: MonotonicTime) -> None:
-        """Forget a machine that is certainly gone, with all that was on it."""
+        """Remove a machine that certainly no longer exists, with everything on it."""
         self.drop_all(machine, now)
         self.terminations.remove_machine(machine.id)
         self.machines.pop(machine.id, None)
 
     def extend_lease(self, machine: Machine, now: MonotonicTime) -> None:
-        """Extend the time for which a machine may hold tasks.
+        """Extend the time for which a worker may keep its tasks.
 
-        To be called just before a 200 response, from which the worker's lease may run anew.
+        Call this immediately before a 200 response, because the response renews the worker's lease.
         """
         until = MonotonicTime(now + self._hold_s)
         if machine.lease_expires_by is None or until > machine.lease_expires_by:
             machine.lease_expires_by = until
 
     def expire_leases(self, now: MonotonicTime) -> list[Machine]:
-        """Drop all on machines whose lease has certainly ended; return those machines."""
+        """Drop everything on machines whose lease has certainly expired; return those machines."""
         expired = []
         for machine in self.machines.values():
             if machine.lease_expires_by is not None and now >= machine.lease_expires_by:
@@ -116,7 +117,7 @@
         return expired
 
     def unreconciled(self) -> Iterator[Machine]:
-        """Yield the machines that may hold tasks which this leader has not seen."""
+        """Yield the machines that may hold tasks unknown to this leader."""
         for machine in self.machines.values():
             if (
                 machine.recorded
@@ -126,22 +127,22 @@
                 yield machine
 
     def reset_worker(self, machine: Machine, now: MonotonicTime) -> None:
-        """Start over with a restarted worker; see `HeartbeatApplier.reset_worker`."""
+        """Reset a machine whose worker restarted; see `HeartbeatApplier.reset_worker`."""
         self._heartbeats.reset_worker(machine, now)
 
     # -- images -----------------------------------------------------------------------------
 
     @property
     def fetch_slowdown(self) -> float:
-        """How much longer fetches beside others took than single ones, as learned; 1 at first."""
+        """How much longer concurrent fetches take than single ones, as observed; 1 at first."""
         return self._fetch_contention.slowdown
 
     def is_fetch_rate_shared(self) -> bool:
-        """Return whether images fetched at once seem to share a machine's rate."""
+        """Return whether concurrent fetches seem to share a machine's rate."""
         return self._fetch_contention.is_rate_shared()
 
     def cached_images(self) -> CachedImages:
-        """Return the image locality, of which other controllers are told."""
+        """Return the image locality, which the leader sends to the other controllers."""
         indexes: dict[str, int] = {}
         images: list[tuple[str, float]] = []
         machines: dict[str, list[int]] = {}
@@ -157,9 +158,10 @@
     def restore_images(
         self, images: list[tuple[str, float]], machines: dict[str, list[int]]
     ) -> None:
-        """Take over the image locality of an earlier leader, as `cached_images` returned it there.
+        """Restore the image locality that an earlier leader's `cached_images` returned.
 
-        Unknown machines and indexes out of range are skipped: it came from another process.
+        Unknown machines and indexes out of range are skipped, because the data comes from another
+        process.
         """
         for machine_id, indexes in machines.items():
             machine = self.machines.get(MachineId(machine_id))
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -1,8 +1,8 @@
 """Applies workers' heartbeats to the cluster state.
 
-Every heartbeat carries the whole status of its worker (PROTOCOL, "POST /v1/report"), and replaces
-what was known of that machine if it is newer (safety arguments 4 and 5 in docs/design.md). Nothing
-here waits.
+Every heartbeat carries the full state of its worker (PROTOCOL, "POST /v1/report"). If it is newer
+than the last one applied, it replaces the known state of the machine (safety arguments 4 and 5 in
+docs/design.md). Nothing in this module blocks.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class HeartbeatApplier:
-    """Updates machines and assignments by what their workers report."""
+    """Updates machines and assignments according to the reports of their workers."""
 
     def __init__(
         self,
@@ -51,14 +51,16 @@
     def apply(
         self, machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, is_heartbeat: bool
     ) -> bool:
-        """Apply a worker's message; return False if a newer one was applied before.
+        """Apply a worker's message; return False if it is out of date.
 
-        `is_heartbeat` says that the message is a heartbeat proper, which the worker sends only
-        after it has executed or dropped our last response, so it settles assumed starts. The body
-        of an answer to `/orders` may have overtaken a response, and settles nothing.
+        `is_heartbeat` is true for a message that the worker sent as a heartbeat. The worker sends
+        one only after it has executed or dropped the last response, so a sent start that the
+        heartbeat does not show was lost. The body of an answer to `/orders` does not prove that,
+        because it may arrive before the worker has processed the response.
         """
         if term_of_token(heartbeat.token) == self._term:
-            # The highest token that the worker has seen: true in whatever order messages arrive.
+            # The heartbeat has the highest token that the worker has received, so the maximum is
+            # correct in whatever order messages arrive.
             machine.acknowledged_bump = max(
                 machine.acknowledged_bump, bumps_of_token(heartbeat.token)
             )
@@ -67,7 +69,7 @@
         if version <= machine.version or heartbeat.incarnation <= machine.expired_incarnation:
             return False
         if heartbeat.incarnation > machine.version.incarnation and machine.version != NEVER_HEARD:
-            self._begin_incarnation(machine, now)
+            self._start_incarnation(machine, now)
         machine.version = version
         machine.heard_at = now
         if heartbeat.address:
@@ -77,7 +79,7 @@
         machine.notice_s = heartbeat.notice_s
         self._apply_tasks(machine, heartbeat, now)
         if is_heartbeat:
-            self._settle_starts(machine, now)
+            self._drop_lost_starts(machine, now)
         if machine.acknowledges:
             machine.unacknowledged_since = None
         elif machine.unacknowledged_since is None:
@@ -85,10 +87,10 @@
         return True
 
     def reset_worker(self, machine: Machine, now: MonotonicTime) -> None:
-        """Start over with a machine whose worker has lost its incarnation, token and tasks.
+        """Reset a machine whose worker restarted and lost its incarnation, its token and its tasks.
 
-        This shows in an answer to a direct message that is older than a heartbeat which had
-        arrived before the message was sent.
+        The sign of such a restart is an answer to a direct message whose version is lower than
+        that of a heartbeat which arrived before the message was sent.
         """
         log.info("event=worker-restarted machine=%s", machine.id)
         self._assignments.drop_all(machine, now)
@@ -97,11 +99,11 @@
         machine.acknowledged_bump = -1
         machine.required_bump = 0
 
-    def _begin_incarnation(self, machine: Machine, now: MonotonicTime) -> None:
-        """Drop all that was on a worker that began a new incarnation.
+    def _start_incarnation(self, machine: Machine, now: MonotonicTime) -> None:
+        """Drop the sent and reported assignments of a worker that started a new incarnation.
 
-        It has killed and forgotten everything, and it drops responses to heartbeats of the earlier
-        incarnation. Plans are not affected by that, as nothing of them was sent.
+        The worker has killed all its tasks, and it drops responses to heartbeats of the earlier
+        incarnation. The restart does not affect planned assignments: their starts were not sent.
         """
         for assignment in list(machine.assignments.values()):
             if assignment.phase != TaskPhase.PLANNED:
@@ -110,10 +112,10 @@
         machine.last_reported.clear()
         machine.ended.clear()
 
-    def _settle_starts(self, machine: Machine, now: MonotonicTime) -> None:
-        """Drop sent starts that a later heartbeat does not show.
+    def _drop_lost_starts(self, machine: Machine, now: MonotonicTime) -> None:
+        """Drop the sent starts that a later heartbeat does not show.
 
-        Had the heartbeat shown them, they would be in a later phase by now.
+        An assignment that the heartbeat shows is no longer in phase `SENT` at this point.
         """
         for assignment in [a for a in machine.assignments.values() if a.phase == TaskPhase.SENT]:
             if assignment.sent_after is not None and machine.version > assignment.sent_after:
@@ -121,10 +123,10 @@
                 self._require_acknowledgement(machine, "start-lost", now)
 
     def _require_acknowledgement(self, machine: Machine, reason: str, now: MonotonicTime) -> None:
-        """Give a machine no more work until its worker acknowledges a token raised now.
+        """Bump the machine's token and give it no work until its worker acknowledges the new token.
 
-        Called when something that we told the worker has not reached it. Where heartbeats arrive
-        but our responses don't, a machine was refilled after each heartbeat.
+        Called when a message has not reached the worker. Otherwise, a machine whose heartbeats
+        arrive but whose responses are lost would be given new tasks after each heartbeat.
         """
         if machine.acknowledges and machine.token_bumps < MAX_TOKEN_BUMPS:
             machine.token_bumps += 1
@@ -133,9 +135,10 @@
             self._assignments.drop_planned(machine, now)
 
     def _apply_tasks(self, machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) -> None:
-        """Apply the reported attempts, with work in proportion to what has changed.
+        """Apply the reported attempts; only attempts that have changed are processed.
 
-        This runs for every task of every heartbeat: the first loop calls no function of ours.
+        The first loop runs for every task of every heartbeat, so it calls no function of this
+        program.
         """
         previous = machine.last_reported
         current: dict[ReportedKey, ReportedTask] = {}
@@ -146,7 +149,7 @@
             if previous.get(key) != reported:
                 changed.append(reported)
         machine.last_reported = current
-        # Attempts that are gone come first: a changed one may have taken the place of another.
+        # Drop missing attempts first, since a changed attempt may have replaced one of them.
         if len(previous) + len(changed) > len(current):
             self._drop_unreported(machine, previous, current, now)
         for reported in changed:
@@ -165,7 +168,7 @@
         current: dict[ReportedKey, ReportedTask],
         now: MonotonicTime,
     ) -> None:
-        """Drop the attempts that the previous heartbeat showed and this one does not."""
+        """Drop the attempts that the previous message showed and this one does not."""
         for key in previous.keys() - current.keys():
             machine.ended.pop(key, None)
             if previous[key].status == TaskPhase.ENDED:
@@ -179,14 +182,14 @@
     def _apply_live(
         self, machine: Machine, task: TaskId, reported: ReportedTask, now: MonotonicTime
     ) -> None:
-        """Apply an attempt that is on the machine, in one of `LIVE_PHASES`."""
+        """Apply an attempt that is on the machine, in one of the `LIVE_PHASES`."""
         assignment = machine.assignments.get(task)
         attempt = Attempt(reported.attempt)
         phase = TaskPhase(reported.status)
         if assignment is not None and assignment.attempt != attempt:
             if assignment.phase == TaskPhase.SENT:
-                # The worker refuses our start while the other attempt is there (`in_use`).
-                # Count the resources once, under the attempt that is really there.
+                # The worker refuses the sent start while the other attempt is on the machine
+                # (`in_use`). Count the resources once, for the attempt that is on the machine.
                 log.warning("task=%s machine=%s event=unexpected-attempt", task, machine.id)
             self._assignments.drop(assignment, now)
             assignment = None
@@ -198,28 +201,28 @@
             spec = assignment.job.spec
             slowdown = machine.record_fetch(spec, phase == TaskPhase.FETCHING, now)
             if slowdown is not None:
-                self._fetch_contention.learn(slowdown)
+                self._fetch_contention.record_slowdown(slowdown)
             if phase != TaskPhase.FETCHING:
                 machine.record_image(spec.image, spec.image_gb)
 
     def _apply_ended(
         self, machine: Machine, task: TaskId, reported: ReportedTask, now: MonotonicTime
     ) -> None:
-        """Apply an attempt that has ended: its task is done, or runs again.
+        """Apply an attempt that has ended: its task is finished, or has to run again.
 
-        The attempt is kept in `machine.ended` until the worker has cleared it.
+        The attempt stays in `machine.ended` until the worker has cleared it.
         """
         attempt = Attempt(reported.attempt)
         job = self._job_table.get(task.job)
-        # A replica that exits has to run again, whatever its cause.
+        # A replica that exits has to run again, whatever the cause.
         done = reported.cause == EndCause.DONE and (job is None or not job.is_service)
         machine.ended[reported.task_id, reported.attempt] = EndedAttempt(task, attempt, done)
         assignment = machine.assignments.get(task)
         if assignment is not None and assignment.attempt != attempt:
-            assignment = None  # of another attempt, which this says nothing of
+            assignment = None  # another attempt of the task: the report does not concern it
         if assignment is not None:
             if done and job is not None:
-                self._learn_run_time(job, assignment, now)
+                self._record_run_time(job, assignment, now)
             self._assignments.drop(assignment, now, finished=done)
         if job is None:
             return
@@ -228,15 +231,15 @@
         elif assignment is not None:
             self._failure_detector.attempt_ended(job, assignment, reported.cause or "", now)
 
-    def _learn_run_time(self, job: Job, assignment: Assignment, now: MonotonicTime) -> None:
-        """Learn from a finished task whose start was observed how long the job's tasks run."""
+    def _record_run_time(self, job: Job, assignment: Assignment, now: MonotonicTime) -> None:
+        """Record the run time of a finished task if its start was observed."""
         if assignment.running_since is not None and assignment.start_observed:
             took_s = now - assignment.running_since
             assignment.machine.record_relative_run_time(job, took_s)
             self._job_table.record_run_time(job, took_s)
 
     def _record_finish(self, machine: Machine, job: Job, number: int) -> None:
-        """Record that a task is done; the machine and the job are at no fault then."""
+        """Record that a task has finished, and clear the failures of the machine and the job."""
         machine.failed_jobs.clear()
         job.failed_on.pop(machine.id, None)
         if not job.cancelled:
