--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -45,7 +45,7 @@
         """Return the response to a heartbeat, or None if this node must not answer 200 now."""
         now = monotonic_now()
         name = MachineId(heartbeat.machine)
-        if not self._may_answer(heartbeat, now) or name in self._term.released:
+        if not self._may_answer(heartbeat, now) or name in self._term.released_machines:
             return None
         machine = self._term.cluster.machines.get(name)
         if machine is None:
@@ -64,7 +64,7 @@
         if term_of_token(heartbeat.token) > self._term.number:
             # The worker has seen a later leader: it would drop a 200 from here, yet it would keep
             # sending to this node while its lease expires.
-            self._term.end(TermEndReason.OVERRULED)
+            self._term.end(TermEndReason.LATER_TOKEN)
             return False
         if (
             self._term.stopped
@@ -125,7 +125,11 @@
         commands = repeatable_commands(self._term, machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
             return commands
-        if machine.notice_s is not None or machine.being_released or not self._term.may_begin():
+        if (
+            machine.notice_s is not None
+            or machine.being_released
+            or not self._term.may_start_operations()
+        ):
             return commands
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         for assignment in machine.assignments.values():
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -47,7 +47,7 @@
         option = plan.options[0]
         self._requests += 1
         request = RentalRequest(
-            self._term.scope.request_name(self._term.number, self._requests),
+            self._term.scope.rental_id(self._term.number, self._requests),
             option.machine_type,
             option.zone,
             option.spot,
@@ -71,7 +71,7 @@
 
     def send(self, request: RentalRequest) -> None:
         """Send a recorded request to the cloud; it stays pending if the cloud does not answer."""
-        if not self._term.may_begin():
+        if not self._term.may_start_operations():
             return
         option = RentalOption(request.machine_type, request.zone, request.spot)
         try:
