--- a/src/ryewing/state/attempts.py
+++ b/src/ryewing/state/attempts.py
@@ -1,4 +1,4 @@
-"""What a worker reports of a task attempt: its phase, and why it has ended."""
+"""The phases of a task attempt and the causes of its end, as workers report them."""
 
 from __future__ import annotations
 
@@ -7,59 +7,60 @@
 from ryewing.units import Attempt, TaskId
 
 ReportedKey = tuple[str, int]
-"""What a worker's heartbeat names an attempt by: the task id as text, and the attempt."""
+"""The key of an attempt in a heartbeat: the task id as text and the attempt number."""
 
 
 class TaskPhase(enum.StrEnum):
-    """Where a task attempt is: what the leader has decided, then what the worker reports.
+    """The phase of a task attempt, set by the leader at first and by the worker's reports later.
 
-    The values from `FETCHING` on are the protocol's task states (PROTOCOL, "POST /v1/report").
+    The values from `FETCHING` on are the task states of the protocol (PROTOCOL, "POST /v1/report").
     """
 
     PLANNED = "planned"
-    """The scheduler chose a machine; nothing was sent yet."""
+    """The scheduler has chosen a machine; the start was not sent yet."""
     SENT = "sent"
-    """The start rode in a response; no heartbeat has shown the attempt yet."""
+    """The start was sent in a response; no heartbeat has shown the attempt yet."""
     FETCHING = "fetching"
     """Waiting for its image."""
     GATHERING = "gathering"
     """Waiting for the other members of its gang."""
     RUNNING = "running"
     SAVING = "saving"
-    """Halted with a grace period, and saving its progress."""
+    """Stopped with a grace period, and saving its progress."""
     ENDED = "ended"
 
 
 LIVE_PHASES = frozenset(
     (TaskPhase.FETCHING, TaskPhase.GATHERING, TaskPhase.RUNNING, TaskPhase.SAVING)
 )
-"""The phases that a worker reports of an attempt which is on its machine."""
+"""The phases that a worker reports for an attempt that is on its machine."""
 
 
 class EndCause(enum.StrEnum):
-    """Why an attempt has ended, or its start was refused (`why` in PROTOCOL, "POST /v1/report").
+    """Why an attempt has ended or its start was refused (`why` in PROTOCOL, "POST /v1/report").
 
-    A worker of a later version may report others, so they are compared as text, never converted.
+    Workers of later versions may report other causes, so the causes in reports are compared as text
+    and never converted to this enum.
     """
 
     DONE = "done"
-    """It has completed; the worker keeps the result."""
+    """The task has completed; the worker keeps the result."""
     ERROR = "error"
-    """It failed, mostly by the fault of the machine."""
+    """The task failed, in most cases because of the machine."""
     NO_ROOM = "no_room"
-    """Start refused: not enough free resources on the machine."""
+    """Start refused: the machine has not enough free resources."""
     IN_USE = "in_use"
-    """Start refused: the task is on the machine with another attempt."""
+    """Start refused: another attempt of the task is on the machine."""
     UNKNOWN = "unknown"
     """Start refused: the worker does not know the job or the task."""
 
 
 REFUSALS = frozenset((EndCause.NO_ROOM, EndCause.IN_USE, EndCause.UNKNOWN))
-"""Why a worker refuses a start."""
+"""The causes for which a worker refuses a start."""
 
 
 class EndedAttempt:
-    """An ended attempt that the worker reports until it is told to clear it."""
+    """An ended attempt, which the worker reports until the leader commands it to clear it."""
 
     __slots__ = ("attempt", "done", "task")
 
@@ -67,4 +68,4 @@
         self.task = task
         self.attempt = attempt
         self.done = done
-        """Whether its task has finished; always false for a replica."""
+        """Whether the task has finished; always false for a replica."""
--- a/src/ryewing/state/job_records.py
+++ b/src/ryewing/state/job_records.py
@@ -1,9 +1,10 @@
 """The records of jobs in the store, and their keys.
 
-`j/<id>` is a live job, with its cancel mark. `d/<n>` holds the finished tasks of many live jobs
-(see `paged_records`). `f/<id>` is the final state, which is small and kept for good. A job has
-either `j/` or `f/`. It moves from one to the other in one transaction on the version of `j/`, so
-that a cancel and a `done` can't both win (safety argument 8 in docs/design.md).
+`j/<id>` is a live job with its cancel mark. `d/<n>` holds the finished tasks of many live jobs (see
+`paged_records`). `f/<id>` is the final state of a job, which is small and never removed. A job has
+either a `j/` or an `f/` key. One transaction, conditional on the version of `j/`, replaces the
+first by the second, so that a cancel and a `done` can't both succeed (safety argument 8 in
+docs/design.md).
 """
 
 from __future__ import annotations
@@ -20,21 +21,22 @@
 log = logging.getLogger(__name__)
 
 LIVE_PREFIX = "j/"
-"""Of the keys of live jobs."""
+"""The prefix of the keys of live jobs."""
 FINISHED_PREFIX = "d/"
-"""Of the keys of finished tasks."""
+"""The prefix of the keys of pages with finished tasks."""
 FINAL_PREFIX = "f/"
-"""Of the keys of final states."""
+"""The prefix of the keys of final states."""
 TASKS_PER_CHUNK = 8192
-"""How many tasks one record of finished tasks covers: 1 KiB as bits, well below any `value_kb`."""
-SHORTENED_NAME = 32
-"""How many characters are left of a name in the record of a cancelled job that is too large."""
+"""The number of tasks that one record of finished tasks covers: 1 KiB as bits, which is well below
+any `value_kb`."""
+SHORTENED_NAME_CHARS = 32
+"""The length to which names are cut in the record of a cancelled job that is too large."""
 
 
 class FinalState(enum.StrEnum):
-    """A state of a job that never changes any more (PROTOCOL, "GET /v2/runs/{id}").
+    """A final state of a job (PROTOCOL, "GET /v2/runs/{id}").
 
-    It is a string, and stored and answered as one.
+    Its values are the strings that are stored and returned to users.
     """
 
     DONE = "done"
@@ -51,22 +53,22 @@
     accepted_at: float
     """Wall time, in seconds."""
     cancelled: bool = False
-    """The cancel mark."""
+    """The cancel mark: whether a user has cancelled the job."""
     cancelled_at: float | None = None
     """Wall time, in seconds."""
     shard: str | None = None
-    """The shard that the job belongs to, if the fleet is divided."""
+    """The shard of the job, if the fleet is divided."""
 
 
 class FinalRecord(msgspec.Struct):
     """The value of `f/<id>`: the final state of a job."""
 
     status: str
-    """A `FinalState`; text, so that one written by a later version can still be read."""
+    """A `FinalState`, kept as text so that states written by later versions can be read."""
 
 
 def read_record(data: bytes | msgspec.Raw, key: str) -> JobRecord | None:
-    """Decode the record of a live job; log it and return None if it can't be understood."""
+    """Decode the record of a live job; if it is invalid, log an error and return None."""
     record = decode_stored(data, JobRecord, key)
     if record is None:
         return None
@@ -82,9 +84,10 @@
 
 
 def stored_size_bytes(record: JobRecord) -> int:
-    """Return the size of the largest value that a job needs.
+    """Return the size of the largest value that a job needs in the store.
 
-    That is its own record, or one of its finished tasks: their bits in base 64 beside their name.
+    This is either its own record or a record of finished tasks, which has their bits in base 64 and
+    a name.
     """
     finished_tasks_bytes = 0
     if record.spec.shape != SERVICE:
@@ -97,9 +100,9 @@
 def with_cancel_mark(record: JobRecord, cancelled_at: WallTime, limit_bytes: float) -> JobRecord:
     """Return the record of a job with its cancel mark.
 
-    A record above the limit was accepted under a wider one: it could be read but not written back
-    whole, and so not be cancelled. It is shortened to what is needed to stop the job: the resources
-    of its tasks, and its team.
+    A record above `limit_bytes` was accepted under a larger limit. The store would reject it, so
+    the job could not be cancelled. It is therefore shortened to the fields that are needed to stop
+    the job: the resources of its tasks and its team.
     """
     marked = msgspec.structs.replace(record, cancelled=True, cancelled_at=cancelled_at)
     if len(msgspec.json.encode(marked)) <= limit_bytes:
@@ -107,8 +110,8 @@
     spec = record.spec
     shortened = msgspec.structs.replace(
         spec,
-        job_class=spec.job_class[:SHORTENED_NAME],
-        image=spec.image[:SHORTENED_NAME],
+        job_class=spec.job_class[:SHORTENED_NAME_CHARS],
+        image=spec.image[:SHORTENED_NAME_CHARS],
         machine_types=None,
     )
     return msgspec.structs.replace(marked, spec=shortened)
@@ -125,5 +128,5 @@
 
 
 def finished_chunk_name(job: JobId, chunk: int) -> str:
-    """Return the name of a record of finished tasks, which is kept in a page under `d/`."""
+    """Return the name of a chunk's record of finished tasks, which is in a page under `d/`."""
     return f"{job}/{chunk}"
--- a/src/ryewing/state/job_table.py
+++ b/src/ryewing/state/job_table.py
@@ -1,4 +1,4 @@
-"""All live jobs of a term, and which of them need the scheduler or the state writer."""
+"""The live jobs of a term, and which of them need the scheduler or the state writer."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from ryewing.units import JobId, KeyVersion
 
 ESTIMATE_FACTOR_MIN = 0.5
-"""The least by which a class's estimates are corrected: users' estimates are often wrong, but the
-few tasks seen may mislead as well."""
+"""The lower bound of the factor that corrects the estimates of a job class. Users' estimates are
+often wrong, but the few observed tasks may be misleading too, so the factor is bounded."""
 ESTIMATE_FACTOR_MAX = 2.0
-"""The most by which they are corrected."""
+"""The upper bound of that factor."""
 RUN_TIME_WEIGHT = 0.3
-"""The weight of one task in the moving average of its job's run time."""
+"""The weight of one task in `Job.mean_run_time_s`, a moving average."""
 ESTIMATE_WEIGHT = 0.05
-"""The weight of one task in the moving average of its class's estimate factor."""
+"""The weight of one task in the estimate factor of its job class, a moving average."""
 
 
 class JobTable:
-    """The live jobs, and which of them have something to place or to write.
+    """The live jobs, and the sets of jobs that have tasks to place or records to write.
 
     Every caller that changes a job has to call `reindex` afterwards, which keeps the sets up to
     date. No method blocks.
@@ -29,23 +29,24 @@
     def __init__(self) -> None:
         self.jobs: dict[JobId, Job] = {}
         self.waiting: set[JobId] = set()
-        """Jobs that may have a shortfall, so that no scheduling cycle looks at all jobs."""
+        """Jobs that may have a shortfall. A scheduling cycle examines only these, not all jobs."""
         self.dirty: set[JobId] = set()
-        """Jobs with finished tasks, or a final state, that the store lacks."""
+        """Jobs with finished tasks or a final state that have to be written to the store."""
         self._estimate_factors: dict[str, float] = {}
-        """By job class: how much longer tasks ran than their users estimated, within bounds."""
+        """By job class: the bounded ratio of observed to estimated run times."""
 
     def __iter__(self) -> Iterator[Job]:
         return iter(self.jobs.values())
 
     def get(self, job: JobId) -> Job | None:
-        """Return a live job, or None."""
+        """Return the live job of this id, or None."""
         return self.jobs.get(job)
 
     def put(self, record: JobRecord, key_version: KeyVersion, inherited: bool = False) -> Job:
-        """Apply a record from the store, which is a new job or a cancel of a known one.
+        """Apply a record from the store: a new job, or an update of a known one.
 
-        An `inherited` job was accepted before this term.
+        Of an update, only the version and the cancel mark are used. `inherited` is true for a job
+        that was accepted before this term.
         """
         job = self.jobs.get(JobId(record.spec.id))
         if job is None:
@@ -59,10 +60,10 @@
         return job
 
     def record_run_time(self, job: Job, seconds: float) -> None:
-        """Learn from the run time of a task that was seen from its start to its end."""
-        seen = job.mean_run_time_s
+        """Record the run time of a task that was observed from start to end."""
+        mean = job.mean_run_time_s
         job.mean_run_time_s = (
-            seconds if seen is None else (1 - RUN_TIME_WEIGHT) * seen + RUN_TIME_WEIGHT * seconds
+            seconds if mean is None else (1 - RUN_TIME_WEIGHT) * mean + RUN_TIME_WEIGHT * seconds
         )
         if job.spec.estimated_s > 0:
             ratio = seconds / job.spec.estimated_s
@@ -72,7 +73,7 @@
             self._estimate_factors[job.spec.job_class] = new
 
     def reindex(self, job: Job) -> None:
-        """Update the sets after a change of a job; one that was dropped stays out."""
+        """Update the sets after a change of a job; a job that was dropped is ignored."""
         if self.jobs.get(job.id) is not job:
             return
         if job.shortfall > 0:
@@ -85,7 +86,7 @@
             self.dirty.discard(job.id)
 
     def drop(self, job: Job) -> None:
-        """Forget a job whose final state is in the store."""
+        """Remove a job whose final state is in the store."""
         self.jobs.pop(job.id, None)
         self.waiting.discard(job.id)
         self.dirty.discard(job.id)
--- a/src/ryewing/state/machine_type_catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -1,9 +1,10 @@
-"""The machine types as the store keeps them, so that submissions can be checked without the cloud.
+"""The machine types in the store, so that submissions can be checked without the cloud.
 
-They are one value, `flavours`, as long as the store takes it, else several: `flavours`, and
-`flavours/1` and up. An earlier version of this program reads the first alone, and would refuse jobs
-that fit only a type in the others. So they are split no sooner than the store demands it, which it
-doesn't before every controller is of a version that reads all.
+They are stored as one value, `flavours`, unless it exceeds the store's value size; then as several:
+`flavours`, `flavours/1` and so on. Earlier versions of this program read only the first value and
+would refuse jobs that fit only machine types in the others. The list is therefore split only when
+the store rejects it as one value, which does not happen before every controller runs a version that
+reads all values.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 
 def read(store: KeyValueStore) -> list[MachineType]:
-    """Read all machine types; an empty list if nobody has written them yet.
+    """Read all machine types; return an empty list if none have been written yet.
 
-    Waits for the store. Raises `StoreUnavailableError`.
+    Blocks on the store. Raises `StoreUnavailableError`.
     """
     entries, _ = store.listing(KEY)
     found: dict[str, MachineType] = {}
@@ -39,9 +40,9 @@
 def write(
     store: KeyValueStore, fence: dict[str, KeyVersion], machine_types: list[MachineType]
 ) -> None:
-    """Write the machine types: one value if the store takes it, else as many as it needs.
+    """Write the machine types as one value, or as several if the store rejects one value.
 
-    Each transaction is conditional on `fence`. Waits for the store. Raises `StoreUnavailableError`.
+    Each transaction is conditional on `fence`. Blocks on the store. Raises `StoreUnavailableError`.
     """
     try:
         store.txn(fence, [Put(KEY, MachineTypeList(machine_types))])
@@ -49,7 +50,7 @@
     except RejectedError as error:
         parts = split(machine_types, store.limits.value_kb * 1024)
         log.info("event=machine-types-split values=%d reason=%s", len(parts), error)
-        # The first value comes last: until then its earlier content is still there.
+        # Write the first value last: until then it still has its earlier content.
         for number in reversed(range(len(parts))):
             store.txn(fence, [Put(_key(number), MachineTypeList(parts[number]))])
     entries, _ = store.listing(KEY)
@@ -60,7 +61,7 @@
 
 
 def split(machine_types: list[MachineType], limit_bytes: float) -> list[list[MachineType]]:
-    """Split machine types into lists that fit values of a size; a list has at least one."""
+    """Split machine types into lists whose values fit the limit; a single type may exceed it."""
     parts: list[list[MachineType]] = [[]]
     for machine_type in machine_types:
         extended = MachineTypeList([*parts[-1], machine_type])
--- a/src/ryewing/state/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -187,7 +187,7 @@
         page.size -= _record_size(name, record)
         return record
 
-    # -- the size of pages ------------------------------------------------------------------
+    # -- page sizes -------------------------------------------------------------------------
 
     def _page_with_space(self, size: int, above: int = -1) -> int:
         """Return the first page above number `above` with space for a record, or a new page."""
--- a/src/ryewing/state/pending_terminations.py
+++ b/src/ryewing/state/pending_terminations.py
@@ -1,8 +1,8 @@
-"""Stops of tasks as pending terminations: kept and resent until the worker reports the task gone.
+"""Pending terminations: stops of tasks, resent until the worker no longer reports the attempt.
 
-They are the tombstones of the paper (section 4.3). Each names one attempt on one machine, so that a
-late copy of it can't stop a later start of the same task (safety argument 6 in docs/design.md).
-Nothing here waits; the clock is passed in.
+They are the tombstones of the paper (section 4.3). Each one identifies an attempt on a machine, so
+a delayed copy of the command can't stop a later attempt of the same task (safety argument 6 in
+docs/design.md). Nothing in this module blocks or reads a clock; callers pass the time.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from ryewing.wire.workers import HALT, Command
 
 RESEND_S = 1.0
-"""How long after it was last sent a stop is sent again."""
+"""The interval in seconds at which a stop is resent."""
 
 
 class TerminationReason(enum.StrEnum):
-    """Why a task is stopped; for the log."""
+    """Why a task is stopped; used in the log."""
 
     CANCELLED = "cancelled"
     PREEMPTED = "preempted"
     DRAIN = "drain"
-    """The cloud is about to take its machine back."""
+    """The cloud is about to reclaim its machine."""
     GANG_BROKEN = "gang-broken"
-    """Its gang has lost a member after it started."""
+    """Its gang lost a member after the start."""
     UNWANTED = "unwanted"
-    """Its job has ended, or is not known."""
+    """Its job has ended or is unknown."""
     MOVED = "moved"
-    """A replica that is to run elsewhere."""
+    """The replica is to run on another machine."""
 
 
 class PendingTermination:
-    """The stop of one attempt on one machine."""
+    """The pending stop of an attempt on a machine."""
 
     __slots__ = ("attempt", "grace_s", "machine", "sent_at", "task")
 
@@ -42,12 +42,12 @@
         self.task = task
         self.attempt = attempt
         self.grace_s = grace_s
-        """The time that the task has to save its progress."""
+        """The time in seconds that the task has to save its progress."""
         self.sent_at: MonotonicTime | None = None
-        """When it was last sent; None if it was not sent yet with this grace period."""
+        """When the stop was last sent; None if it was not sent yet with this grace period."""
 
     def command(self) -> Command:
-        """Return the command to the worker that carries this stop."""
+        """Return the stop as a command for the worker."""
         return Command(HALT, str(self.task), int(self.attempt), self.grace_s)
 
 
@@ -59,9 +59,9 @@
         """A machine without pending terminations has no entry."""
 
     def add(self, termination: PendingTermination) -> bool:
-        """Add the stop of an attempt; return whether that changes anything.
+        """Add the stop of an attempt; return whether there is a new command to send.
 
-        If the attempt is being stopped already, the grace period can only become shorter.
+        If the attempt is already being stopped, the grace period can only become shorter.
         """
         terminations = self._by_machine.setdefault(termination.machine, {})
         key = (termination.task, termination.attempt)
@@ -80,11 +80,11 @@
         return (task, attempt) in self._by_machine.get(machine, ())
 
     def has_any_on(self, machine: MachineId) -> bool:
-        """Return whether anything on a machine is being stopped."""
+        """Return whether any attempt on a machine is being stopped."""
         return machine in self._by_machine
 
     def remove(self, machine: MachineId, task: TaskId, attempt: Attempt) -> None:
-        """Forget the stop of an attempt that the worker no longer has."""
+        """Remove the stop of an attempt that the worker no longer has."""
         terminations = self._by_machine.get(machine)
         if terminations is not None:
             terminations.pop((task, attempt), None)
@@ -92,11 +92,11 @@
                 del self._by_machine[machine]
 
     def remove_machine(self, machine: MachineId) -> None:
-        """Forget all stops on a machine that has no tasks any more."""
+        """Remove all stops on a machine that no longer has any tasks."""
         self._by_machine.pop(machine, None)
 
     def commands(self, machine: MachineId, now: MonotonicTime) -> list[Command]:
-        """Return the commands for all stops on a machine, and note that they are sent now."""
+        """Return the commands for all stops on a machine, and record that they are sent now."""
         terminations = self._by_machine.get(machine)
         if not terminations:
             return []
@@ -105,7 +105,7 @@
         return [termination.command() for termination in terminations.values()]
 
     def due(self, now: MonotonicTime) -> Iterator[MachineId]:
-        """Yield the machines to which stops have to be sent, or sent again, by a direct message."""
+        """Yield the machines to which stops have to be sent or resent by a direct message."""
         for machine, terminations in self._by_machine.items():
             if any(
                 termination.sent_at is None or now - termination.sent_at >= RESEND_S
--- a/src/ryewing/state/resources.py
+++ b/src/ryewing/state/resources.py
@@ -1,4 +1,4 @@
-"""Whether tasks fit: a machine type, some free resources, a team's limit."""
+"""Checks whether tasks fit a machine type, free resources and a team's limits."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ryewing.wire.jobs import GANG, SERVICE, JobSpec
 
 EPSILON = 1e-6
-"""The tolerance of comparisons: amounts are sums of decimal fractions, and not exact."""
+"""The tolerance of comparisons, because sums of decimal fractions are inexact."""
 
 
 def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
@@ -20,7 +20,7 @@
 
 
 def count_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, limit: int) -> int:
-    """Return how many of a job's tasks fit into free resources, at most `limit`."""
+    """Return how many of a job's tasks fit into the free resources, at most `limit`."""
     for needed, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
         if needed > 0:
             limit = min(limit, int((free + EPSILON) / needed)) if free > 0 else 0
@@ -32,7 +32,7 @@
 ) -> str | None:
     """Return why a job can never run (PROTOCOL, "POST /v2/runs": 422), or None if it can.
 
-    The text is for the user, and names fields as the protocol does.
+    The text is shown to the user and uses the field names of the protocol.
     """
     team = teams.get(spec.team)
     if team is None:
