--- a/src/ryewing/election/campaign.py
+++ b/src/ryewing/election/campaign.py
@@ -1,7 +1,8 @@
-"""Campaigning for the lease.
+"""Campaigns for the leader's lease.
 
-The winner sets the lease holder and the next term in one transaction, on the versions of both keys
-that it has read: of several controllers that campaign at once only one succeeds.
+A candidate writes the lease holder and the next term in one transaction, which is conditional on
+the versions of both keys that the candidate has read. If several controllers campaign at the same
+time, only one succeeds.
 """
 
 from __future__ import annotations
@@ -30,8 +31,9 @@
 def may_campaign(election: ElectionRecord, candidate: ProcessIdentity) -> bool:
     """Return whether a process may campaign for the lease.
 
-    Without a holder the lease has expired. A holder that is an earlier process of the same node is
-    dead, since a node runs one process at a time; what it still sends is fenced by the term.
+    If there is no holder, the lease has expired. If the holder is an earlier process of the same
+    node, that process is dead, because a node runs one process at a time. Its delayed writes are
+    fenced by the term.
     """
     if election.holder is None:
         return True
@@ -46,12 +48,12 @@
     lease_s: float,
     hold_s: float,
 ) -> Leadership | None:
-    """Try to win the term after that of `election`, the latest reading of the election record.
+    """Try to win the term that follows the one in `election`, the latest election record read.
 
-    Return the leadership that was won, or None if another process was first. Raise
-    StoreUnavailableError if the store refused, or if it is not known what became of the campaign.
+    Return the leadership that was won, or None if another process won. Raise StoreUnavailableError
+    if the store refused the campaign or its outcome is unknown.
 
-    In a divided fleet `store` is the shard's part of the store. `lease_s` and `hold_s` are in
+    In a divided fleet, `store` is the shard's part of the store. For `lease_s` and `hold_s`, in
     seconds, see `LeaseValidity`.
     """
     sent_at = monotonic_now()
@@ -69,7 +71,7 @@
 def _write_holder_and_term(
     store: KeyValueStore, election: ElectionRecord, holder: LeaseHolder, lease: int
 ) -> KeyVersion | None:
-    """Return the version of `lead/term` as written; None if another process was first."""
+    """Return the version of `lead/term` as written, or None if another process won."""
     unanswered: StoreUnavailableError | None = None
     try:
         result = store.txn(
@@ -84,9 +86,9 @@
         raise
     except StoreUnavailableError as error:
         unanswered = error
-    # The transaction may have been executed although its answer was lost, and been sent once more
-    # through a peer. A process that holds the lease without knowing it leaves everybody without a
-    # leader until the lease has expired.
+    # The transaction may have been applied although its answer was lost and it was sent again
+    # through a peer. A process that holds the lease without knowing it would leave the cluster
+    # without a leader until the lease expires.
     found = read_election_record(store)
     if _was_written(found, holder):
         return found.term_key_version
--- a/src/ryewing/election/election_record.py
+++ b/src/ryewing/election/election_record.py
@@ -1,8 +1,8 @@
-"""The election record: what the store holds about the lease and the term.
+"""The election record: the lease holder and the term in the store.
 
-There are two keys. `lead/holder` is attached to a lease of the store and names the leading process,
-so it disappears when the lease expires. `lead/term` stays and counts the terms. Every reading of
-both gives an `ElectionRecord`.
+There are two keys. `lead/holder` identifies the leading process; it is attached to a lease of the
+store, so it disappears when the lease expires. `lead/term` is permanent and contains the number of
+the latest term. An `ElectionRecord` contains the values of both.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class LeaseHolder(msgspec.Struct, rename={"boot_id": "boot"}):
-    """The value of `lead/holder`: which process leads, and in which term."""
+    """The value of `lead/holder`: the leading process and its term."""
 
     node: str
     boot_id: str
@@ -33,26 +33,27 @@
 
 
 class ElectionRecord(msgspec.Struct):
-    """The lease holder and the term as one reading of the store found them."""
+    """The lease holder and the term, as read from the store at one revision."""
 
     holder: LeaseHolder | None
-    """None if nobody holds the lease."""
+    """None if no process holds the lease."""
     holder_key_version: KeyVersion
     term: TermNumber
     """0 if there has been no term yet."""
     term_key_version: KeyVersion
     revision: Revision
-    """The store's revision at the reading: a watch continues from here."""
+    """The store's revision when the record was read; a watch continues from it."""
 
 
 UNKNOWN_HOLDER = LeaseHolder("", "", 0)
-"""Stands for a holder whose record can't be decoded: somebody holds the lease and is waited for."""
+"""Stands for a holder whose record can't be decoded: a process holds the lease, so no other process
+may campaign until it expires."""
 
 
 def read_election_record(store: KeyValueStore) -> ElectionRecord:
     """Read the lease holder and the term from the store.
 
-    Raise StoreUnavailableError if the store does not answer, or the term in it can't be decoded.
+    Raise StoreUnavailableError if the store does not answer or its term can't be decoded.
     """
     entries, revision = store.listing(ELECTION_PREFIX)
     election = ElectionRecord(None, KeyVersion(0), TermNumber(0), KeyVersion(0), revision)
@@ -69,6 +70,6 @@
 def _decode_term(entry: Entry) -> TermNumber:
     record = decode_stored(entry.data, TermRecord, entry.key)
     if record is None:
-        # Guessing is no way out: workers would ignore the tokens of a term that is too low.
+        # The term must not be guessed: workers would ignore the tokens of a term that is too low.
         raise StoreUnavailableError("the term can't be read")
     return TermNumber(record.term)
--- a/src/ryewing/election/identity.py
+++ b/src/ryewing/election/identity.py
@@ -1,4 +1,4 @@
-"""Which process of which controller takes part in elections."""
+"""The identity of a controller process in elections."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
     node: NodeName
     boot_id: str
-    """Differs for each process that the controller starts, see `new_boot_id`."""
+    """A random id that is different for each process of the controller; see `new_boot_id`."""
 
 
 def new_boot_id() -> str:
-    """Return a random name, by which a restarted process is told apart from its predecessor."""
+    """Return a random id that distinguishes a restarted process from its predecessor."""
     return os.urandom(6).hex()
--- a/src/ryewing/election/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -1,8 +1,8 @@
 """A term that has been won, and the fencing of the writes made in it.
 
-Every write by the leader is conditional on `lead/term` being as the leader wrote it (safety
-argument 1 of `docs/design.md`). A failover rewrites that key, so what an earlier leader still has
-under way can no longer be applied.
+Every write by the leader is conditional on the version of `lead/term` that the leader wrote
+(safety argument 1 of `docs/design.md`). A failover rewrites that key, so pending writes of an
+earlier leader can no longer be applied.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Leadership:
-    """A term that has been won: what its leader needs to keep it and to write in it."""
+    """A term that was won, with the data that its leader needs to renew the lease and to write."""
 
     def __init__(
         self,
@@ -27,15 +27,15 @@
         self.term_key_version = term_key_version
         """The version of `lead/term` as this leader wrote it."""
         self.lease = lease
-        """The store's number of the lease."""
+        """The id of the lease in the store."""
         self.lease_validity = lease_validity
 
     def fencing_conditions(
         self, conditions: dict[str, KeyVersion] | None = None
     ) -> dict[str, KeyVersion]:
-        """Return the conditions of a transaction with that on the term added.
+        """Return the conditions of a transaction, with the condition on the term added.
 
-        The transaction then fails, however late it is applied, once another term has begun.
+        The transaction then fails if another term has begun, even if it is delayed.
         """
         return {TERM_KEY: self.term_key_version, **(conditions or {})}
 
--- a/src/ryewing/election/lease_validity.py
+++ b/src/ryewing/election/lease_validity.py
@@ -1,4 +1,4 @@
-"""What a leader may still do, judged by its own monotonic clock.
+"""What a leader may still do according to its own monotonic clock.
 
 This is safety argument 2 of `docs/design.md` ("Two-step authority").
 """
@@ -8,24 +8,27 @@
 from ryewing.units import DRIFT, MonotonicTime
 
 JOBS_KNOWN_MAX_AGE_S = 6.0
-"""How old the leader's knowledge of the jobs may be, in seconds, while it starts tasks and answers
-users. Its watch waits for a second at a time, so this covers several answers of a slow store."""
+"""The maximum age, in seconds, of the leader's knowledge of the jobs when it starts tasks and
+answers users. A watch waits for up to a second, so this covers several answers of a slow store."""
 
 _LEASE_MARGIN_S = 0.05
-"""The leader stops relying on its lease this many seconds early, beyond the clocks' drift."""
+"""The safety margin, in seconds, by which the leader treats its lease as expired early. It is added
+to the allowance for clock drift."""
 
 
 class LeaseValidity:
-    """What the leader may do now, by its monotonic clock.
+    """Decides by the monotonic clock what the leader may do now.
 
-    The judgement rests on two confirmations by the store. Each counts from the moment at which the
-    request that was confirmed had been *sent*: the lease can't have begun before that moment, and
-    every change of the jobs that was written before it is known.
+    The decision depends on two confirmations by the store: of a lease renewal, and of the knowledge
+    of the jobs. Each counts from the time at which the confirmed request was *sent*: the lease
+    can't have begun before that time, and all changes of the jobs that were written before it are
+    known.
 
-    A renewed lease alone proves nothing. Found where the store refused only the leader and then had
-    an outage: leases keep their full time in an outage, so the leader renewed its own afterwards,
-    and told users the state of jobs as it had been before others cancelled them. Watches are silent
-    meanwhile, and one may hang while renewals succeed.
+    A renewed lease alone is not sufficient. If the store refuses only the leader and then has an
+    outage, leases keep their full time during the outage. The leader can then renew its lease
+    afterwards, and would report jobs as live that were cancelled through other controllers in the
+    meantime. The watch delivers nothing during that time, and a watch may hang while renewals
+    succeed.
 
     No method reads a clock: the caller passes the current monotonic time.
     """
@@ -33,27 +36,27 @@
     __slots__ = ("_hold_s", "_lease_s", "jobs_known_at", "renewed_at")
 
     def __init__(self, lease_s: float, hold_s: float) -> None:
-        """Begin with nothing confirmed, so that nothing is allowed yet.
+        """Start without any confirmation, so that nothing is allowed.
 
-        `lease_s` is the lifetime of the lease in the store, `hold_s` the time for which workers
-        may be answered after the last confirmations, both in seconds.
+        `lease_s` is the lifetime of the lease in the store. `hold_s` is the time for which workers
+        may be answered after the last confirmations. Both are in seconds.
         """
         self._lease_s = lease_s * (1 - DRIFT) - _LEASE_MARGIN_S
         self._hold_s = hold_s * (1 - DRIFT)
         self.renewed_at: MonotonicTime | None = None
-        """When the latest confirmed renewal was sent."""
+        """When the latest confirmed renewal was sent; None if none was confirmed."""
         self.jobs_known_at: MonotonicTime | None = None
-        """All changes of the jobs that were written before this moment are known."""
+        """All changes of the jobs that were written before this time are known; None at first."""
 
     def confirm_renewal(self, sent_at: MonotonicTime) -> None:
-        """Record that the store has confirmed a renewal that was sent at `sent_at`."""
+        """Record that the store confirmed a renewal that was sent at `sent_at`."""
         if self.renewed_at is None or sent_at > self.renewed_at:
             self.renewed_at = sent_at
 
-    def confirm_jobs(self, asked_at: MonotonicTime) -> None:
-        """Record that all changes of the jobs written before `asked_at` are known."""
-        if self.jobs_known_at is None or asked_at > self.jobs_known_at:
-            self.jobs_known_at = asked_at
+    def confirm_jobs(self, requested_at: MonotonicTime) -> None:
+        """Record that all changes of the jobs that were written before `requested_at` are known."""
+        if self.jobs_known_at is None or requested_at > self.jobs_known_at:
+            self.jobs_known_at = requested_at
 
     def lease_expired(self, now: MonotonicTime) -> bool:
         """Return whether the lease may have expired in the store."""
@@ -62,7 +65,7 @@
     def has_authority(self, now: MonotonicTime) -> bool:
         """Return whether the leader may start tasks, rent machines and answer users from memory.
 
-        This needs a lease that has not expired and sufficiently recent knowledge of the jobs.
+        This requires a valid lease and sufficiently recent knowledge of the jobs.
         """
         return (
             not self.lease_expired(now)
@@ -73,10 +76,10 @@
     def may_answer_workers(self, now: MonotonicTime) -> bool:
         """Return whether the leader may answer heartbeats, which renews the workers' leases.
 
-        This is allowed for the hold after the earlier of both confirmations, so that an outage of
-        the store costs no work. It is bounded because a node that alone has lost the store, or
-        receives no changes, does not learn of cancellations: the hold plus the workers' `lease_s`
-        has to be below their `cancel_s`.
+        This is allowed for `hold_s` after the earlier of the two confirmations, so that no work is
+        lost in an outage of the store. The time is bounded because a node that alone has lost the
+        store, or receives no changes, does not learn of cancellations: `hold_s` plus the workers'
+        `lease_s` has to be below their `cancel_s`.
         """
         if self.renewed_at is None or self.jobs_known_at is None:
             return False
--- a/tests/election/test_leadership.py
+++ b/tests/election/test_leadership.py
@@ -1,4 +1,4 @@
-"""Election and lease validity."""
+"""Lease validity, and which processes may campaign."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     [
         (0.0, 0.0, True, True),
         (2.9, 2.9, True, True),
-        (3.0, 3.0, False, True),  # the lease may have ended: no starts, no renting
-        (14.9, 14.9, False, True),  # state outage: workers are kept alive
-        (15.0, 15.0, False, False),  # the hold is over: 421 or 503
-        (500.0, 500.0, False, False),  # a process that was paused past everything
-        (0.0, JOBS_KNOWN_MAX_AGE_S - 0.1, True, True),  # a slow watch beside renewals
-        (0.0, JOBS_KNOWN_MAX_AGE_S, False, True),  # one that hangs: others may have cancelled
+        (3.0, 3.0, False, True),  # the lease may have expired: no starts, no rentals
+        (14.9, 14.9, False, True),  # store outage: workers are still answered
+        (15.0, 15.0, False, False),  # `hold_s` is over: 421 or 503
+        (500.0, 500.0, False, False),  # the process was paused for longer than all limits
+        (0.0, JOBS_KNOWN_MAX_AGE_S - 0.1, True, True),  # a slow watch while renewals succeed
+        (0.0, JOBS_KNOWN_MAX_AGE_S, False, True),  # a hung watch: cancels may be unknown
         (0.0, 14.9, False, True),
-        (0.0, 15.0, False, False),  # and its cancelled tasks must be gone in time
+        (0.0, 15.0, False, False),  # cancelled tasks must be gone before `cancel_s`
         (15.0, 0.0, False, False),
         (0.0, None, False, False),  # the jobs were never read
         (None, 0.0, False, False),
     ],
 )
-def test_lease_validity_by_time_since_renewal_and_since_the_jobs_are_known(
+def test_lease_validity_by_time_since_both_confirmations(
     since_renewal_s: float | None,
     since_jobs_known_s: float | None,
     has_authority: bool,
@@ -49,16 +49,16 @@
     )
 
 
-def test_lease_validity_counts_from_the_latest_send() -> None:
+def test_lease_validity_counts_from_the_latest_confirmed_request() -> None:
     lease_validity = LeaseValidity(3.0, 15.0)
     for confirm in (lease_validity.confirm_renewal, lease_validity.confirm_jobs):
         confirm(MonotonicTime(T0 + 2.0))
-        confirm(T0)  # an older renewal's answer that came later
+        confirm(T0)  # the late confirmation of an older request
     assert lease_validity.has_authority(MonotonicTime(T0 + 4.5))
     assert lease_validity.may_answer_workers(MonotonicTime(T0 + 16.5))
 
 
-def test_hold_leaves_a_cancel_its_time() -> None:
+def test_hold_and_worker_lease_end_before_the_cancel_deadline() -> None:
     workers = settings().params.workers
     assert policy().hold_s + workers.lease_s < workers.cancel_s - 1.0
 
@@ -66,9 +66,9 @@
 @pytest.mark.parametrize(
     ("holder", "expected"),
     [
-        (None, True),  # the lease has ended
-        (LeaseHolder("n-1", "b1", 4), False),  # another node: wait for its lease
-        (LeaseHolder("n-0", "me", 4), False),  # this very process
+        (None, True),  # the lease has expired
+        (LeaseHolder("n-1", "b1", 4), False),  # another node: wait until its lease expires
+        (LeaseHolder("n-0", "me", 4), False),  # this process itself
         (LeaseHolder("n-0", "earlier", 4), True),  # an earlier process of this node is dead
     ],
 )
