--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Failing tasks: whether the job or the machine is at fault, and what each costs meanwhile."""
+"""Failing tasks: attribution to the job or the machine, backoff, quarantine and probes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def live_job(harness: LeaderHarness, ref: str, **changes: object) -> Job:
-    """A job that was accepted."""
+    """Return a job that the leader has accepted."""
     found = harness.leader.term.job_table.get(harness.accept(ref, **changes))
     assert found is not None
     return found
 
 
 def fail_all(harness: LeaderHarness, workers: list[FakeWorker], cause: str = "error") -> None:
-    """Let workers fetch their starts, and everything on them end."""
+    """Let workers receive their starts, and end all their tasks with `cause`."""
     for worker in workers * 2:
         harness.exchange(worker)
     for worker in workers:
@@ -33,7 +33,7 @@
 
 
 def failed_job(harness: LeaderHarness, workers: list[FakeWorker], ref: str = "run-1") -> Job:
-    """A job whose whole first batch has failed."""
+    """Return a job in backoff, of which all tasks of the first batch have failed."""
     job = live_job(harness, ref, task_count=8 * len(workers) + 40)
     harness.place()
     fail_all(harness, workers)
@@ -42,14 +42,17 @@
 
 
 def quarantined(harness: LeaderHarness) -> list[str]:
-    """Return the ids of the machines that are thought to be faulty."""
+    """Return the ids of the quarantined machines."""
     return [m.id for m in harness.leader.term.cluster.machines.values() if m.quarantined]
 
 
-def test_a_whole_batch_that_fails_is_one_step(
+def test_a_batch_of_failures_increases_the_backoff_once(
     harness: LeaderHarness, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Each task doubled the delay and wrote two lines: 458 tasks, 60 s after half a second."""
+    """Guards against a backoff that doubles for each failed task and logs two lines for each.
+
+    A batch of 458 tasks had raised the delay to 60 s within half a second.
+    """
     caplog.set_level(logging.INFO, logger="ryewing.state.failure_detector")
     workers = harness.ready_workers(5)
     job = failed_job(harness, workers)
@@ -60,7 +63,7 @@
     assert not any(m.failed_jobs for m in harness.leader.term.cluster.machines.values())
 
 
-def test_what_was_not_sent_yet_need_not_fail_as_well(harness: LeaderHarness) -> None:
+def test_backoff_drops_planned_tasks(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=100)
     harness.place()
@@ -70,8 +73,11 @@
     assert not harness.assignments(workers[3].name)
 
 
-def test_one_probe_at_a_time_and_a_step_for_each(harness: LeaderHarness) -> None:
-    """A task was placed in every cycle until the first of them had failed."""
+def test_backoff_allows_one_probe_at_a_time(harness: LeaderHarness) -> None:
+    """Only one probe may be assigned at a time, and each failed probe doubles the delay once.
+
+    Guards against placing another task in every cycle until the first one has failed.
+    """
     workers = harness.ready_workers(4)
     job = failed_job(harness, workers)
     seen = [job.backoff_s]
@@ -90,8 +96,8 @@
 
 
 @pytest.mark.parametrize("ends", [True, False])
-def test_a_probe_that_does_well_widens_the_job(harness: LeaderHarness, ends: bool) -> None:
-    """It ends with success, or runs for longer than what fails at its start."""
+def test_a_successful_probe_ends_the_backoff(harness: LeaderHarness, ends: bool) -> None:
+    """The probe finishes, or runs for longer than tasks that fail at startup."""
     workers = harness.ready_workers(3)
     job = failed_job(harness, workers)
     harness.later(job.backoff_s + 0.1)
@@ -115,7 +121,10 @@
 
 
 def test_a_machine_that_has_recovered_is_used_again(harness: LeaderHarness) -> None:
-    """A job that had failed on every machine, and finished tasks on each, waited for ever."""
+    """A job that avoids a machine has to use it again after `MACHINE_AVOIDANCE_S`.
+
+    Guards against a job with finished tasks waiting forever after it has failed on every machine.
+    """
     workers = harness.ready_workers(2)
     job = live_job(harness, "run-1", task_count=60)
     job.finish(59)
@@ -135,8 +144,8 @@
     assert MACHINE_AVOIDANCE_S < 90.0
 
 
-def test_a_probe_goes_where_the_job_has_not_failed(harness: LeaderHarness) -> None:
-    """A healthy job that met several faulty machines finds out sooner."""
+def test_a_probe_is_placed_on_a_machine_without_failures(harness: LeaderHarness) -> None:
+    """A healthy job that failed on several faulty machines then leaves its backoff sooner."""
     workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=60)
     harness.place()
@@ -151,7 +160,7 @@
     ]
 
 
-def test_a_healthy_job_that_meets_one_faulty_machine_goes_on(harness: LeaderHarness) -> None:
+def test_a_failure_on_one_machine_causes_no_backoff(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(4)
     job = live_job(harness, "run-1", task_count=60)
     harness.place()
@@ -168,7 +177,11 @@
 def test_jobs_that_fail_everywhere_quarantine_no_machine(
     harness: LeaderHarness, healthy: bool
 ) -> None:
-    """Found in inc-f5fb: a new leader quarantined eleven healthy machines within two seconds."""
+    """Guards against a new leader that quarantines healthy machines (inc-f5fb).
+
+    It quarantined eleven within two seconds, because it did not know yet that the jobs that had
+    failed on them fail everywhere.
+    """
     workers = harness.ready_workers(9)
     jobs = [live_job(harness, f"run-{n}", task_count=24, cpus=1.0) for n in (1, 2)]
     harness.place()
@@ -185,7 +198,7 @@
     assert bool(quarantined(harness)) is healthy
 
 
-def test_a_cancelled_job_that_finished_nothing_is_held_against_no_machine(
+def test_cancelling_a_job_without_finished_tasks_clears_its_failures(
     harness: LeaderHarness,
 ) -> None:
     workers = harness.ready_workers(2)
@@ -198,20 +211,23 @@
     assert not machine.failed_jobs
 
 
-def test_a_successor_is_told_which_jobs_fail_everywhere(harness: LeaderHarness) -> None:
-    """Found in replays: each new leader let a whole batch of such jobs fail once more."""
+def test_a_new_leader_receives_the_backoffs_of_jobs(harness: LeaderHarness) -> None:
+    """A new leader resumes the backoff of live jobs that have no finished task.
+
+    Guards against starting a whole batch of such a job again after each failover, as in replays.
+    """
     workers = harness.ready_workers(4)
     job = failed_job(harness, workers)
     healthy = live_job(harness, "run-2", task_count=2)
     healthy.finish(0)
     harness.leader.term.job_table.reindex(healthy)
     harness.write()
-    told = harness.leader.image_locality()
-    assert told.failing == {job.id: BACKOFF_MIN_S}
-    told.failing[healthy.id] = 60.0  # it has finished something since
-    told.failing["run-999"] = 60.0  # gone meanwhile
-    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
-    leader = harness.new_leader(6, again)
+    sent = harness.leader.image_locality()
+    assert sent.failing == {job.id: BACKOFF_MIN_S}
+    sent.failing[healthy.id] = 60.0  # the job has finished a task in the meantime
+    sent.failing["run-999"] = 60.0  # the job is no longer live
+    received = msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=ImageLocality)
+    leader = harness.new_leader(6, received)
     assert not leader.term.job_table.jobs[healthy.id].backoff_s
     harness.ready(*workers)
     harness.place()
@@ -247,22 +263,26 @@
     assert first >= 2.0
     harness.place()
     assert not any(harness.assignments(worker.name) for worker in workers)
-    # Later it tries again, and on the same machines: new ones were rented for it for ever.
+    # After the delay it is tried on the same machines. No new machine may be rented for it:
+    # this was repeated without end.
     harness.later(first + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
-    assert sum(len(harness.assignments(worker.name)) for worker in workers) == 1  # one tells
+    assert sum(len(harness.assignments(worker.name)) for worker in workers) == 1  # the probe
     harness.leader.autoscaler.scale_out()
     assert not harness.cloud.requests
     assert not any(m.quarantined for m in harness.leader.term.cluster.machines.values())
 
 
 @pytest.mark.parametrize(("faulty", "others", "at_fault"), [(3, 0, True), (3, 5, False)])
-def test_several_faulty_machines_are_no_fault_of_a_large_array(
+def test_a_large_array_is_not_at_fault_for_several_faulty_machines(
     harness: LeaderHarness, faulty: int, others: int, at_fault: bool
 ) -> None:
-    """Among hundreds of machines it met three at once, and cleared each of its fault."""
+    """Guards against the backoff of a large array that fails on a few faulty machines at once.
+
+    An array on hundreds of machines failed on three of them; its backoff cleared their failures.
+    """
     workers = harness.ready_workers(faulty + others)
     found = harness.leader.term.job_table.get(harness.accept(task_count=8 * len(workers)))
     harness.place()
--- a/tests/state/test_pending_terminations.py
+++ b/tests/state/test_pending_terminations.py
@@ -1,4 +1,4 @@
-"""Pending terminations."""
+"""Pending terminations: resending, grace periods and removal."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     terminations = PendingTerminations()
     machine, task, attempt = MachineId("i-1"), TaskId(JobId("run-1"), 0), Attempt(7)
     assert terminations.add(PendingTermination(machine, task, attempt, 5.0))
-    # The grace period only gets shorter.
+    # The grace period can only become shorter.
     assert not terminations.add(PendingTermination(machine, task, attempt, 9.0))
     assert list(terminations.due(T0)) == [machine]
     assert [command.grace_s for command in terminations.commands(machine, T0)] == [5.0]
