--- a/src/ryewing/state/attempts.py
+++ b/src/ryewing/state/attempts.py
@@ -6,7 +6,7 @@
 
 from ryewing.units import Attempt, TaskId
 
-ReportedKey = tuple[str, int]
+ReportedAttemptKey = tuple[str, int]
 """The key of an attempt in a heartbeat: the task id as text and the attempt number."""
 
 
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -10,7 +10,13 @@
 import logging
 
 from ryewing.state.assignment_table import AssignmentTable
-from ryewing.state.attempts import LIVE_PHASES, EndCause, EndedAttempt, ReportedKey, TaskPhase
+from ryewing.state.attempts import (
+    LIVE_PHASES,
+    EndCause,
+    EndedAttempt,
+    ReportedAttemptKey,
+    TaskPhase,
+)
 from ryewing.state.failure_detector import FailureDetector
 from ryewing.state.image_fetches import FetchContention
 from ryewing.state.jobs import Job
@@ -141,7 +147,7 @@
         program.
         """
         previous = machine.last_reported
-        current: dict[ReportedKey, ReportedTask] = {}
+        current: dict[ReportedAttemptKey, ReportedTask] = {}
         changed: list[ReportedTask] = []
         for reported in heartbeat.tasks:
             key = (reported.task_id, reported.attempt)
@@ -164,8 +170,8 @@
     def _drop_unreported(
         self,
         machine: Machine,
-        previous: dict[ReportedKey, ReportedTask],
-        current: dict[ReportedKey, ReportedTask],
+        previous: dict[ReportedAttemptKey, ReportedTask],
+        current: dict[ReportedAttemptKey, ReportedTask],
         now: MonotonicTime,
     ) -> None:
         """Drop the attempts that the previous message showed and this one does not."""
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -105,8 +105,8 @@
     failed_on: dict[MachineId, MonotonicTime]
     """Machines on which tasks of the job failed, with the time of the latest failure."""
     result_kept_by: set[MachineId]
-    """Machines whose workers keep the result of a replica; used only if there is no other
-    machine."""
+    """Machines whose workers keep the result of a replica. Replicas are placed on them only if no
+    other machine is available."""
     backoff_s: float
     """The delay before the next probe of a job that fails on every machine; 0 without backoff."""
     backoff_until: MonotonicTime
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -8,7 +8,7 @@
 from collections import Counter, OrderedDict
 from typing import NamedTuple
 
-from ryewing.state.attempts import EndedAttempt, ReportedKey, TaskPhase
+from ryewing.state.attempts import EndedAttempt, ReportedAttemptKey, TaskPhase
 from ryewing.state.image_fetches import ImageFetch
 from ryewing.state.jobs import Job
 from ryewing.units import (
@@ -224,10 +224,10 @@
     `free_memory_gb` are defined in the same way."""
     free_gpus: float
     free_memory_gb: float
-    last_reported: dict[ReportedKey, ReportedTask]
+    last_reported: dict[ReportedAttemptKey, ReportedTask]
     """The attempts in the newest message. The next message is compared with them, so that only
     changed attempts are processed."""
-    ended: dict[ReportedKey, EndedAttempt]
+    ended: dict[ReportedAttemptKey, EndedAttempt]
     """Ended attempts that the worker still reports."""
 
     # Images.
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -263,8 +263,8 @@
     assert first >= 2.0
     harness.place()
     assert not any(harness.assignments(worker.name) for worker in workers)
-    # After the delay it is tried on the same machines. No new machine may be rented for it:
-    # this was repeated without end.
+    # After the delay the job is tried on the same machines. Guards against renting new machines for
+    # it without end.
     harness.later(first + 0.1)
     for worker in workers:
         harness.exchange(worker)
