--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -80,7 +80,7 @@
         """Want a key to be removed from the store."""
         self._key_removals[key] = None
 
-    def may_write(self, changes: int) -> bool:
+    def try_acquire_writes(self, changes: int) -> bool:
         """Take room in the term's write rate for another part's changes, if there is some."""
         return self.bucket.take(changes)
 
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -117,7 +117,7 @@
             self.read_records()
             self._read_at = now
         changes = self._due_changes()
-        if changes and self._leader.writer.may_write(len(changes)):
+        if changes and self._leader.writer.try_acquire_writes(len(changes)):
             self._write(dict(list(changes.items())[: self._term.store.limits.txn_ops]))
 
     def _may_change_records(self) -> bool:
