--- a/src/ryewing/leader/commands.py
+++ b/src/ryewing/leader/commands.py
@@ -18,7 +18,7 @@
 def clear_commands(term: TermContext, machine: Machine) -> list[Command]:
     """Return the clears of ended attempts; a finished task is cleared only once it is recorded."""
     commands = []
-    for ended in machine.ended.values():
+    for ended in machine.ended_attempts.values():
         if ended.done:
             job = term.job_table.get(ended.task.job)
             if job is not None and ended.task.number in job.unwritten:
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -47,7 +47,7 @@
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
             return due
         if self._may_bump_token(machine, now) or (
-            machine.ended and clear_commands(self._term, machine)
+            machine.ended_attempts and clear_commands(self._term, machine)
         ):
             return min(due, max(MIN_EARLY_HEARTBEAT_S, MIN_HEARTBEAT_GAP_S - since))
         return due
@@ -67,7 +67,7 @@
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
             # A response with the lower token, overtaken by this message, would be dropped.
             return
-        clears = bool(machine.ended) and bool(clear_commands(self._term, machine))
+        clears = bool(machine.ended_attempts) and bool(clear_commands(self._term, machine))
         if not clears and not self._may_bump_token(machine, now):
             return
         if not self.bucket.take() and not urgent:
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -43,7 +43,7 @@
         if job.inherited and _may_hold_tasks(job, unreconciled_kinds):
             # Which of its tasks an unreconciled machine runs can't be known.
             return False
-        if job.lacks_members:
+        if job.has_missing_members:
             return self._prepare_to_complete_gang(job, now)
         return True
 
--- a/src/ryewing/leader/replica_moves.py
+++ b/src/ryewing/leader/replica_moves.py
@@ -81,7 +81,7 @@
         The more replicas a class has running, the more often one of them may move.
         """
         running = sum(
-            job.running
+            job.running_count
             for job in self._term.job_table
             if job.is_service and job.spec.job_class == job_class
         )
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -172,7 +172,7 @@
     def _place_tasks(self, job: Job, wanted: int, usable: Candidates) -> int:
         """Place tasks that end; return how many have room, free or to be released."""
         needs_no_reserve = job.priority < self._snapshot.gpu_reserve.priority
-        if job.spec.gpus <= 0 and needs_no_reserve and not job.lacks_members:
+        if job.spec.gpus <= 0 and needs_no_reserve and not job.has_missing_members:
             return self._place_beside_few_gpus(job, wanted, usable)
         return self._tasks.place(job, wanted, usable, whole=job.is_gang)
 
--- a/src/ryewing/scheduling/queueing.py
+++ b/src/ryewing/scheduling/queueing.py
@@ -169,7 +169,7 @@
     # with them, and those of the highest priority go before guarantees.
     first_services: list[Job] = []
     for job in jobs:
-        if job.lacks_members:
+        if job.has_missing_members:
             incomplete_gangs.append(job)
         elif job.is_service and job.priority == 0:
             first_services.append(job)
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -141,7 +141,7 @@
         # A job in backoff may go where it failed, but elsewhere its probe tells more.
         machine.id in job.failed_on,
         machine.is_straggler(),
-        capacity.fetch_order(spec, True) if job.lacks_members else 0,
+        capacity.fetch_order(spec, True) if job.has_missing_members else 0,
         stranded_gpus(spec, machine),
         capacity.fetch_order(spec, job.is_gang),
         capacity.wanted_images[spec.gpus > 0] if cold else 0,
--- a/src/ryewing/state/assignment_table.py
+++ b/src/ryewing/state/assignment_table.py
@@ -59,7 +59,7 @@
             self._add_location(job, task, machine.id)
             job.tasks_by_zone[machine.zone] += 1
             if phase == TaskPhase.RUNNING:
-                job.running += 1
+                job.running_count += 1
                 assignment.running_since = now
             self.job_table.reindex(job)
         return assignment
@@ -81,7 +81,7 @@
         self._give_back_resources(machine, job.spec)
         job.tasks_by_zone[machine.zone] -= 1
         if assignment.phase == TaskPhase.RUNNING:
-            job.running -= 1
+            job.running_count -= 1
         self._remove_location(job, assignment.task.number, machine.id, finished)
         self.job_table.reindex(job)
 
@@ -89,7 +89,7 @@
         """Drop all that was on the machine, and forget what its worker has reported."""
         for assignment in list(machine.assignments.values()):
             self.drop(assignment, now)
-        machine.ended.clear()
+        machine.ended_attempts.clear()
         machine.last_reported.clear()
 
     def drop_planned(self, machine: Machine, now: MonotonicTime) -> None:
@@ -116,9 +116,9 @@
         job = assignment.job
         if job is not None:
             if assignment.phase == TaskPhase.RUNNING:
-                job.running -= 1
+                job.running_count -= 1
             if phase == TaskPhase.RUNNING:
-                job.running += 1
+                job.running_count += 1
         if phase == TaskPhase.RUNNING and assignment.running_since is None:
             assignment.running_since = now
             assignment.start_observed = True
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -108,7 +108,7 @@
                 self._assignments.drop(assignment, now)
         self._require_acknowledgement(machine, "new-incarnation", now)
         machine.last_reported.clear()
-        machine.ended.clear()
+        machine.ended_attempts.clear()
 
     def _settle_starts(self, machine: Machine, now: MonotonicTime) -> None:
         """Drop sent starts that a later heartbeat does not show.
@@ -167,7 +167,7 @@
     ) -> None:
         """Drop the attempts that the previous heartbeat showed and this one does not."""
         for key in previous.keys() - current.keys():
-            machine.ended.pop(key, None)
+            machine.ended_attempts.pop(key, None)
             if previous[key].status == TaskPhase.ENDED:
                 continue
             task_id, attempt = key
@@ -207,13 +207,15 @@
     ) -> None:
         """Apply an attempt that has ended: its task is done, or runs again.
 
-        The attempt is kept in `machine.ended` until the worker has cleared it.
+        The attempt is kept in `machine.ended_attempts` until the worker has cleared it.
         """
         attempt = Attempt(reported.attempt)
         job = self._job_table.get(task.job)
         # A replica that exits has to run again, whatever its cause.
         done = reported.cause == EndCause.DONE and (job is None or not job.is_service)
-        machine.ended[reported.task_id, reported.attempt] = EndedAttempt(task, attempt, done)
+        machine.ended_attempts[reported.task_id, reported.attempt] = EndedAttempt(
+            task, attempt, done
+        )
         assignment = machine.assignments.get(task)
         if assignment is not None and assignment.attempt != attempt:
             assignment = None  # of another attempt, which this says nothing of
--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -47,7 +47,7 @@
         "mean_run_time_s",
         "priority",
         "result_kept_by",
-        "running",
+        "running_count",
         "spec",
         "tasks_by_zone",
         "unwritten",
@@ -80,7 +80,7 @@
     """Further machines that a task was reported from: all but one of these heartbeats are old."""
     tasks_by_zone: Counter[Zone]
     """How many live tasks each zone has."""
-    running: int
+    running_count: int
     """How many tasks run."""
     done_count: int
     """How many tasks have finished."""
@@ -124,7 +124,7 @@
         self.assigned_tasks = {}
         self.duplicates = {}
         self.tasks_by_zone = Counter()
-        self.running = 0
+        self.running_count = 0
         self.done_count = 0
         self.gang_attempt = None
         self._done_bits = bytearray((self.spec.task_count + 7) // 8)
@@ -151,7 +151,7 @@
         return self.spec.shape == GANG
 
     @property
-    def lacks_members(self) -> bool:
+    def has_missing_members(self) -> bool:
         """Whether it is a gang with some tasks on machines and others missing."""
         return self.is_gang and bool(self.assigned_tasks) and self.shortfall > 0
 
@@ -270,5 +270,5 @@
         """Return what a user is told of a live job. `done` is told by the final record only."""
         if self.cancelled:
             return JobStatus(self.id, FinalState.CANCELLED)
-        state = RUNNING if self.running else QUEUED
-        return JobStatus(self.id, state, self.done_count, self.running)
+        state = RUNNING if self.running_count else QUEUED
+        return JobStatus(self.id, state, self.done_count, self.running_count)
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -123,7 +123,7 @@
         "being_released",
         "cordoned",
         "cordoned_since",
-        "ended",
+        "ended_attempts",
         "expired_incarnation",
         "failed_jobs",
         "fetches",
@@ -214,7 +214,7 @@
     free_memory_gb: float
     last_reported: dict[ReportedKey, ReportedTask]
     """Attempts as its newest heartbeat showed them: only changes cost work in the next one."""
-    ended: dict[ReportedKey, EndedAttempt]
+    ended_attempts: dict[ReportedKey, EndedAttempt]
     """Ended attempts that its worker still reports."""
 
     # Its images.
@@ -268,7 +268,7 @@
         self.free_gpus = machine_type.gpus
         self.free_memory_gb = machine_type.memory_gb
         self.last_reported = {}
-        self.ended = {}
+        self.ended_attempts = {}
 
         self.images = OrderedDict()
         self.images_in_use = Counter()
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -158,7 +158,7 @@
         fleet.all_send_heartbeats()
     harness.place()
     fleet.all_send_heartbeats()
-    assert (job.running, job.shortfall) == (TASKS, 0)
+    assert (job.running_count, job.shortfall) == (TASKS, 0)
     assert set(fleet.started.values()) == {1}
     leader.direct_messages.probe(harness.clock())
     assert not asked
@@ -191,7 +191,7 @@
     fill(fleet)
     assert {task for task, count in fleet.started.items() if count == 2} == stopped
     assert set(fleet.started.values()) == {1, 2}
-    assert (job.running, job.shortfall) == (TASKS, 0)
+    assert (job.running_count, job.shortfall) == (TASKS, 0)
 
 
 @pytest.mark.parametrize("machines", [400, 1000, int(MARGIN * MACHINES)])
