--- a/src/ryewing/state/jobs.py
+++ b/src/ryewing/state/jobs.py
@@ -47,7 +47,7 @@
         "mean_run_time_s",
         "priority",
         "result_kept_by",
-        "running",
+        "running_count",
         "spec",
         "tasks_by_zone",
         "unwritten",
@@ -81,7 +81,7 @@
     current; the others are delayed heartbeats."""
     tasks_by_zone: Counter[Zone]
     """The number of assigned tasks in each zone."""
-    running: int
+    running_count: int
     """The number of running tasks."""
     done_count: int
     """The number of finished tasks."""
@@ -127,7 +127,7 @@
         self.assigned_tasks = {}
         self.duplicates = {}
         self.tasks_by_zone = Counter()
-        self.running = 0
+        self.running_count = 0
         self.done_count = 0
         self.gang_attempt = None
         self._done_bits = bytearray((self.spec.task_count + 7) // 8)
@@ -155,7 +155,7 @@
         return self.spec.shape == GANG
 
     @property
-    def lacks_members(self) -> bool:
+    def has_missing_members(self) -> bool:
         """Whether the job is a gang with some tasks assigned and others missing."""
         return self.is_gang and bool(self.assigned_tasks) and self.shortfall > 0
 
@@ -277,5 +277,5 @@
         """Return the status of the live job for users; `done` comes only from the final record."""
         if self.cancelled:
             return JobStatus(self.id, FinalState.CANCELLED)
-        state = RUNNING if self.running else QUEUED
-        return JobStatus(self.id, state, self.done_count, self.running)
+        state = RUNNING if self.running_count else QUEUED
+        return JobStatus(self.id, state, self.done_count, self.running_count)
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -127,7 +127,7 @@
         "being_released",
         "cordoned",
         "cordoned_since",
-        "ended",
+        "ended_attempts",
         "expired_incarnation",
         "failed_jobs",
         "fetches",
@@ -227,7 +227,7 @@
     last_reported: dict[ReportedAttemptKey, ReportedTask]
     """The attempts in the newest message. The next message is compared with them, so that only
     changed attempts are processed."""
-    ended: dict[ReportedAttemptKey, EndedAttempt]
+    ended_attempts: dict[ReportedAttemptKey, EndedAttempt]
     """Ended attempts that the worker still reports."""
 
     # Images.
@@ -281,7 +281,7 @@
         self.free_gpus = machine_type.gpus
         self.free_memory_gb = machine_type.memory_gb
         self.last_reported = {}
-        self.ended = {}
+        self.ended_attempts = {}
 
         self.images = OrderedDict()
         self.images_in_use = Counter()
