--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -179,7 +179,7 @@
     def _place_tasks(self, job: Job, wanted: int, usable: Candidates) -> int:
         """Place tasks of an array or gang; return how many got free or releasing resources."""
         needs_no_reserve = job.priority < self._snapshot.gpu_reserve.priority
-        if job.spec.gpus <= 0 and needs_no_reserve and not job.lacks_members:
+        if job.spec.gpus <= 0 and needs_no_reserve and not job.has_missing_members:
             return self._place_by_gpu_count(job, wanted, usable)
         return self._task_placer.place(job, wanted, usable, all_or_nothing=job.is_gang)
 
--- a/src/ryewing/scheduling/queueing.py
+++ b/src/ryewing/scheduling/queueing.py
@@ -184,7 +184,7 @@
     # guaranteed jobs.
     top_priority_services: list[Job] = []
     for job in jobs:
-        if job.lacks_members:
+        if job.has_missing_members:
             incomplete_gangs.append(job)
         elif job.is_service and job.priority == 0:
             top_priority_services.append(job)
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -154,7 +154,7 @@
         # A job in backoff may use machines where it failed, but a probe elsewhere shows more.
         machine.id in job.failed_on,
         machine.is_straggler(),
-        capacity.fetch_order(spec, True) if job.lacks_members else 0,
+        capacity.fetch_order(spec, True) if job.has_missing_members else 0,
         stranded_gpus(spec, machine),
         capacity.fetch_order(spec, job.is_gang),
         capacity.wanted_image_counts[spec.gpus > 0] if is_cold else 0,
