--- a/src/ryewing/autoscaling/__init__.py
+++ b/src/ryewing/autoscaling/__init__.py
@@ -1,6 +1,7 @@
 """Decides which machines to rent, to cordon and to release.
 
-It owns the rules and the backoff from options that the cloud could not provide, no other state; the
-clock is passed in, and nothing here waits. It imports `scheduling`, `state` and the packages below
-them, and only the leader's autoscaler calls it.
+The package contains the scaling rules. Its only state is the backoff from rental options for which
+the cloud had no capacity. The caller passes the current time in, and nothing here blocks. The
+package may import `scheduling`, `state` and the packages below them; only the leader's autoscaling
+modules use it.
 """
--- a/src/ryewing/autoscaling/booting_room.py
+++ b/src/ryewing/autoscaling/booting_room.py
@@ -1,6 +1,6 @@
-"""The room of the machines that are booting, handed out to waiting jobs in their order.
+"""Allocates the capacity of booting machines to waiting jobs, in the order of the jobs.
 
-What booting machines will take need not be rented again.
+Scale-out rents machines only for the tasks that get no capacity here.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from ryewing.wire.jobs import JobSpec
 
 
-def zone_allowance(job: Job, zone: str) -> int:
+def zone_headroom(job: Job, zone: str) -> int:
     """Return how many more of a job's tasks may be placed in a zone."""
     return job.max_tasks_per_zone - job.tasks_by_zone[Zone(zone)]
 
 
 class _BootingMachine:
-    """A booting machine with the room that it still has to give."""
+    """A booting machine with its unallocated resources."""
 
     __slots__ = ("cpus", "gpus", "machine", "memory_gb")
 
@@ -33,16 +33,16 @@
         self.gpus = machine.machine_type.gpus
         self.memory_gb = machine.machine_type.memory_gb
 
-    def take(self, spec: JobSpec, limit: int) -> int:
-        """Give room to as many tasks as fit, up to a limit; return how many."""
+    def allocate(self, spec: JobSpec, limit: int) -> int:
+        """Allocate resources to as many tasks as fit, up to `limit`; return the number of tasks."""
         count = count_fitting(spec, self.cpus, self.gpus, self.memory_gb, limit)
         self.cpus -= spec.cpus * count
         self.gpus -= spec.gpus * count
         self.memory_gb -= spec.memory_gb * count
         return count
 
-    def is_full(self, spec: JobSpec) -> bool:
-        """Return whether nothing is left of some resource that such tasks need."""
+    def is_exhausted_for(self, spec: JobSpec) -> bool:
+        """Return whether some resource that tasks of this spec need is used up."""
         return (
             (spec.cpus > 0 and self.cpus <= EPSILON)
             or (spec.gpus > 0 and self.gpus <= EPSILON)
@@ -51,7 +51,7 @@
 
 
 class _Requirements(NamedTuple):
-    """What decides which booting machines a job can use: what it allows and what it needs."""
+    """The constraints and resources of a job that decide which booting machines it can use."""
 
     machine_types: tuple[str, ...] | None
     zone: str | None
@@ -61,36 +61,40 @@
     needs_memory: bool
 
 
-class BootingRoom:
-    """The booting machines, less the room that was given to jobs already."""
+class BootingCapacity:
+    """The unallocated capacity of all booting machines."""
 
     def __init__(self, booting: Sequence[Machine]) -> None:
         self._machines = [_BootingMachine(machine) for machine in booting]
-        self._usable: dict[_Requirements, list[_BootingMachine]] = {}
-        """The machines, without full ones, by requirements. When every job searched all machines, a
-        start with thousands of them took most of a core."""
+        self._machines_by_requirements: dict[_Requirements, list[_BootingMachine]] = {}
+        """The suitable machines for each set of requirements, without exhausted ones. When every
+        job scanned all machines, a start with thousands of booting machines used most of a core."""
 
-    def take(self, job: Job, wanted: int, taken: Counter[str]) -> int:
-        """Give room to up to `wanted` of a job's tasks; return to how many.
+    def allocate(self, job: Job, wanted: int, tasks_by_zone: Counter[str]) -> int:
+        """Allocate capacity to up to `wanted` tasks of a job; return the number of tasks.
 
-        `taken` counts the job's tasks by zone, and is updated.
+        `tasks_by_zone` counts the tasks allocated to the job in each zone, and is updated.
         """
-        left = wanted
-        machines = self._usable_for(job.spec)
-        full = 0
+        remaining = wanted
+        machines = self._machines_for(job.spec)
+        exhausted = 0
         for booting in machines:
-            if left <= 0:
+            if remaining <= 0:
                 break
             zone = booting.machine.zone
-            count = booting.take(job.spec, min(left, zone_allowance(job, zone) - taken[zone]))
-            taken[zone] += count
-            left -= count
-            full += booting.is_full(job.spec)
-        if full:
-            machines[:] = [booting for booting in machines if not booting.is_full(job.spec)]
-        return wanted - left
-
-    def _usable_for(self, spec: JobSpec) -> list[_BootingMachine]:
+            count = booting.allocate(
+                job.spec, min(remaining, zone_headroom(job, zone) - tasks_by_zone[zone])
+            )
+            tasks_by_zone[zone] += count
+            remaining -= count
+            exhausted += booting.is_exhausted_for(job.spec)
+        if exhausted:
+            machines[:] = [
+                booting for booting in machines if not booting.is_exhausted_for(job.spec)
+            ]
+        return wanted - remaining
+
+    def _machines_for(self, spec: JobSpec) -> list[_BootingMachine]:
         requirements = _Requirements(
             None if spec.machine_types is None else tuple(spec.machine_types),
             spec.zone,
@@ -99,8 +103,8 @@
             spec.gpus > 0,
             spec.memory_gb > 0,
         )
-        usable = self._usable.get(requirements)
-        if usable is None:
-            usable = [booting for booting in self._machines if allows(spec, booting.machine)]
-            self._usable[requirements] = usable
-        return usable
+        suitable = self._machines_by_requirements.get(requirements)
+        if suitable is None:
+            suitable = [booting for booting in self._machines if allows(spec, booting.machine)]
+            self._machines_by_requirements[requirements] = suitable
+        return suitable
--- a/src/ryewing/autoscaling/options.py
+++ b/src/ryewing/autoscaling/options.py
@@ -1,6 +1,6 @@
-"""Rental options and what they cost.
+"""Rental options and their cost.
 
-Prices are those in the cloud's list of machine types: for one machine and one hour.
+Prices come from the cloud's list of machine types and are for one machine and one hour.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from ryewing.wire.cloud import MachineType
 from ryewing.wire.jobs import JobSpec
 
-IDLE_GPU_FACTOR = 4.0
-"""The cost of a machine with GPUs is multiplied by this for a job without: GPUs left idle are
-expensive, so such machines are rented only if nothing else can be had."""
+IDLE_GPU_COST_FACTOR = 4.0
+"""Multiplies the cost of a machine with GPUs for a job that needs none. Idle GPUs are expensive, so
+such machines are rented for it only if no other option is available."""
 
 
 class RentalOption(NamedTuple):
-    """What one rental request asks for: a machine type in a zone, spot or on demand."""
+    """A machine type in a zone, spot or on demand: what one rental request is for."""
 
     machine_type: str
     zone: str
@@ -25,7 +25,7 @@
 
 
 def tasks_per_machine(spec: JobSpec, machine_type: MachineType) -> int:
-    """Return how many of a job's tasks an empty machine of this type has room for."""
+    """Return how many tasks of a job fit on an empty machine of a type."""
     if not fits_machine_type(spec, machine_type):
         return 0
     return count_fitting(
@@ -36,7 +36,7 @@
 def price(machine_type: MachineType, spot: bool) -> float:
     """Return the price of one machine for one hour.
 
-    A type without a spot price is not offered as spot; it has its on-demand price for both.
+    The on-demand price stands in for a missing spot price; such a type is not offered as spot.
     """
     if not spot:
         return machine_type.price
@@ -44,9 +44,11 @@
 
 
 def share_of_machine(spec: JobSpec, machine_type: MachineType) -> float:
-    """Return the share of a machine's price that one task of a job is charged with.
+    """Return the fraction of a machine's price that is attributed to one task of a job.
 
-    Counted as if the job filled the machine: other jobs will use the rest.
+    It is the largest fraction that the task needs of any resource: the remaining capacity is not
+    charged to the job, because other jobs will use it. Idle GPUs multiply the fraction by
+    `IDLE_GPU_COST_FACTOR`.
     """
     share = max(
         spec.cpus / machine_type.cpus if machine_type.cpus else 0.0,
@@ -54,5 +56,5 @@
         spec.memory_gb / machine_type.memory_gb if machine_type.memory_gb else 0.0,
     )
     if machine_type.gpus and not spec.gpus:
-        share *= IDLE_GPU_FACTOR
+        share *= IDLE_GPU_COST_FACTOR
     return share
--- a/src/ryewing/autoscaling/releases.py
+++ b/src/ryewing/autoscaling/releases.py
@@ -1,4 +1,4 @@
-"""Machines to release, each with the reason that the log gives."""
+"""Machines to release, each with the reason that is logged."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class ReleaseReason(enum.StrEnum):
-    """Why a machine is released; the values are those in the log."""
+    """Why a machine is released; the values are written to the log."""
 
     NEVER_BOOTED = "never-booted"
-    """It sent no heartbeat for too long after it was rented."""
+    """It sent no heartbeat within the boot timeout after it was rented."""
     SILENT = "silent"
-    """Its heartbeats have stopped."""
+    """It has sent no heartbeat for longer than the silence timeout."""
     UNACKNOWLEDGING = "unacknowledging"
-    """Its heartbeats arrive, but it has not acknowledged its fencing token for a lease."""
+    """Its heartbeats arrive, but for a lease time it has not acknowledged its fencing token."""
     IDLE = "idle"
-    """It has no tasks, and nothing that waits could use it."""
+    """It has no tasks, and no waiting task could use it."""
     FAILED = "failed"
     """The cloud lists it as failed."""
 
--- a/src/ryewing/autoscaling/scale_in.py
+++ b/src/ryewing/autoscaling/scale_in.py
@@ -1,6 +1,6 @@
-"""Scale-in: which machines to cordon, and which idle ones to release.
+"""Scale-in: selects machines to cordon and idle machines to release.
 
-Pure: the machines, what waits and the clock go in; the chosen machines come out.
+Pure functions of the machines, the waiting tasks, the policy and the current time.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from ryewing.state.resources import fits_machine_type
 from ryewing.units import MachineId, MonotonicTime
 
-GPU_SURPLUS = 1.2
-"""How many times the GPUs lately wanted are kept in machines that take work."""
-CORDON_DRAIN = 0.25
-"""Machines are cordoned only while waiting work without GPUs would end within this share of the
-drain target."""
+GPU_HEADROOM_FACTOR = 1.2
+"""Machines with this many times the GPUs in recent demand stay uncordoned."""
+CORDON_DRAIN_FRACTION = 0.25
+"""Machines are cordoned only while the waiting tasks without GPUs would be worked off within this
+fraction of the policy's `drain_target_s`."""
 
 
 def machines_to_cordon(
     machines: Iterable[Machine], gpus_wanted: float, drain_s: float, policy: Policy
 ) -> set[MachineId]:
-    """Return the machines with GPUs that should take no more work, the most expensive first.
+    """Return the machines with GPUs that should accept no more work, the most expensive ones.
 
-    `gpus_wanted` is how many GPUs jobs use and ask for, `drain_s` the seconds in which all machines
-    would work off the waiting tasks without GPUs.
+    `gpus_wanted` is the number of GPUs that jobs use or request, `drain_s` the time in seconds in
+    which all machines would work off the waiting tasks without GPUs.
 
-    Work without GPUs keeps every machine busy, so one with GPUs would never become idle: with two
-    thirds of the GPUs in use, all of them were paid for. Nothing is cordoned while work without
-    GPUs would wait for long, since then the CPUs of these machines are wanted too.
+    Without cordoning, tasks without GPUs keep every machine busy, so that machines with GPUs never
+    become idle: with two thirds of the GPUs in use, all of them were paid for. Nothing is cordoned
+    while tasks without GPUs would wait for long, because then they need the CPUs of these machines.
     """
-    if drain_s > CORDON_DRAIN * policy.drain_target_s:
+    if drain_s > CORDON_DRAIN_FRACTION * policy.drain_target_s:
         return set()
     with_gpus = [
         machine
         for machine in machines
         if machine.machine_type.gpus > 0 and machine.acknowledges and not machine.quarantined
     ]
-    # The cheapest GPUs are kept, and at the same price the machines with replicas.
+    # Keeps the machines with the cheapest GPUs, and at equal prices those with replicas.
     with_gpus.sort(
         key=lambda machine: (
             price(machine.machine_type, machine.spot) / machine.machine_type.gpus,
@@ -49,17 +49,17 @@
             machine.id,
         )
     )
-    gpus_to_keep = GPU_SURPLUS * gpus_wanted
-    chosen = set()
+    gpus_to_keep = GPU_HEADROOM_FACTOR * gpus_wanted
+    to_cordon = set()
     for machine in with_gpus:
         if gpus_to_keep <= 0:
-            chosen.add(machine.id)
+            to_cordon.add(machine.id)
         gpus_to_keep -= machine.machine_type.gpus
-    return chosen
+    return to_cordon
 
 
 def has_replicas(machine: Machine) -> bool:
-    """Return whether any replica of a service is on a machine: it would have to be moved."""
+    """Return whether a machine holds a replica of a service, which a release would have to move."""
     return any(
         assignment.job is not None and assignment.job.is_service
         for assignment in machine.assignments.values()
@@ -72,18 +72,18 @@
     policy: Policy,
     now: MonotonicTime,
 ) -> list[Machine]:
-    """Return the idle machines that no waiting task could use.
+    """Return the idle machines to release, which no waiting task could use.
 
-    Cordoned machines are returned as soon as they are idle, others after the policy's
-    `idle_return_s` seconds. A machine with GPUs isn't kept for work without GPUs: that is expensive
-    capacity.
+    Cordoned machines, and quarantined ones, are candidates as soon as they are idle; others after
+    the policy's `idle_return_s` seconds. Waiting tasks without GPUs do not keep a machine with
+    GPUs, because its capacity is expensive.
     """
-    chosen = []
+    candidates = []
     for machine in machines:
         if machine.assignments or machine.being_released or machine.heard_at is None:
             continue
         if machine.cordoned:
-            chosen.append(machine)
+            candidates.append(machine)
             continue
         if now - machine.idle_since < policy.idle_return_s and not machine.quarantined:
             continue
@@ -94,5 +94,5 @@
             for job, _tasks in unplaced
         ):
             continue
-        chosen.append(machine)
-    return chosen
+        candidates.append(machine)
+    return candidates
--- a/src/ryewing/autoscaling/scale_out.py
+++ b/src/ryewing/autoscaling/scale_out.py
@@ -1,7 +1,7 @@
-"""Scale-out: which machines to rent for tasks that found no room, beyond those that are booting.
+"""Scale-out: plans which machines to rent for the tasks that booting machines cannot hold.
 
-Pure: the waiting jobs, the machines, the backoff and the clock go in; plans come out. The leader
-turns these into recorded rental requests, so that nothing is rented twice.
+Pure functions of the waiting jobs, the machines, the backoff and the current time. The leader
+records a rental request for each plan before sending it, so that nothing is rented twice.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from ryewing.autoscaling.booting_room import BootingRoom, zone_allowance
+from ryewing.autoscaling.booting_room import BootingCapacity, zone_headroom
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
 from ryewing.autoscaling.options import RentalOption, price, share_of_machine, tasks_per_machine
 from ryewing.config.policy import Policy
@@ -21,7 +21,7 @@
 
 
 class ScaleOutPlan:
-    """Machines to rent: `machine_count` machines of one of `options`, the cheapest first."""
+    """Machines to rent: their number, and the options for them with the cheapest first."""
 
     __slots__ = ("machine_count", "options")
 
@@ -30,16 +30,16 @@
         self.machine_count = machine_count
 
 
-def options_for(
+def rental_options(
     job: Job, machine_types: dict[str, MachineType], backoff: CapacityBackoff, now: MonotonicTime
 ) -> list[RentalOption]:
-    """Return what could be rented for a job, the cheapest for one task first.
+    """Return the options that could be rented for a job, the cheapest per task first.
 
-    Left out is what the job doesn't allow or doesn't fit, and what the cloud lately did not have.
-    The times to boot and to fetch images are not weighed: prices differ more between types.
+    Options that the job does not allow or does not fit are left out, and those in backoff. Boot and
+    image fetch times are ignored, because prices differ more between machine types.
     """
     spec = job.spec
-    scored: list[tuple[float, RentalOption]] = []
+    options_by_cost: list[tuple[float, RentalOption]] = []
     for machine_type in machine_types.values():
         if spec.machine_types is not None and machine_type.name not in spec.machine_types:
             continue
@@ -54,9 +54,9 @@
                     continue
                 option = RentalOption(machine_type.name, zone, spot)
                 if backoff.may_request(option, now):
-                    scored.append((share * price(machine_type, spot), option))
-    scored.sort()
-    return [option for _cost, option in scored]
+                    options_by_cost.append((share * price(machine_type, spot), option))
+    options_by_cost.sort()
+    return [option for _cost, option in options_by_cost]
 
 
 def plan_scale_out(
@@ -67,25 +67,25 @@
     policy: Policy,
     now: MonotonicTime,
 ) -> list[ScaleOutPlan]:
-    """Return plans for the unplaced tasks that booting machines won't take, in the jobs' order.
+    """Return plans for the unplaced tasks that booting machines cannot hold, in the jobs' order.
 
-    A job that is spread gets at most half its tasks in a zone. Machines rented for it in a zone
-    that it had filled were of no use to it, again and again.
+    A job that is spread over zones may have at most half its tasks in one zone. Without that limit
+    here, machines were repeatedly rented for a job in a zone in which it could place no more tasks.
     """
-    room = BootingRoom(booting)
+    booting_capacity = BootingCapacity(booting)
     plans: list[ScaleOutPlan] = []
     for job, count in unplaced:
-        taken: Counter[str] = Counter()  # the tasks that would be in each zone
-        left = count - room.take(job, count, taken)
-        if left <= 0:
+        tasks_by_zone: Counter[str] = Counter()
+        remaining = count - booting_capacity.allocate(job, count, tasks_by_zone)
+        if remaining <= 0:
             continue
-        options = options_for(job, machine_types, backoff, now)
-        while left > 0 and options:
+        options = rental_options(job, machine_types, backoff, now)
+        while remaining > 0 and options:
             best = options[0]
-            tasks = min(left, zone_allowance(job, best.zone) - taken[best.zone])
+            tasks = min(remaining, zone_headroom(job, best.zone) - tasks_by_zone[best.zone])
             if tasks > 0:
-                left -= tasks
-                taken[best.zone] += tasks
+                remaining -= tasks
+                tasks_by_zone[best.zone] += tasks
                 machine_type = machine_types[best.machine_type]
                 _add_plan(plans, options, _machines_for(job, tasks, machine_type, policy))
             options = [option for option in options if option.zone != best.zone]
@@ -95,8 +95,8 @@
 def _machines_for(job: Job, tasks: int, machine_type: MachineType, policy: Policy) -> int:
     """Return how many machines of a type to rent for some of a job's tasks.
 
-    A gang or a service needs room for all of them at once. An array needs only as many machines as
-    work it off within about the drain target.
+    A gang or a service needs capacity for all of these tasks at once. An array needs only enough
+    machines to work them off within about the policy's `drain_target_s`.
     """
     tasks_at_once = tasks_per_machine(job.spec, machine_type)
     if job.is_gang or job.is_service:
@@ -106,9 +106,9 @@
 
 
 def _add_plan(plans: list[ScaleOutPlan], options: list[RentalOption], machines: int) -> None:
-    """Add machines to the plan with the same best option, or a plan if there is none.
+    """Add machines to the plan with the same best option, or add a new plan if there is none.
 
-    One request asks for all machines of an option, since the cloud takes few requests.
+    All machines of an option are requested at once, because the cloud limits the request rate.
     """
     for plan in plans:
         if plan.options[0] == options[0]:
--- a/tests/autoscaling/test_scaling.py
+++ b/tests/autoscaling/test_scaling.py
@@ -1,4 +1,4 @@
-"""Which machines to rent, to release and to ask for again later."""
+"""Scale-out, scale-in and the backoff from options without capacity."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
 from ryewing.autoscaling.scale_in import scale_in_candidates
-from ryewing.autoscaling.scale_out import options_for, plan_scale_out
+from ryewing.autoscaling.scale_out import plan_scale_out, rental_options
 from ryewing.scheduling import Unplaced
 from ryewing.units import MonotonicTime
 
 
-def test_renting_counts_what_is_booting() -> None:
+def test_scale_out_counts_booting_machines() -> None:
     world = World()
     booting = [world.machine("i-1")]
     unplaced = [Unplaced(job(task_count=8), 8)]
@@ -23,21 +23,21 @@
     assert plan.options[0].machine_type == "c32"
 
 
-def test_spot_machines_only_for_jobs_that_may() -> None:
-    assert all(not option.spot for option in options_for(job(), FLAVOURS, CapacityBackoff(), T0))
-    assert options_for(job(spot=True), FLAVOURS, CapacityBackoff(), T0)[0].spot
+def test_spot_options_only_for_jobs_that_allow_spot() -> None:
+    assert all(not option.spot for option in rental_options(job(), FLAVOURS, CapacityBackoff(), T0))
+    assert rental_options(job(spot=True), FLAVOURS, CapacityBackoff(), T0)[0].spot
 
 
-def test_no_capacity_turns_to_the_next_option_and_back() -> None:
-    backoff, one = CapacityBackoff(), job()
-    first = options_for(one, FLAVOURS, backoff, T0)[0]
-    backoff.record_no_capacity(first, T0)
-    assert options_for(one, FLAVOURS, backoff, T0)[0] != first
-    assert options_for(one, FLAVOURS, backoff, MonotonicTime(T0 + 21.0))[0] == first
+def test_option_without_capacity_is_skipped_during_its_backoff() -> None:
+    backoff, waiting_job = CapacityBackoff(), job()
+    cheapest = rental_options(waiting_job, FLAVOURS, backoff, T0)[0]
+    backoff.record_no_capacity(cheapest, T0)
+    assert rental_options(waiting_job, FLAVOURS, backoff, T0)[0] != cheapest
+    assert rental_options(waiting_job, FLAVOURS, backoff, MonotonicTime(T0 + 21.0))[0] == cheapest
 
 
 @pytest.mark.parametrize(
-    ("idle_s", "waiting", "assignments", "returned"),
+    ("idle_s", "waiting", "assignments", "released"),
     [
         (10.0, False, False, False),
         (50.0, False, False, True),
@@ -45,8 +45,8 @@
         (50.0, False, True, False),
     ],
 )
-def test_idle_machines_are_returned(
-    idle_s: float, waiting: bool, assignments: bool, returned: bool
+def test_idle_machines_are_released(
+    idle_s: float, waiting: bool, assignments: bool, released: bool
 ) -> None:
     world = World()
     machine = world.machine("i-1")
@@ -54,5 +54,5 @@
     if assignments:
         world.put(world.job("run-9"), machine, 1)
     unplaced = [Unplaced(job(), 1)] if waiting else []
-    chosen = scale_in_candidates([machine], unplaced, policy(), MonotonicTime(T0 + idle_s))
-    assert (chosen == [machine]) is returned
+    candidates = scale_in_candidates([machine], unplaced, policy(), MonotonicTime(T0 + idle_s))
+    assert (candidates == [machine]) is released
