--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -6,7 +6,7 @@
 The invariant: the parts of a record add up to the team's limit at most, and no part is below what
 may run on it (docs/design.md, argument 16). It holds whatever is lost, late or disagreed on: only
 its shard's leader lowers a part, which knows what is in use, and never below that (`lowered`); a
-part is raised only by what no shard has (`raised`). What a shard's part *should* be (`target_of`)
+part is raised only by what no shard has (`raised`). What a shard's part *should* be (`fair_share`)
 decides when a part changes, and the invariant does not rest on it.
 """
 
@@ -21,7 +21,7 @@
 from ryewing.units import ShardName
 
 UNLIMITED = math.inf
-LEAST_CHANGE = 1e-6
+MIN_CHANGE = 1e-6
 """A smaller difference is the rounding of earlier changes."""
 
 
@@ -52,7 +52,7 @@
         return Amount(self.cpus * cpus, self.gpus * gpus)
 
 
-NOTHING = Amount()
+ZERO_AMOUNT = Amount()
 
 
 class Claim(msgspec.Struct, frozen=True):
@@ -72,39 +72,39 @@
     """What each shard's running and waiting tasks would use, as its leader last wrote it."""
     claims: dict[str, Claim] = {}
 
-    def of(self, shard: ShardName) -> Amount:
+    def part_of(self, shard: ShardName) -> Amount:
         """Return the part of one shard."""
-        return self.parts.get(shard, NOTHING)
+        return self.parts.get(shard, ZERO_AMOUNT)
 
     def total(self) -> Amount:
         """Return the sum of all parts."""
-        return sum(self.parts.values(), start=NOTHING)
+        return sum(self.parts.values(), start=ZERO_AMOUNT)
 
     def with_part(self, shard: ShardName, amount: Amount) -> Allowances:
         """Return the record with another part for one shard."""
         return msgspec.structs.replace(self, parts={**self.parts, shard: amount})
 
-    def asking(self, shard: ShardName, demand: Amount, claim: Claim | None) -> Allowances:
+    def with_demand(self, shard: ShardName, demand: Amount, claim: Claim | None) -> Allowances:
         """Return the record with another demand and claim of one shard."""
         claims = {name: other for name, other in self.claims.items() if name != shard}
         if claim is not None:
             claims[shard] = claim
         return msgspec.structs.replace(self, demand={**self.demand, shard: demand}, claims=claims)
 
-    def someone_lacks(self, shard: ShardName) -> bool:
+    def other_shard_lacks(self, shard: ShardName) -> bool:
         """Return whether any shard but this one demands more than its part."""
         return any(
-            name != shard and demand - self.of(ShardName(name)) != NOTHING
+            name != shard and demand - self.part_of(ShardName(name)) != ZERO_AMOUNT
             for name, demand in self.demand.items()
         )
 
 
-def limit_of(team: Team) -> Amount:
+def team_limit(team: Team) -> Amount:
     """Return a team's limit over all shards; 0 in the settings means that there is none."""
     return Amount(team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED)
 
 
-def lowered(
+def lower_part(
     record: Allowances, shard: ShardName, requested: Amount, in_use: Amount
 ) -> Allowances | None:
     """Return the record without what a shard neither requests nor uses; None if that is nothing.
@@ -112,25 +112,25 @@
     To be called by the shard's leader alone. `in_use` includes what machines that can't be reached
     may hold, since their tasks may go on.
     """
-    present = record.of(shard)
+    present = record.part_of(shard)
     kept = present.at_most(requested.at_least(in_use))
     return None if kept == present else record.with_part(shard, kept)
 
 
-def raised(
+def raise_part(
     record: Allowances, shard: ShardName, requested: Amount, limit: Amount
 ) -> Allowances | None:
     """Return the record with more for a shard, of what no shard has; None if that is nothing."""
-    present = record.of(shard)
+    present = record.part_of(shard)
     unassigned = limit - record.total()
     missing = requested - present
     more = Amount(min(unassigned.cpus, missing.cpus), min(unassigned.gpus, missing.gpus))
-    if max(more.cpus, more.gpus) < LEAST_CHANGE:
+    if max(more.cpus, more.gpus) < MIN_CHANGE:
         return None
     return record.with_part(shard, present + more)
 
 
-def target_of(
+def fair_share(
     record: Allowances, shard: ShardName, shards: Sequence[ShardName], limit: Amount
 ) -> Amount:
     """Return a shard's fair share of a limit, by the demand and claims of all shards.
@@ -140,9 +140,9 @@
     were divided by demand alone. What nobody asks for is divided evenly, so that small jobs need
     not wait for a change of the record.
     """
-    demand = {name: record.demand.get(name, NOTHING).at_most(limit) for name in shards}
-    shares = wanted_parts(limit, demand, _oldest_claim(record, shards, limit))
-    spare = limit - sum(shares.values(), start=NOTHING)
+    demand = {name: record.demand.get(name, ZERO_AMOUNT).at_most(limit) for name in shards}
+    shares = divide_by_demand(limit, demand, _oldest_claim(record, shards, limit))
+    spare = limit - sum(shares.values(), start=ZERO_AMOUNT)
     even_share = Amount(
         _zero_if_unlimited(spare.cpus / len(shards)), _zero_if_unlimited(spare.gpus / len(shards))
     )
@@ -160,7 +160,7 @@
     return {oldest: claims[oldest].amount.at_most(limit)}
 
 
-def wanted_parts(
+def divide_by_demand(
     limit: Amount, demand: Mapping[ShardName, Amount], in_use: Mapping[ShardName, Amount]
 ) -> dict[ShardName, Amount]:
     """Divide a limit among shards in proportion to their demand.
@@ -168,16 +168,16 @@
     What is in use (or reserved for a claim) comes first; only the rest is divided, in proportion to
     each shard's demand beyond that.
     """
-    used = {shard: in_use.get(shard, NOTHING) for shard in demand}
-    rest = limit - sum(used.values(), start=NOTHING)
+    used = {shard: in_use.get(shard, ZERO_AMOUNT) for shard in demand}
+    rest = limit - sum(used.values(), start=ZERO_AMOUNT)
     unmet = {shard: asked - used[shard] for shard, asked in demand.items()}
-    total_unmet = sum(unmet.values(), start=NOTHING)
+    total_unmet = sum(unmet.values(), start=ZERO_AMOUNT)
     cpus = _satisfiable_fraction(rest.cpus, total_unmet.cpus)
     gpus = _satisfiable_fraction(rest.gpus, total_unmet.gpus)
     return {shard: used[shard] + unmet[shard].scaled(cpus, gpus) for shard in demand}
 
 
-def whole_tasks(target: Amount, used: Amount, unit: Amount, round_up: bool) -> Amount:
+def round_to_whole_tasks(target: Amount, used: Amount, unit: Amount, round_up: bool) -> Amount:
     """Round what a part has beyond what is used to whole tasks, or gangs, of `unit` each.
 
     A part that ends in a fraction of a task keeps that fraction from others: two shards with 4.3
@@ -194,7 +194,7 @@
     if not needs:
         return target
     count = min(room / amount for amount, room in needs)
-    rounded = math.ceil(count - LEAST_CHANGE) if round_up else math.floor(count + LEAST_CHANGE)
+    rounded = math.ceil(count - MIN_CHANGE) if round_up else math.floor(count + MIN_CHANGE)
     return used + unit.scaled(max(0, rounded), max(0, rounded))
 
 
--- a/src/ryewing/sharding/allowance_change.py
+++ b/src/ryewing/sharding/allowance_change.py
@@ -8,7 +8,14 @@
 
 from collections.abc import Sequence
 
-from ryewing.sharding.allowance import NOTHING, Allowances, Amount, lowered, raised, target_of
+from ryewing.sharding.allowance import (
+    ZERO_AMOUNT,
+    Allowances,
+    Amount,
+    fair_share,
+    lower_part,
+    raise_part,
+)
 from ryewing.sharding.team_demand import TeamDemand
 from ryewing.units import ShardName
 
@@ -28,42 +35,42 @@
         """Return a team's record as it should be, which may be the same one."""
         requested = demand.requested()
         record = self._with_demand(record, demand, requested)
-        target = target_of(record, self._shard, self._shards, demand.limit)
-        rounded = demand.in_whole_tasks(target, requested)
-        if record.someone_lacks(self._shard):
-            record = lowered(record, self._shard, rounded.down, demand.in_use()) or record
+        target = fair_share(record, self._shard, self._shards, demand.limit)
+        rounded = demand.round_target(target, requested)
+        if record.other_shard_lacks(self._shard):
+            record = lower_part(record, self._shard, rounded.down, demand.in_use()) or record
         if self._is_raise_worthwhile(record, rounded.up, requested, demand.limit):
             record = self._raised(record, (rounded.up, rounded.down), demand.limit)
         return record
 
     def _with_demand(self, record: Allowances, demand: TeamDemand, requested: Amount) -> Allowances:
         """Return the record with the present demand and claim, if they are worth writing."""
-        part = record.of(self._shard)
-        lacks = requested - part != NOTHING
+        part = record.part_of(self._shard)
+        lacks = requested - part != ZERO_AMOUNT
         claim = demand.claim() if lacks else None
-        recorded = record.demand.get(self._shard, NOTHING)
-        recorded_lacks = recorded - part != NOTHING
-        if not lacks and not recorded_lacks and not record.someone_lacks(self._shard):
+        recorded = record.demand.get(self._shard, ZERO_AMOUNT)
+        recorded_lacks = recorded - part != ZERO_AMOUNT
+        if not lacks and not recorded_lacks and not record.other_shard_lacks(self._shard):
             return record  # no shard's share depends on it
         is_same_claim = claim == record.claims.get(self._shard)
         if is_same_claim and _are_similar(recorded, requested, demand.limit):
             return record
-        return record.asking(self._shard, requested, claim)
+        return record.with_demand(self._shard, requested, claim)
 
     def _is_raise_worthwhile(
         self, record: Allowances, target: Amount, requested: Amount, limit: Amount
     ) -> bool:
         """Return whether a raise is worth a write: for waiting tasks, or for much of the limit."""
-        part = record.of(self._shard)
-        return requested - part != NOTHING or not _are_similar(part, target, limit)
+        part = record.part_of(self._shard)
+        return requested - part != ZERO_AMOUNT or not _are_similar(part, target, limit)
 
     def _raised(
         self, record: Allowances, amounts: tuple[Amount, Amount], limit: Amount
     ) -> Allowances:
         """Raise the part to the first of the amounts for which the limit has room."""
         for amount in amounts:
-            more = raised(record, self._shard, amount, limit)
-            if more is not None and more.of(self._shard).at_least(amount) == amount:
+            more = raise_part(record, self._shard, amount, limit)
+            if more is not None and more.part_of(self._shard).at_least(amount) == amount:
                 return more
         return record
 
--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -21,7 +21,7 @@
 
 MOVE_TIMEOUT_S = 60.0
 """How long the command waits for a move that it began."""
-POLL_EVERY_S = 0.25
+POLL_INTERVAL_S = 0.25
 
 
 class ExitCode(enum.IntEnum):
@@ -65,25 +65,25 @@
     def show(self) -> None:
         """Print a line for each shard."""
         names = self._names()
-        registration = self._registry.read(names)
+        snapshot = self._registry.read(names)
         self._write(
             f"{'SHARD':<16} {'OWNER':<16} {'HEALTHY':<8} {'PHASE':<8} {'TARGET':<16} EPOCH AGE"
         )
         for name in names:
-            self._write(_line(name, registration))
+            self._write(_line(name, snapshot))
 
     def move(self, name: ShardName, target: NodeName) -> None:
         """Begin a move, and print its phases until it is finished."""
         names = self._names()
         if name not in names:
             raise CommandError(ExitCode.REFUSED, f"unknown shard {name!r}: {', '.join(names)}")
-        registration = self._registry.read(names)
-        stored = registration.shards[name]
+        snapshot = self._registry.read(names)
+        stored = snapshot.shards[name]
         if stored.record is None:
             raise CommandError(ExitCode.REFUSED, f"shard {name!r} has no readable owner yet")
         try:
-            begun = self._registry.advance(
-                name, stored, lambda old: begin_move(old, target, registration.healthy)
+            begun = self._registry.apply_step_to_existing(
+                name, stored, lambda old: begin_move(old, target, snapshot.healthy)
             )
         except MoveRefusedError as error:
             raise CommandError(ExitCode.REFUSED, f"shard {name!r}: {error}") from None
@@ -96,7 +96,7 @@
         began_at = monotonic_now()
         phase = begun.phase
         while monotonic_now() - began_at < MOVE_TIMEOUT_S:
-            self._sleep(POLL_EVERY_S)
+            self._sleep(POLL_INTERVAL_S)
             record = self._registry.read([name]).shards[name].record
             if record is None or record.epoch == begun.epoch:
                 continue
@@ -130,12 +130,12 @@
         return [ShardName(shard.name) for shard in shards]
 
 
-def _line(name: ShardName, registration: RegistrySnapshot) -> str:
-    stored = registration.shards[name]
+def _line(name: ShardName, snapshot: RegistrySnapshot) -> str:
+    stored = snapshot.shards[name]
     record = stored.record
     if record is None:
         return f"{name:<16} {'-' if stored.readable else 'unreadable'}"
-    healthy = "yes" if record.owner in registration.healthy else "no"
+    healthy = "yes" if record.owner in snapshot.healthy else "no"
     age_s = max(0.0, wall_now() - record.changed_at)
     return (
         f"{name:<16} {record.owner:<16} {healthy:<8} {record.phase.value:<8} "
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -16,7 +16,7 @@
 from ryewing.process.leader_elector import LeaderElector
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.health import ControllerHealth
-from ryewing.sharding.owner_choice import OwnerChoice
+from ryewing.sharding.owner_choice import OwnerSelector
 from ryewing.sharding.ownership_steps import OwnershipSteps
 from ryewing.sharding.rebalancer import Rebalancer
 from ryewing.sharding.registry import (
@@ -31,12 +31,12 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_S = 1.0
+WATCH_TIMEOUT_S = 1.0
 """How long one watch of the records waits for a change; also the pause after a fault."""
-BUSY_STEP_S = 0.2
+ACTIVE_STEP_INTERVAL_S = 0.2
 """The pause between steps while a shard of this controller changes hands, or the store is
 unavailable."""
-DISAGREEING_S = 5.0
+DIVISION_RETRY_S = 5.0
 """How long until a division that the store does not agree to is compared again."""
 
 
@@ -60,10 +60,10 @@
         self._registry = ShardRegistry(store)
         self.health = health
         """This controller's health key."""
-        self._choice = OwnerChoice(settings)
+        self._selector = OwnerSelector(settings)
         self._electors = ShardElectors(node, electors)
-        self._steps = OwnershipSteps(node, members, self._registry, self._choice, self._electors)
-        self.rebalancer = Rebalancer(node, self._registry, self._choice, self._electors)
+        self._steps = OwnershipSteps(node, members, self._registry, self._selector, self._electors)
+        self.rebalancer = Rebalancer(node, self._registry, self._selector, self._electors)
         """What begins moves while this controller is the one to plan."""
 
     def run(self) -> None:
@@ -73,30 +73,30 @@
                 pause_s = self._step_until_changed()
             except DivisionDiffersError as error:
                 log.error("event=division-differs reason=%r", str(error))
-                pause_s = DISAGREEING_S
+                pause_s = DIVISION_RETRY_S
             except StoreUnavailableError as error:
                 log.debug("event=store-unavailable error=%s", error)
-                pause_s = BUSY_STEP_S
+                pause_s = ACTIVE_STEP_INTERVAL_S
             except Exception:
                 log.exception("event=coordination-failed")
-                pause_s = WATCH_S
+                pause_s = WATCH_TIMEOUT_S
             gevent.sleep(pause_s)
 
     def _step_until_changed(self) -> float:
         """Take the due steps until a record changes; return how many seconds to pause then."""
-        registration = self.step()
-        revision = registration.revision
-        while not self._electors.awaiting_step():
+        snapshot = self.step()
+        revision = snapshot.revision
+        while not self._electors.has_pending_step():
             try:
-                changes = self._store.watch(SHARDS_PREFIX, revision, WATCH_S)
+                changes = self._store.watch(SHARDS_PREFIX, revision, WATCH_TIMEOUT_S)
             except WatchExpiredError:
                 return 0.0
             if changes.log:
                 return 0.0
             revision = Revision(max(revision, changes.revision))
             self.health.renew_if_due()
-            self.take_due_steps(registration)  # some steps are due by the clock alone
-        return BUSY_STEP_S
+            self.take_due_steps(snapshot)  # some steps are due by the clock alone
+        return ACTIVE_STEP_INTERVAL_S
 
     def step(self) -> RegistrySnapshot:
         """Read the records once, take each step that is due, and return what was read.
@@ -108,32 +108,32 @@
             self._registry.ensure_division(self._settings)
             self._division.is_confirmed = True
         self.health.renew_if_due()
-        registration = self._registry.read(self._electors.names())
-        self._note(registration)
-        if self._node not in registration.healthy:
-            self.health.forget()  # a late write of an earlier process may have removed the key
-        self.take_due_steps(registration)
-        return registration
-
-    def take_due_steps(self, registration: RegistrySnapshot) -> None:
+        snapshot = self._registry.read(self._electors.names())
+        self._record(snapshot)
+        if self._node not in snapshot.healthy:
+            self.health.discard_lease()  # a late write of an earlier process may have removed the key
+        self.take_due_steps(snapshot)
+        return snapshot
+
+    def take_due_steps(self, snapshot: RegistrySnapshot) -> None:
         """Take each step that is due by what was read, though it may be out of date by now.
 
         A controller whose own health key is missing only resigns what it does not own.
         """
-        for name, stored in registration.shards.items():
+        for name, stored in snapshot.shards.items():
             self._steps.resign_if_not_owner(name, stored)
-        if self._node not in registration.healthy:
+        if self._node not in snapshot.healthy:
             return
-        for name, stored in registration.shards.items():
-            self._steps.take_due_step(name, stored, registration)
-        self.rebalancer.begin_move_if_due(registration)
+        for name, stored in snapshot.shards.items():
+            self._steps.take_due_step(name, stored, snapshot)
+        self.rebalancer.begin_move_if_due(snapshot)
 
-    def _note(self, registration: RegistrySnapshot) -> None:
+    def _record(self, snapshot: RegistrySnapshot) -> None:
         """Remember what was read, and tell the electors."""
         now = monotonic_now()
-        self._choice.note(registration)
-        for name, stored in registration.shards.items():
+        self._selector.observe(snapshot)
+        for name, stored in snapshot.shards.items():
             if stored.record is None:
                 continue
-            self._steps.note_phase(name, stored.record, now)
+            self._steps.record_phase(name, stored.record, now)
             self._electors.set_ownership(name, stored.record)
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -20,9 +20,9 @@
 from ryewing.wire.cloud import MachineType
 from ryewing.wire.jobs import JobSpec
 
-DRAWN_SHARDS = 2
+SAMPLED_SHARDS = 2
 """How many shards are drawn at random for a new job; the one with the smallest backlog gets it."""
-SPREAD_ZONES = 2
+MIN_SPREAD_ZONES = 2
 """How many zones a job needs at least whose tasks are spread over zones."""
 
 
@@ -77,7 +77,7 @@
             return eligible[_stable_hash(JobId(spec.id)) % len(eligible)]
         known_loads = {name: load for name, load in loads.items() if load is not None}
         candidates = [name for name in eligible if not known_loads[name].full] or eligible
-        drawn = self._rng.sample(candidates, min(DRAWN_SHARDS, len(candidates)))
+        drawn = self._rng.sample(candidates, min(SAMPLED_SHARDS, len(candidates)))
         return min(drawn, key=lambda name: known_loads[name].backlog)
 
 
@@ -91,7 +91,7 @@
                 zone for zone in machine_type.zones if spec.zone is None or zone == spec.zone
             )
     if spec.spread and spec.task_count > 1:
-        return len(zones) >= SPREAD_ZONES
+        return len(zones) >= MIN_SPREAD_ZONES
     return bool(zones)
 
 
--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -41,10 +41,10 @@
     owns = {
         (shard.name, node): model.addBinary(obj=_move_cost(shard, node))
         for shard in inputs.shards
-        for node in inputs.choices(shard)
+        for node in inputs.eligible_owners(shard)
     }
     for shard in inputs.shards:
-        model.addConstr(sum(owns[shard.name, node] for node in inputs.choices(shard)) == 1)
+        model.addConstr(sum(owns[shard.name, node] for node in inputs.eligible_owners(shard)) == 1)
     for room in inputs.nodes:
         terms = [
             (shard.load / room.room) * owns[shard.name, room.name]
@@ -59,7 +59,7 @@
     values = model.getSolution().col_value
     return {
         shard.name: max(
-            inputs.choices(shard), key=lambda node: values[owns[shard.name, node].index]
+            inputs.eligible_owners(shard), key=lambda node: values[owns[shard.name, node].index]
         )
         for shard in inputs.shards
     }
--- a/src/ryewing/sharding/greedy.py
+++ b/src/ryewing/sharding/greedy.py
@@ -12,7 +12,7 @@
 from ryewing.sharding.load import Assignment, PlanInputs, ShardLoad, cost, utilization
 from ryewing.units import NodeName, ShardName
 
-IMPROVEMENT_MIN = 1e-9
+MIN_IMPROVEMENT = 1e-9
 """A smaller saving is a rounding error."""
 
 
@@ -32,7 +32,7 @@
     owners: dict[ShardName, NodeName] = {}
     unowned: list[ShardLoad] = []
     for shard in inputs.shards:
-        choices = inputs.choices(shard)
+        choices = inputs.eligible_owners(shard)
         if len(choices) == 1:
             owners[shard.name] = choices[0]
         elif shard.owner in choices:
@@ -72,9 +72,9 @@
     for shard in inputs.shards:
         if owners[shard.name] != most_utilized:
             continue
-        for target in inputs.choices(shard):
+        for target in inputs.eligible_owners(shard):
             new_cost = cost(inputs, {**owners, shard.name: target})
-            if new_cost >= present_cost - IMPROVEMENT_MIN:
+            if new_cost >= present_cost - MIN_IMPROVEMENT:
                 continue
             if best is None or new_cost < best.cost:
                 best = _CandidateMove(new_cost, shard.name, target)
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -61,7 +61,7 @@
         self._lease = lease
         self._renewed_at = now
 
-    def forget(self) -> None:
+    def discard_lease(self) -> None:
         """Give up the lease, since the key is missing: the next `renew_if_due` sets it again."""
         self._lease = None
 
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -52,7 +52,7 @@
     """For how many seconds a shard that has moved stays where it is."""
     moves_allowed: bool = True
 
-    def choices(self, shard: ShardLoad) -> list[NodeName]:
+    def eligible_owners(self, shard: ShardLoad) -> list[NodeName]:
         """List the controllers that may own a shard.
 
         That is all of them, unless it is pinned, has moved within `settle_s`, or may not move.
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -35,7 +35,7 @@
     since: MonotonicTime | None
 
 
-class OwnerChoice:
+class OwnerSelector:
     """Remembers since when shards have their owners, and chooses owners."""
 
     def __init__(self, settings: ShardSettings) -> None:
@@ -47,9 +47,9 @@
         }
         self._observed_owners: dict[ShardName, _ObservedOwner] = {}
 
-    def note(self, registration: RegistrySnapshot) -> None:
+    def observe(self, snapshot: RegistrySnapshot) -> None:
         """Remember the owners that were read."""
-        for name, stored in registration.shards.items():
+        for name, stored in snapshot.shards.items():
             if stored.record is None:
                 continue
             observed = self._observed_owners.get(name)
@@ -57,34 +57,34 @@
                 since = monotonic_now() if observed is not None else None
                 self._observed_owners[name] = _ObservedOwner(stored.record.owner, since)
 
-    def assignment(self, registration: RegistrySnapshot, nodes: Set[NodeName]) -> Assignment:
+    def assign_owners(self, snapshot: RegistrySnapshot, nodes: Set[NodeName]) -> Assignment:
         """Return an owner for every shard; only a pinned one leaves an owner that is in `nodes`.
 
         Every controller chooses the same from the same records and controllers.
         """
-        return greedy.assign(self._inputs(registration, nodes, moves_allowed=False))
+        return greedy.assign(self._inputs(snapshot, nodes, moves_allowed=False))
 
-    def move(self, registration: RegistrySnapshot) -> Move | None:
+    def choose_move(self, snapshot: RegistrySnapshot) -> Move | None:
         """Return the move that evens out the shards most; None if none is worth its cost.
 
         One move at a time: None as well while any shard is moving or has no healthy owner.
         """
-        for stored in registration.shards.values():
+        for stored in snapshot.shards.values():
             record = stored.record
             if record is None or record.phase is not Phase.OWNED:
                 return None
-            if record.owner not in registration.healthy:
+            if record.owner not in snapshot.healthy:
                 return None
-        inputs = self._inputs(registration, registration.healthy, self._settings.moves_allowed)
+        inputs = self._inputs(snapshot, snapshot.healthy, self._settings.moves_allowed)
         owners = greedy.assign(inputs)
         name = next_move(inputs, owners)
         return Move(name, owners[name]) if name is not None else None
 
     def _inputs(
-        self, registration: RegistrySnapshot, nodes: Set[NodeName], moves_allowed: bool
+        self, snapshot: RegistrySnapshot, nodes: Set[NodeName], moves_allowed: bool
     ) -> PlanInputs:
         loads = []
-        for name, stored in registration.shards.items():
+        for name, stored in snapshot.shards.items():
             record = stored.record
             next_owner = NodeName(record.target or record.owner) if record is not None else None
             observed = self._observed_owners.get(name)
--- a/src/ryewing/sharding/ownership.py
+++ b/src/ryewing/sharding/ownership.py
@@ -43,7 +43,7 @@
     changed_at: float = 0.0
     """The wall time of the last step, for operators; no decision depends on it."""
 
-    def leads(self, node: NodeName) -> bool:
+    def may_hold_lease(self, node: NodeName) -> bool:
         """Return whether a controller should hold, or campaign for, the shard's lease.
 
         Any other holder resigns: found by a test in which a move was undone while its target,
@@ -58,14 +58,14 @@
 
         The owner of a sealed shard does not: it has resigned, and leaves the lease to the target.
         """
-        return self.phase is not Phase.SEALED and self.leads(node)
+        return self.phase is not Phase.SEALED and self.may_hold_lease(node)
 
-    def may_start(self, node: NodeName) -> bool:
+    def may_start_tasks(self, node: NodeName) -> bool:
         """Return whether a controller that holds the lease may start tasks and rent machines."""
         return self.phase is Phase.OWNED and self.owner == node
 
 
-def first_owner(node: NodeName) -> Ownership:
+def initial_record(node: NodeName) -> Ownership:
     """Return the record of a shard that nobody has owned yet."""
     return Ownership(node, 1)
 
@@ -81,14 +81,14 @@
     return _next_step(record, phase=Phase.SEALED, target=target)
 
 
-def settle(record: Ownership, node: NodeName) -> Ownership | None:
+def settle_move(record: Ownership, node: NodeName) -> Ownership | None:
     """Record that the owner has resigned; None unless `node` owns the sealed shard."""
     if record.phase is not Phase.SEALED or record.owner != node:
         return None
     return _next_step(record, phase=Phase.SETTLED)
 
 
-def finish(record: Ownership, node: NodeName) -> Ownership | None:
+def finish_move(record: Ownership, node: NodeName) -> Ownership | None:
     """Record that the target leads the shard; None unless `node` is the settled shard's target."""
     if record.phase is not Phase.SETTLED or record.target != node:
         return None
--- a/src/ryewing/sharding/planner.py
+++ b/src/ryewing/sharding/planner.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-SOLVER_S = 1.0
+SOLVER_TIME_LIMIT_S = 1.0
 """How long the solver may run."""
 
 
@@ -25,7 +25,7 @@
     """There is no healthy controller to own anything."""
 
 
-def plan(inputs: PlanInputs, limit_s: float = SOLVER_S) -> Assignment:
+def plan(inputs: PlanInputs, limit_s: float = SOLVER_TIME_LIMIT_S) -> Assignment:
     """Return an owner for every shard; raise NoControllerError if there is no controller.
 
     The solver may run for `limit_s` seconds.
--- a/src/ryewing/sharding/rebalancer.py
+++ b/src/ryewing/sharding/rebalancer.py
@@ -8,7 +8,7 @@
 
 import logging
 
-from ryewing.sharding.owner_choice import OwnerChoice
+from ryewing.sharding.owner_choice import OwnerSelector
 from ryewing.sharding.ownership import MoveRefusedError, begin_move
 from ryewing.sharding.registry import RegistrySnapshot, ShardRegistry
 from ryewing.sharding.shard_electors import ShardElectors
@@ -17,43 +17,43 @@
 # Operators know `move-refused` as a line of the coordinator (docs/operations.md).
 log = logging.getLogger(__name__)
 
-PLAN_EVERY_S = 5.0
+PLAN_INTERVAL_S = 5.0
 
 
 class Rebalancer:
-    """Plans at most one move every PLAN_EVERY_S; called by the coordinator's greenlet alone."""
+    """Plans at most one move every PLAN_INTERVAL_S; called by the coordinator's greenlet alone."""
 
     def __init__(
         self,
         node: NodeName,
         registry: ShardRegistry,
-        choice: OwnerChoice,
+        selector: OwnerSelector,
         electors: ShardElectors,
     ) -> None:
         self._node = node
         self._registry = registry
-        self._choice = choice
+        self._selector = selector
         self._electors = electors
         self.planned_at: MonotonicTime = monotonic_now()
         """When a move was last looked for."""
 
-    def begin_move_if_due(self, registration: RegistrySnapshot) -> None:
+    def begin_move_if_due(self, snapshot: RegistrySnapshot) -> None:
         """Begin the move that evens out the shards most, if it is this controller's turn to plan.
 
         Raises StoreUnavailableError if the store does not answer.
         """
         now = monotonic_now()
-        if self._node != min(registration.healthy) or now - self.planned_at < PLAN_EVERY_S:
+        if self._node != min(snapshot.healthy) or now - self.planned_at < PLAN_INTERVAL_S:
             return
         self.planned_at = now
-        move = self._choice.move(registration)
+        move = self._selector.choose_move(snapshot)
         if move is None:
             return
         try:
-            begun = self._registry.advance(
+            begun = self._registry.apply_step_to_existing(
                 move.shard,
-                registration.shards[move.shard],
-                lambda old: begin_move(old, move.target, registration.healthy),
+                snapshot.shards[move.shard],
+                lambda old: begin_move(old, move.target, snapshot.healthy),
             )
         except MoveRefusedError as error:
             log.info("event=move-refused shard=%s reason=%r", move.shard, str(error))
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -90,7 +90,7 @@
             entry = self._store.get(DIVISION_KEY)
         if entry is None:
             raise DivisionDiffersError("the store holds the records of an undivided fleet")
-        if _decoded(entry.data) != _decoded(division):
+        if _decode_json(entry.data) != _decode_json(division):
             raise DivisionDiffersError("the store holds the records of another division")
 
     def read(self, names: Iterable[ShardName]) -> RegistrySnapshot:
@@ -111,7 +111,7 @@
             shards[name] = StoredOwnership(record, version, record is not None)
         return RegistrySnapshot(shards, healthy_nodes(listed), revision)
 
-    def advance(
+    def apply_step_to_existing(
         self,
         name: ShardName,
         stored: StoredOwnership,
@@ -148,6 +148,6 @@
         return next_record
 
 
-def _decoded(data: bytes | msgspec.Raw) -> object:
+def _decode_json(data: bytes | msgspec.Raw) -> object:
     """Return a JSON value, so that two are compared whatever their spacing."""
     return msgspec.json.decode(bytes(data))
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -16,8 +16,8 @@
 from ryewing.units import NodeName, ShardName
 from ryewing.wire.codec import UNREADABLE
 
-NAME_LENGTH_MAX = 32
-BY_ZONES = "zones:"
+MAX_NAME_LENGTH = 32
+ZONES_PREFIX = "zones:"
 """The prefix of an option that divides the fleet without a file."""
 
 
@@ -49,11 +49,11 @@
 
 def parse_shards_option(text: str, settings: Settings) -> ShardSettings:
     """Return the division that an option names, `zones:N` or a file; raise SettingsError."""
-    if not text.startswith(BY_ZONES):
+    if not text.startswith(ZONES_PREFIX):
         return load_shards(Path(text), settings)
-    count = text.removeprefix(BY_ZONES)
+    count = text.removeprefix(ZONES_PREFIX)
     if not count.isdecimal() or int(count) < 1:
-        raise SettingsError(f"{text}: give {BY_ZONES} and a number of shards from 1 up")
+        raise SettingsError(f"{text}: give {ZONES_PREFIX} and a number of shards from 1 up")
     return divide_by_zones(int(count), settings.params.zones)
 
 
@@ -82,13 +82,13 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
     except (msgspec.ValidationError, *UNREADABLE) as error:
         raise SettingsError(f"{path}: {error}") from None
-    problem = next(problems(shards, settings), None)
+    problem = next(find_problems(shards, settings), None)
     if problem is not None:
         raise SettingsError(f"{path}: {problem}")
     return shards
 
 
-def problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
+def find_problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
     """Yield a line for each thing that is wrong with a division of the fleet."""
     if not shards.shards:
         yield "shards: there is none"
@@ -114,8 +114,8 @@
     for number, spec in enumerate(specs):
         name = spec.name
         # The name is a part of keys in the store.
-        if not name or len(name) > NAME_LENGTH_MAX or not name.replace("-", "").isalnum():
-            yield f"shards[{number}].name: letters, digits and hyphens, at most {NAME_LENGTH_MAX}"
+        if not name or len(name) > MAX_NAME_LENGTH or not name.replace("-", "").isalnum():
+            yield f"shards[{number}].name: letters, digits and hyphens, at most {MAX_NAME_LENGTH}"
         if name in earlier:
             yield f"shards[{number}].name: {name!r} is there twice"
         earlier.add(name)
--- a/src/ryewing/sharding/shard_electors.py
+++ b/src/ryewing/sharding/shard_electors.py
@@ -52,7 +52,7 @@
         self._ownership[name] = ownership
         self._update_seal(name)
 
-    def awaiting_step(self) -> bool:
+    def has_pending_step(self) -> bool:
         """Return whether a step may become due here without any change in the store.
 
         That is so while a shard moves from or to this controller, or has no known owner.
@@ -76,7 +76,7 @@
 
     def _may_start(self, name: ShardName) -> bool:
         ownership = self._ownership.get(name)
-        return ownership is not None and ownership.may_start(self._node)
+        return ownership is not None and ownership.may_start_tasks(self._node)
 
     def _update_seal(self, name: ShardName) -> None:
         """Allow the leader here to start and rent if the record says so, and forbid it if not."""
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -9,11 +9,11 @@
 
 from ryewing.config.settings import Team
 from ryewing.leader.term_context import TermContext
-from ryewing.sharding.allowance import NOTHING, Amount, Claim, limit_of, whole_tasks
+from ryewing.sharding.allowance import ZERO_AMOUNT, Amount, Claim, round_to_whole_tasks, team_limit
 from ryewing.state.jobs import Job
 from ryewing.units import MonotonicTime, TeamName, monotonic_now
 
-RESERVATION_S = 60.0
+STALL_TIMEOUT_S = 60.0
 """For how long room is asked for without any start, and then for how long it is not asked for."""
 
 
@@ -37,23 +37,23 @@
     def __init__(self, term: TermContext, team: Team) -> None:
         self._term = term
         self._team = team
-        self._last_running = NOTHING
+        self._last_running = ZERO_AMOUNT
         self._progress_at = monotonic_now()
         """When a task was last started, or nothing waited."""
 
     @property
     def limit(self) -> Amount:
         """The team's limit over all shards."""
-        return limit_of(self._team)
+        return team_limit(self._team)
 
-    def note_progress(self, now: MonotonicTime) -> None:
+    def update_progress(self, now: MonotonicTime) -> None:
         """Record whether the team's work makes progress; to be called at each step of the limits.
 
         A minute after the demand was given up for lack of progress, it is asked for again.
         """
         running = self.running()
-        started = running - self._last_running != NOTHING
-        if started or not self._waiting() or now - self._progress_at >= 2 * RESERVATION_S:
+        started = running - self._last_running != ZERO_AMOUNT
+        if started or not self._waiting() or now - self._progress_at >= 2 * STALL_TIMEOUT_S:
             self._progress_at = now
         self._last_running = running
 
@@ -76,44 +76,44 @@
         """Return what running and waiting tasks would use, the team's limit at most."""
         stalled = self._is_stalled()
         waiting = [
-            self._needed(job, 1 if stalled else job.shortfall) for job in self._jobs_asked_for()
+            self._required(job, 1 if stalled else job.shortfall) for job in self._requesting_jobs()
         ]
         return sum(waiting, start=self.running()).at_most(self.limit)
 
     def claim(self) -> Claim | None:
         """Return what the oldest waiting job needs at once to start; None if no job waits."""
         oldest = min(
-            self._jobs_asked_for(), key=lambda job: (job.accepted_at, job.id), default=None
+            self._requesting_jobs(), key=lambda job: (job.accepted_at, job.id), default=None
         )
         if oldest is None:
             return None
         if oldest.is_gang:
-            amount = self.running() + self._needed(oldest, oldest.shortfall)
+            amount = self.running() + self._required(oldest, oldest.shortfall)
         else:
-            amount = self._needed(oldest, 1)
+            amount = self._required(oldest, 1)
         return Claim(amount.at_most(self.limit), oldest.accepted_at)
 
-    def in_whole_tasks(self, target: Amount, requested: Amount) -> RoundedTarget:
+    def round_target(self, target: Amount, requested: Amount) -> RoundedTarget:
         """Round a part down and up to whole tasks of the smallest waiting job.
 
         A part that satisfies all that is requested stays as it is.
         """
         waiting = self._waiting()
-        if requested - target == NOTHING or not waiting:
+        if requested - target == ZERO_AMOUNT or not waiting:
             return RoundedTarget(target, target)
         smallest = min(waiting, key=_task_size)
-        unit = self._needed(smallest, smallest.shortfall if smallest.is_gang else 1)
+        unit = self._required(smallest, smallest.shortfall if smallest.is_gang else 1)
         used = self.running()
         return RoundedTarget(
-            down=whole_tasks(target, used, unit, round_up=False),
-            up=whole_tasks(target, used, unit, round_up=True),
+            down=round_to_whole_tasks(target, used, unit, round_up=False),
+            up=round_to_whole_tasks(target, used, unit, round_up=True),
         )
 
     def _is_stalled(self) -> bool:
-        """Return whether no task was started for RESERVATION_S while some waited."""
-        return monotonic_now() - self._progress_at >= RESERVATION_S
+        """Return whether no task was started for STALL_TIMEOUT_S while some waited."""
+        return monotonic_now() - self._progress_at >= STALL_TIMEOUT_S
 
-    def _jobs_asked_for(self) -> list[Job]:
+    def _requesting_jobs(self) -> list[Job]:
         """List the jobs to ask for: while stalled, only the smallest one that is not a gang."""
         waiting = self._waiting()
         if not self._is_stalled():
@@ -126,7 +126,7 @@
         jobs = (table.jobs[job_id] for job_id in table.waiting)
         return [job for job in jobs if job.spec.team == self._team.name and job.shortfall > 0]
 
-    def _needed(self, job: Job, tasks: int) -> Amount:
+    def _required(self, job: Job, tasks: int) -> Amount:
         return self._limited_only(job.spec.cpus * tasks, job.spec.gpus * tasks)
 
     def _limited_only(self, cpus: float, gpus: float) -> Amount:
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -21,7 +21,7 @@
 from ryewing.config.settings import Team
 from ryewing.leader.leader import Leader
 from ryewing.leader.term_end_reason import TermEndReason
-from ryewing.sharding.allowance import NOTHING, Allowances, Amount
+from ryewing.sharding.allowance import ZERO_AMOUNT, Allowances, Amount
 from ryewing.sharding.allowance_change import AllowanceChange
 from ryewing.sharding.shard_store import ALLOWANCE_PREFIX
 from ryewing.sharding.team_demand import TeamDemand
@@ -31,14 +31,14 @@
 
 log = logging.getLogger(__name__)
 
-STEP_S = 0.5
-FIRST_STEP_S = 0.1
+STEP_INTERVAL_S = 0.5
+INITIAL_STEP_INTERVAL_S = 0.1
 """How often a new term checks whether it may read the records: until then no team may use any
 limited resource."""
-READ_EVERY_S = 2.0
+READ_INTERVAL_S = 2.0
 """How often the records are read while no more is requested than the parts allow."""
 NEVER = MonotonicTime(-1e9)
-NO_ROOM = EPSILON / 2
+ZERO_LIMIT = EPSILON / 2
 """Stands for a part of 0: a team's limit of 0 would mean that there is none."""
 
 
@@ -57,7 +57,7 @@
 
     def usable(self, shard: ShardName) -> Amount:
         """Return how much of its part a shard may use for certain."""
-        part = self.record.of(shard)
+        part = self.record.part_of(shard)
         return part if self.unconfirmed_part is None else part.at_most(self.unconfirmed_part)
 
 
@@ -81,23 +81,23 @@
     def teams(self) -> dict[str, Team]:
         """Return the teams with what this shard may use as their limits."""
         return {
-            name: self._with_part(team) if name in self._demands else team
+            name: self._with_shard_limits(team) if name in self._demands else team
             for name, team in self._term.teams.items()
         }
 
-    def _with_part(self, team: Team) -> Team:
+    def _with_shard_limits(self, team: Team) -> Team:
         stored = self.records.get(team.name)
-        part = stored.usable(self._shard) if stored is not None else NOTHING
+        part = stored.usable(self._shard) if stored is not None else ZERO_AMOUNT
         return msgspec.structs.replace(
             team,
-            cpus_max=max(part.cpus, NO_ROOM) if team.cpus_max else 0.0,
-            gpus_max=max(part.gpus, NO_ROOM) if team.gpus_max else 0.0,
+            cpus_max=max(part.cpus, ZERO_LIMIT) if team.cpus_max else 0.0,
+            gpus_max=max(part.gpus, ZERO_LIMIT) if team.gpus_max else 0.0,
         )
 
     def run(self) -> None:
         """Adapt the parts to the demand until the term ends."""
         while self._demands:
-            gevent.sleep(STEP_S if self.records else FIRST_STEP_S)
+            gevent.sleep(STEP_INTERVAL_S if self.records else INITIAL_STEP_INTERVAL_S)
             try:
                 self.step()
             except StoreUnavailableError as error:
@@ -112,8 +112,8 @@
             return
         now = monotonic_now()
         for demand in self._demands.values():
-            demand.note_progress(now)
-        if now - self._read_at >= READ_EVERY_S or self._is_read_needed():
+            demand.update_progress(now)
+        if now - self._read_at >= READ_INTERVAL_S or self._is_read_needed():
             self.read_records()
             self._read_at = now
         changes = self._due_changes()
@@ -132,7 +132,7 @@
             stored = self.records.get(name)
             if stored is None or stored.unconfirmed_part is not None:
                 return True
-            if demand.requested() - stored.record.of(self._shard) != NOTHING:
+            if demand.requested() - stored.record.part_of(self._shard) != ZERO_AMOUNT:
                 return True
         return False
 
@@ -140,9 +140,9 @@
         """Read the records of all teams; raises StoreUnavailableError."""
         entries = {entry.key: entry for entry in self._term.store.listing(ALLOWANCE_PREFIX)[0]}
         for name in self._demands:
-            self._keep_record(name, entries.get(_key(name)))
+            self._update_record(name, entries.get(_key(name)))
 
-    def _keep_record(self, name: str, entry: Entry | None) -> None:
+    def _update_record(self, name: str, entry: Entry | None) -> None:
         """Keep what was read; an unconfirmed write may still be carried out after the reading."""
         stored = self.records.get(name)
         unconfirmed_part = stored.unconfirmed_part if stored is not None else None
@@ -175,7 +175,9 @@
         conditions = {_key(name): self.records[name].version for name in changes}
         for name, record in changes.items():
             stored = self.records[name]
-            stored.unconfirmed_part = stored.usable(self._shard).at_most(record.of(self._shard))
+            stored.unconfirmed_part = stored.usable(self._shard).at_most(
+                record.part_of(self._shard)
+            )
         result = self._term.store.txn(
             self._term.leadership.fencing_conditions(conditions),
             [Put(_key(name), record) for name, record in changes.items()],
--- a/tests/sharding/test_allowance.py
+++ b/tests/sharding/test_allowance.py
@@ -11,10 +11,10 @@
     UNLIMITED,
     Allowances,
     Amount,
-    limit_of,
-    lowered,
-    raised,
-    wanted_parts,
+    divide_by_demand,
+    lower_part,
+    raise_part,
+    team_limit,
 )
 from ryewing.units import ShardName
 
@@ -26,26 +26,26 @@
 def test_parts_never_exceed_the_limit_and_never_what_is_used(seed: int) -> None:
     """Shards raise, use and lower their parts in any order; some writes lose against others."""
     rng = random.Random(seed)
-    limit = limit_of(Team("red", cpus_max=64.0, gpus_max=8.0))
+    limit = team_limit(Team("red", cpus_max=64.0, gpus_max=8.0))
     record = Allowances()
     used = dict.fromkeys(SHARDS, Amount())
     for _ in range(400):
         shard = rng.choice(SHARDS)
         demand = {name: Amount(rng.uniform(0, 64), rng.uniform(0, 8)) for name in SHARDS}
-        wanted = wanted_parts(limit, demand, used)[shard]
+        wanted = divide_by_demand(limit, demand, used)[shard]
         change = (
-            lowered(record, shard, rng.choice([wanted, Amount()]), used[shard])
+            lower_part(record, shard, rng.choice([wanted, Amount()]), used[shard])
             if rng.random() < 0.5
-            else raised(record, shard, wanted, limit)
+            else raise_part(record, shard, wanted, limit)
         )
         if change is not None and rng.random() < 0.8:  # else another write came first
             record = change
-        part = record.of(shard)
+        part = record.part_of(shard)
         used[shard] = rng.choice([used[shard], part, part.scaled(rng.random(), rng.random())])
         total = record.total()
         assert total.cpus <= limit.cpus + EPSILON
         assert total.gpus <= limit.gpus + EPSILON
-        assert all(used[name].at_most(record.of(name)) == used[name] for name in SHARDS)
+        assert all(used[name].at_most(record.part_of(name)) == used[name] for name in SHARDS)
 
 
 @pytest.mark.parametrize(
@@ -64,12 +64,12 @@
     def amounts(cpus: tuple[float, ...]) -> dict[ShardName, Amount]:
         return {shard: Amount(each) for shard, each in zip(SHARDS, cpus, strict=True)}
 
-    assert wanted_parts(Amount(60.0, 8.0), amounts(demand), amounts(in_use)) == amounts(parts)
+    assert divide_by_demand(Amount(60.0, 8.0), amounts(demand), amounts(in_use)) == amounts(parts)
 
 
 def test_a_team_without_limit_gets_what_it_wants() -> None:
-    limit = limit_of(Team("blue"))
+    limit = team_limit(Team("blue"))
     assert limit == Amount(UNLIMITED, UNLIMITED)
     demand = {SHARDS[0]: Amount(1e6, 1e3)}
-    assert wanted_parts(limit, demand, {}) == demand
-    assert raised(Allowances(), SHARDS[0], demand[SHARDS[0]], limit) == Allowances(demand)  # type: ignore[arg-type]
+    assert divide_by_demand(limit, demand, {}) == demand
+    assert raise_part(Allowances(), SHARDS[0], demand[SHARDS[0]], limit) == Allowances(demand)  # type: ignore[arg-type]
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -15,7 +15,7 @@
 from ryewing.clients.store import decode_stored
 from ryewing.config.settings import Team
 from ryewing.leader.scope import TermScope
-from ryewing.sharding.allowance import Allowances, Amount, Claim, limit_of, target_of
+from ryewing.sharding.allowance import Allowances, Amount, Claim, fair_share, team_limit
 from ryewing.sharding.team_demand import TeamDemand
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import ShardName, Zone
@@ -196,7 +196,7 @@
     assert low < LIMIT / 2
     cluster.links["n-0"].delays_transactions = False
     limits.read_records()
-    assert limits.records["red"].record.of(ShardName(EAST)).gpus > low  # as the store has it
+    assert limits.records["red"].record.part_of(ShardName(EAST)).gpus > low  # as the store has it
     assert part() == low
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
@@ -204,7 +204,7 @@
     assert verdict(cluster) == []
 
 
-RED = limit_of(Team("red", gpus_max=LIMIT))
+RED = team_limit(Team("red", gpus_max=LIMIT))
 SHARDS = [ShardName(EAST), ShardName(WEST)]
 
 
@@ -235,7 +235,7 @@
         {shard: Amount(gpus=gpus) for shard, gpus in demand.items()},
         {shard: Claim(Amount(gpus=gpus), since) for shard, (gpus, since) in claims.items()},
     )
-    found = [target_of(record, shard, SHARDS, RED).gpus for shard in SHARDS]
+    found = [fair_share(record, shard, SHARDS, RED).gpus for shard in SHARDS]
     assert found == pytest.approx(list(targets))
 
 
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -22,13 +22,13 @@
     Ownership,
     Phase,
     begin_move,
-    finish,
-    first_owner,
+    finish_move,
+    initial_record,
     repair,
-    settle,
+    settle_move,
 )
 from ryewing.sharding.registry import OWNER_PREFIX, DivisionDiffersError, ShardRegistry
-from ryewing.sharding.settings import ShardSettings, ShardSpec, problems
+from ryewing.sharding.settings import ShardSettings, ShardSpec, find_problems
 from ryewing.units import NodeName, ShardName
 
 NODES = [NodeName(name) for name in ("n-0", "n-1", "n-2")]
@@ -72,7 +72,7 @@
 def test_a_second_division_of_the_fleet_is_refused() -> None:
     registry = ShardRegistry(TimedStore(Clock()))  # type: ignore[arg-type]
     one = ShardSettings((ShardSpec("a", ("a", "b", "c")),))
-    assert not list(problems(one, settings()))
+    assert not list(find_problems(one, settings()))
     registry.ensure_division(one)
     registry.ensure_division(one)
     with pytest.raises(DivisionDiffersError):
@@ -84,8 +84,8 @@
 @pytest.mark.parametrize(
     ("record", "target"),
     [
-        pytest.param(first_owner(NODES[0]), "n-0", id="to_its_owner"),
-        pytest.param(first_owner(NODES[0]), "n-9", id="to_unknown_controller"),
+        pytest.param(initial_record(NODES[0]), "n-0", id="to_its_owner"),
+        pytest.param(initial_record(NODES[0]), "n-9", id="to_unknown_controller"),
         pytest.param(Ownership("n-0", 2, Phase.SEALED, "n-1"), "n-2", id="while_sealed"),
         pytest.param(Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-2", id="while_settled"),
     ],
@@ -100,7 +100,7 @@
     registry = ShardRegistry(store)  # type: ignore[arg-type]
     store.write_raw(OWNER_PREFIX + SHARD, b'{"owner":7}')
     found = registry.read([SHARD, ShardName("west")]).shards
-    assert registry.apply_step(SHARD, found[SHARD], lambda _: first_owner(NODES[0])) is None
+    assert registry.apply_step(SHARD, found[SHARD], lambda _: initial_record(NODES[0])) is None
     west = registry.apply_step(
         ShardName("west"), found[ShardName("west")], lambda _: Ownership("n-1", 1)
     )
@@ -121,7 +121,7 @@
 ) -> None:
     """Nobody campaigns for a sealed shard; the target of a settled one has to reconcile first."""
     assert [node for node in NODES if record.may_campaign(node)] == [campaigns] * bool(campaigns)
-    assert [node for node in NODES if record.may_start(node)] == [starts] * bool(starts)
+    assert [node for node in NODES if record.may_start_tasks(node)] == [starts] * bool(starts)
 
 
 class OwnershipSimulation:
@@ -141,9 +141,9 @@
         try:
             seen = registry.read([SHARD]).shards[SHARD]
             record = seen.record
-            if record is not None and record.leads(node) and self.leading is None:
+            if record is not None and record.may_hold_lease(node) and self.leading is None:
                 self.leading = node
-            elif record is not None and not record.leads(node) and self.leading == node:
+            elif record is not None and not record.may_hold_lease(node) and self.leading == node:
                 self.leading = None
             registry.apply_step(SHARD, seen, lambda record: self._step(record, node, target))
         except (StoreUnavailableError, MoveRefusedError):
@@ -153,16 +153,16 @@
         self, record: Ownership | None, node: NodeName, target: NodeName | None
     ) -> Ownership | None:
         if record is None:
-            return first_owner(node)
+            return initial_record(node)
         if target is not None:
             return begin_move(record, target, self.healthy)
-        settled = settle(record, node)
+        settled = settle_move(record, node)
         if settled is not None:
             if self.leading == node:
                 self.leading = None  # it resigns first
             return settled
         if self.leading == node:
-            return finish(record, node) or repair(record, node, self.healthy)
+            return finish_move(record, node) or repair(record, node, self.healthy)
         return repair(record, node, self.healthy)
 
     def inject_or_heal(self) -> None:
@@ -201,8 +201,8 @@
         if found is not None:
             assert found.epoch >= epoch
             epoch = found.epoch
-            assert sum(found.leads(node) for node in NODES) == 1
-            assert [node for node in NODES if found.may_start(node)] in ([], [found.owner])
+            assert sum(found.may_hold_lease(node) for node in NODES) == 1
+            assert [node for node in NODES if found.may_start_tasks(node)] in ([], [found.owner])
     for link in simulation.links.values():
         link.apply_delayed()
         link.loses_answers = link.refused = False
@@ -221,7 +221,7 @@
     """No other assignment costs less, and a second plan from there moves nothing."""
     rng = random.Random(seed)
     inputs = random_inputs(rng, 5, 3)
-    choices = [inputs.choices(shard) for shard in inputs.shards]
+    choices = [inputs.eligible_owners(shard) for shard in inputs.shards]
     names = [shard.name for shard in inputs.shards]
     everything = [dict(zip(names, each, strict=True)) for each in itertools.product(*choices)]
     best = min(cost(inputs, each) for each in everything)
