--- a/src/ryewing/sharding/__init__.py
+++ b/src/ryewing/sharding/__init__.py
@@ -1,9 +1,10 @@
-"""The fleet divided into shards, each of which one controller at a time leads (docs/sharding.md).
+"""Divides the fleet into shards, each led by one controller at a time (docs/sharding.md).
 
-The package owns the shards' settings and each shard's part of the store, the ownership of shards
-and the steps by which they change hands (`coordinator` is the loop), the division of team limits
-(`team_limits`), and the command `shards`; who may start tasks in a shard rests on that shard's own
-lease and term, as in `election.leadership`, and nothing here starts any. It may import every other
-package but `cli`, and its errors derive from `errors.ShardingError`. Only `cli` calls it (`serve`,
-`command`, `check`, `settings`), and imports it only where an operator asks for shards.
+The package contains the shard settings, each shard's part of the store, the ownership of shards and
+its transfer between controllers (the loop is in `coordinator`), the division of team limits among
+shards (`team_limits`) and the command `shards`. It starts no tasks: which controller may start
+tasks in a shard is decided by that shard's lease and term, as in `election.leadership`. The package
+may import every other package except `cli`. Its errors derive from `errors.ShardingError`. Only
+`cli` calls it (`serve`, `command`, `check`, `settings`), and imports it only if shards are
+configured or a command for shards is run.
 """
--- a/src/ryewing/sharding/coordinator.py
+++ b/src/ryewing/sharding/coordinator.py
@@ -1,8 +1,9 @@
-"""The loop of one controller that brings the ownership of all shards to its desired state.
+"""The loop of one controller that brings the ownership of all shards to the desired state.
 
-Everything it decides by is in the store: the ownership records and the health of the controllers.
-`ownership_steps` takes the steps that are due, `rebalancer` begins moves, `shard_electors` tells
-the electors what they may do. Leading itself is left to each shard's elector.
+Its decisions depend only on data in the store: the ownership records and the health keys of the
+controllers. `ownership_steps` takes the steps that are due, `rebalancer` begins moves, and
+`shard_electors` passes the permissions to the electors. Each shard's elector acquires the lease and
+runs the leader.
 """
 
 from __future__ import annotations
@@ -32,16 +33,16 @@
 log = logging.getLogger(__name__)
 
 WATCH_TIMEOUT_S = 1.0
-"""How long one watch of the records waits for a change; also the pause after a fault."""
+"""How long a watch of the records waits for a change; also the pause after an unexpected error."""
 ACTIVE_STEP_INTERVAL_S = 0.2
-"""The pause between steps while a shard of this controller changes hands, or the store is
-unavailable."""
+"""The pause between steps while a shard moves from or to this controller or has no known owner, or
+the store is unavailable."""
 DIVISION_RETRY_S = 5.0
-"""How long until a division that the store does not agree to is compared again."""
+"""The pause before a division that differs from the stored one is compared again."""
 
 
 class Coordinator:
-    """The loop of one controller; `run` is its greenlet."""
+    """Runs the loop of one controller, in the greenlet of `run`."""
 
     def __init__(
         self,
@@ -64,10 +65,10 @@
         self._electors = ShardElectors(node, electors)
         self._steps = OwnershipSteps(node, members, self._registry, self._selector, self._electors)
         self.rebalancer = Rebalancer(node, self._registry, self._selector, self._electors)
-        """What begins moves while this controller is the one to plan."""
+        """Begins moves while this controller is the one that plans them."""
 
     def run(self) -> None:
-        """Take steps until the process is killed."""
+        """Run the loop until the process is killed."""
         while True:
             try:
                 pause_s = self._step_until_changed()
@@ -83,7 +84,7 @@
             gevent.sleep(pause_s)
 
     def _step_until_changed(self) -> float:
-        """Take the due steps until a record changes; return how many seconds to pause then."""
+        """Take due steps until a record changes; return how many seconds to pause afterwards."""
         snapshot = self.step()
         revision = snapshot.revision
         while not self._electors.has_pending_step():
@@ -95,11 +96,11 @@
                 return 0.0
             revision = Revision(max(revision, changes.revision))
             self.health.renew_if_due()
-            self.take_due_steps(snapshot)  # some steps are due by the clock alone
+            self.take_due_steps(snapshot)  # some steps become due by time alone
         return ACTIVE_STEP_INTERVAL_S
 
     def step(self) -> RegistrySnapshot:
-        """Read the records once, take each step that is due, and return what was read.
+        """Read the records once, take each due step, and return the snapshot that was read.
 
         Raises DivisionDiffersError if the store holds the records of another division, and
         StoreUnavailableError if the store does not answer.
@@ -109,16 +110,17 @@
             self._division.is_confirmed = True
         self.health.renew_if_due()
         snapshot = self._registry.read(self._electors.names())
-        self._record(snapshot)
+        self._record_snapshot(snapshot)
         if self._node not in snapshot.healthy:
-            self.health.discard_lease()  # a late write of an earlier process may have removed the key
+            # A late write of an earlier process may have removed the key.
+            self.health.discard_lease()
         self.take_due_steps(snapshot)
         return snapshot
 
     def take_due_steps(self, snapshot: RegistrySnapshot) -> None:
-        """Take each step that is due by what was read, though it may be out of date by now.
+        """Take each step that is due according to a snapshot, which may be outdated.
 
-        A controller whose own health key is missing only resigns what it does not own.
+        A controller whose own health key is missing only resigns from shards that it may not lead.
         """
         for name, stored in snapshot.shards.items():
             self._steps.resign_if_not_owner(name, stored)
@@ -128,8 +130,8 @@
             self._steps.take_due_step(name, stored, snapshot)
         self.rebalancer.begin_move_if_due(snapshot)
 
-    def _record(self, snapshot: RegistrySnapshot) -> None:
-        """Remember what was read, and tell the electors."""
+    def _record_snapshot(self, snapshot: RegistrySnapshot) -> None:
+        """Record a snapshot in the objects that depend on it, and update the electors."""
         now = monotonic_now()
         self._selector.observe(snapshot)
         for name, stored in snapshot.shards.items():
--- a/src/ryewing/sharding/health.py
+++ b/src/ryewing/sharding/health.py
@@ -1,7 +1,8 @@
-"""Which controllers are healthy: each keeps a key in the store, on a lease of its own.
+"""Controller health: each controller keeps a health key in the store, attached to its own lease.
 
-A controller that is silent towards another one may be cut off from that one alone; one whose lease
-has expired has not reached the store, or has stood still, for as long as the lease lasts.
+Silence between two controllers does not show a failure, because they may only be disconnected from
+each other. An expired lease shows that the controller could not reach the store, or was paused, for
+the duration of the lease.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 NODE_PREFIX = "shards/node/"
 RENEWALS_PER_LEASE = 3
-"""How many times the lease is renewed in the time that it lasts."""
+"""How many times the lease is renewed within its duration."""
 NEVER = MonotonicTime(-1e9)
 
 
 class NodeRecord(msgspec.Struct, frozen=True, rename={"boot_id": "boot"}):
-    """The value of a controller's key."""
+    """The value of a controller's health key."""
 
     boot_id: str
 
 
 class ControllerHealth:
-    """The health key of this controller; used by the coordinator's greenlet alone."""
+    """The health key of this controller; only the coordinator's greenlet uses it."""
 
     def __init__(self, store: Store, node: NodeName, boot_id: str, lease_s: float) -> None:
         self._store = store
@@ -38,7 +39,7 @@
         self._renewed_at = NEVER
 
     def renew_if_due(self) -> None:
-        """Renew the lease if that is due; set the key anew, on a new lease, if it is lost.
+        """Renew the lease if that is due; if it is lost, write the key again on a new lease.
 
         Raises StoreUnavailableError if the store does not answer.
         """
@@ -62,12 +63,12 @@
         self._renewed_at = now
 
     def discard_lease(self) -> None:
-        """Give up the lease, since the key is missing: the next `renew_if_due` sets it again."""
+        """Drop the lease since its key is missing; the next `renew_if_due` writes the key again."""
         self._lease = None
 
 
 def healthy_nodes(entries: Iterable[Entry]) -> set[NodeName]:
-    """Return the controllers whose keys are among the entries."""
+    """Return the controllers whose health keys are among the entries."""
     return {
         NodeName(entry.key.removeprefix(NODE_PREFIX))
         for entry in entries
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -1,7 +1,7 @@
-"""Chooses which controller should own which shard, by the records, health and settings.
+"""Selects which controller should own which shard, from the records, health keys and settings.
 
-Every shard counts as the same load and every controller as the same room: planning by measured load
-is not implemented (docs/sharding.md). The assignments are greedy (`greedy`).
+All shards count as equal load and all controllers as equal capacity, because planning by measured
+load is not implemented (docs/sharding.md). The assignments are greedy (`greedy`).
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from ryewing.units import MonotonicTime, NodeName, ShardName, monotonic_now
 
 EQUAL_LOAD = 1.0
-"""The load of every shard, and the room of every controller."""
+"""The load of every shard and the capacity of every controller."""
 
 
 class Move(NamedTuple):
-    """A shard that another controller should lead."""
+    """A shard and the controller that it should move to."""
 
     shard: ShardName
     target: NodeName
 
 
 class _ObservedOwner(NamedTuple):
-    """A shard's owner, and since when it owns the shard, if the change was observed."""
+    """A shard's owner, and since when it has owned the shard if that change was observed."""
 
     owner: str
     since: MonotonicTime | None
 
 
 class OwnerSelector:
-    """Remembers since when shards have their owners, and chooses owners."""
+    """Selects owners of shards, and records when the owners changed."""
 
     def __init__(self, settings: ShardSettings) -> None:
         self._settings = settings
@@ -48,7 +48,7 @@
         self._observed_owners: dict[ShardName, _ObservedOwner] = {}
 
     def observe(self, snapshot: RegistrySnapshot) -> None:
-        """Remember the owners that were read."""
+        """Record the owners in a snapshot, with the time of each change."""
         for name, stored in snapshot.shards.items():
             if stored.record is None:
                 continue
@@ -58,16 +58,17 @@
                 self._observed_owners[name] = _ObservedOwner(stored.record.owner, since)
 
     def assign_owners(self, snapshot: RegistrySnapshot, nodes: Set[NodeName]) -> Assignment:
-        """Return an owner for every shard; only a pinned one leaves an owner that is in `nodes`.
+        """Return an owner for every shard; only a pinned shard leaves an owner that is in `nodes`.
 
-        Every controller chooses the same from the same records and controllers.
+        The result is the same on every controller for the same records and controllers.
         """
         return greedy.assign(self._inputs(snapshot, nodes, moves_allowed=False))
 
     def choose_move(self, snapshot: RegistrySnapshot) -> Move | None:
-        """Return the move that evens out the shards most; None if none is worth its cost.
+        """Return the move that balances the shards best; None if none is worth its cost.
 
-        One move at a time: None as well while any shard is moving or has no healthy owner.
+        Shards move one at a time, so the result is None also while any shard is moving or has no
+        healthy owner.
         """
         for stored in snapshot.shards.values():
             record = stored.record
--- a/src/ryewing/sharding/ownership.py
+++ b/src/ryewing/sharding/ownership.py
@@ -1,10 +1,10 @@
-"""Who owns a shard, and the steps by which it changes hands.
+"""The ownership record of a shard, and the steps that transfer a shard to another controller.
 
-Pure functions: each takes a record and returns the next one. A step is taken by one conditional
-write of the record (`registry`), so of two controllers that take one at the same time only one
-succeeds. The record says who *should* lead the shard. Who may start tasks there is decided by the
-shard's lease and term alone, so a wrong record costs time and never safety (docs/design.md,
-argument 15). The table of the steps is in docs/sharding.md.
+Each step is a pure function that takes a record and returns the next one. `registry` writes the
+result by one conditional write, so if two controllers apply a step concurrently, only one succeeds.
+The record names the controller that *should* lead the shard. Which controller may start tasks is
+decided by the shard's lease and term alone, so a wrong record can delay work but cannot violate
+safety (docs/design.md, argument 15). The table of the steps is in docs/sharding.md.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class Phase(enum.Enum):
-    """How far a shard's move from one owner to another has come."""
+    """The progress of a shard's move from one owner to another."""
 
     OWNED = "owned"
     SEALED = "sealed"
-    """Its owner starts no tasks and rents no machines any more, and goes on answering workers."""
+    """The owner no longer starts tasks or rents machines, but still answers workers."""
     SETTLED = "settled"
-    """Its owner has no write under way and has resigned: the target may lead."""
+    """The owner has no write in flight and has resigned: the target may lead."""
 
 
 class MoveRefusedError(ShardingError):
-    """A move can't be begun; the message says why."""
+    """A move cannot begin; the message gives the reason."""
 
 
 class Ownership(msgspec.Struct, frozen=True):
@@ -36,27 +36,27 @@
 
     owner: str
     epoch: int
-    """Rises by one with each step, so a late copy of a step differs from a new one."""
+    """Increases by one with each step, so a delayed copy of a step differs from a new one."""
     phase: Phase = Phase.OWNED
     target: str | None = None
-    """Who owns it next while it moves."""
+    """The next owner while the shard is moving."""
     changed_at: float = 0.0
-    """The wall time of the last step, for operators; no decision depends on it."""
+    """The wall time of the last step, shown to operators; no decision depends on it."""
 
     def may_hold_lease(self, node: NodeName) -> bool:
-        """Return whether a controller should hold, or campaign for, the shard's lease.
+        """Return whether a controller should hold or campaign for the shard's lease.
 
-        Any other holder resigns: found by a test in which a move was undone while its target,
-        thought dead, had taken the lease, so that the owner waited for ever.
+        Any other holder resigns. Otherwise the owner could wait forever: in a test, a move was
+        undone while its target, presumed dead, had acquired the lease.
         """
         if self.phase is Phase.SETTLED:
             return self.target == node
         return self.owner == node
 
     def may_campaign(self, node: NodeName) -> bool:
-        """Return whether a controller should campaign for the shard's lease if nobody holds it.
+        """Return whether a controller should campaign for the shard's lease if it has no holder.
 
-        The owner of a sealed shard does not: it has resigned, and leaves the lease to the target.
+        The owner of a sealed shard must not: once it has resigned, the target takes the lease.
         """
         return self.phase is not Phase.SEALED and self.may_hold_lease(node)
 
@@ -66,12 +66,12 @@
 
 
 def initial_record(node: NodeName) -> Ownership:
-    """Return the record of a shard that nobody has owned yet."""
+    """Return the record that makes a controller the first owner of a shard."""
     return Ownership(node, 1)
 
 
 def begin_move(record: Ownership, target: NodeName, healthy: set[NodeName]) -> Ownership:
-    """Seal a shard for another controller; raise MoveRefusedError if that can't be done."""
+    """Seal a shard for its move to another controller; raise MoveRefusedError if it can't move."""
     if record.phase is not Phase.OWNED:
         raise MoveRefusedError(f"it is already moving from {record.owner} to {record.target}")
     if target == record.owner:
@@ -96,9 +96,10 @@
 
 
 def hand_off(record: Ownership, node: NodeName, target: NodeName) -> Ownership | None:
-    """Leave a shard to another controller; None unless `node` owns it and is not the target.
+    """Transfer a shard to another controller; None unless `node` owns it and is not the target.
 
-    The owner has resigned for a fault of its own: it reaches no workers, or can't read the jobs.
+    Used when the owner has resigned because of its own fault: it cannot reach the workers, or
+    cannot read the jobs.
     """
     if record.phase is not Phase.OWNED or record.owner != node or target == node:
         return None
@@ -106,17 +107,17 @@
 
 
 def repair(record: Ownership, node: NodeName, healthy: set[NodeName]) -> Ownership | None:
-    """Finish or undo what a dead controller left behind; None if there is nothing to repair.
+    """Finish or undo the step of a dead controller; None if there is nothing to repair.
 
-    Any controller may do this, at any time: whatever the record says, the lease of the controller
-    that is thought dead has to end before another leads.
+    Any controller may do this at any time: whatever the record says, no other controller can lead
+    before the lease of the controller presumed dead has ended.
     """
     owner, target = NodeName(record.owner), NodeName(record.target or "")
     if record.phase is Phase.OWNED:
         return None if owner in healthy else Ownership(node, record.epoch + 1)
     if target in healthy:
         if owner in healthy or record.phase is Phase.SETTLED:
-            return None  # owner or target takes the next step
+            return None  # the owner or the target takes the next step
         return _next_step(record, phase=Phase.SETTLED)
     return Ownership(owner if owner in healthy else node, record.epoch + 1)
 
--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -1,8 +1,9 @@
-"""Takes the steps by which shards change hands, as far as they are due at this controller.
+"""Takes the steps of ownership transfer that are due at this controller.
 
-Each step is one conditional write of a shard's ownership record (`registry`), so any controller may
-take any step that is due, at any time and from an old reading: it is taken once or not at all. The
-rules of each step are in `ownership`, the table of the steps in docs/sharding.md.
+Each step is one conditional write of a shard's ownership record (`registry`). Any controller may
+therefore take any due step at any time, also from an outdated snapshot: the step takes effect once
+or not at all. The rules of each step are in `ownership`, the table of the steps in
+docs/sharding.md.
 """
 
 from __future__ import annotations
@@ -28,17 +29,17 @@
 
 MAX_DRAIN_S = 6.0
 """How long the owner of a sealed shard waits for the outcome of starts and writes before it resigns
-anyway: safety does not rest on it, but a successor then has more to find out."""
+anyway. Safety does not depend on the wait, but it leaves a successor less to reconcile."""
 START_GRACE_S = 5.0
-"""How long after its start a controller leaves shards that nobody has owned yet to other members
-that may be starting as well."""
+"""How long after its start a controller counts all members as healthy when it selects an
+owner for a shard that has had none, since others may be starting too."""
 ORPHAN_TIMEOUT_S = 5.0
-"""How long a shard without a healthy owner is left to the controller that is chosen for it; after
-that any controller takes it."""
+"""How long only the selected controller takes over a shard without a healthy owner; after that any
+controller does."""
 
 
 class OwnershipSteps:
-    """The steps that one controller takes; called by the coordinator's greenlet alone."""
+    """Takes the steps of one controller; only the coordinator's greenlet calls it."""
 
     def __init__(
         self,
@@ -58,14 +59,14 @@
         self._orphaned_since: dict[ShardName, MonotonicTime] = {}
 
     def record_phase(self, name: ShardName, ownership: Ownership, now: MonotonicTime) -> None:
-        """Remember since when a shard is sealed."""
+        """Record the time at which a shard was first seen sealed; clear it once it is not."""
         if ownership.phase is Phase.SEALED:
             self._sealed_since.setdefault(name, now)
         else:
             self._sealed_since.pop(name, None)
 
     def resign_if_not_owner(self, name: ShardName, stored: StoredOwnership) -> None:
-        """Resign if the record names another controller, which waits for the lease."""
+        """Resign if the record gives the lease to another controller, which is waiting for it."""
         leader = self._electors.leader_of(name)
         if (
             leader is not None
@@ -99,7 +100,7 @@
     def _settle_if_drained(
         self, name: ShardName, stored: StoredOwnership, leader: Leader | None
     ) -> None:
-        """Resign once nothing is under way, then record that the target may lead."""
+        """Resign once no start or write is in flight, or after MAX_DRAIN_S, and record that."""
         if leader is not None:
             waited_s = monotonic_now() - self._sealed_since[name]
             if not leader.drained() and waited_s < MAX_DRAIN_S:
@@ -110,7 +111,7 @@
     def _hand_off_if_abstaining(
         self, name: ShardName, stored: StoredOwnership, snapshot: RegistrySnapshot
     ) -> None:
-        """Leave a shard to another controller if this one has resigned for a fault of its own."""
+        """Transfer a shard if this controller has resigned because of its own fault."""
         if not self._electors.is_abstaining(name):
             return
         others = snapshot.healthy - {self._node}
@@ -122,21 +123,21 @@
     def _recover_orphan(
         self, name: ShardName, stored: StoredOwnership, snapshot: RegistrySnapshot
     ) -> None:
-        """Take or repair a shard that nobody healthy owns.
+        """Take over a shard without a record, or repair one that waits for an unhealthy controller.
 
-        Every controller chooses the same one by the same rule; if that one does nothing for
-        ORPHAN_TIMEOUT_S, any other acts.
+        All controllers select the same controller for it by the same rule. If that one does not act
+        within ORPHAN_TIMEOUT_S, any other does.
         """
         now = monotonic_now()
         orphaned_since = self._orphaned_since.setdefault(name, now)
         nodes = snapshot.healthy
         if stored.record is None and now - self._started_at < START_GRACE_S:
             nodes = nodes | self._members
-        chosen = self._selector.assign_owners(snapshot, nodes)[name]
-        if chosen != self._node and now - orphaned_since < ORPHAN_TIMEOUT_S:
+        selected = self._selector.assign_owners(snapshot, nodes)[name]
+        if selected != self._node and now - orphaned_since < ORPHAN_TIMEOUT_S:
             return
-        adoption = partial(self._recovery_step, healthy=snapshot.healthy)
-        self._update_electors(name, self._registry.apply_step(name, stored, adoption))
+        recovery = partial(self._recovery_step, healthy=snapshot.healthy)
+        self._update_electors(name, self._registry.apply_step(name, stored, recovery))
 
     def _recovery_step(self, old: Ownership | None, healthy: set[NodeName]) -> Ownership | None:
         if old is None:
@@ -157,7 +158,7 @@
 
 
 def _is_orphaned(ownership: Ownership, healthy: set[NodeName]) -> bool:
-    """Return whether a controller that should take a shard's next step is not healthy."""
+    """Return whether a controller that the shard's next step depends on is not healthy."""
     owner, target = NodeName(ownership.owner), NodeName(ownership.target or "")
     if ownership.phase is Phase.OWNED:
         return owner not in healthy
--- a/src/ryewing/sharding/rebalancer.py
+++ b/src/ryewing/sharding/rebalancer.py
@@ -1,7 +1,8 @@
-"""Begins the moves that even out the shards among the controllers.
+"""Begins the moves that balance the shards among the controllers.
 
-One controller at a time does so, the healthy one whose name is lowest. Two that disagree on who is
-healthy may both begin moves: each is one conditional write, so a shard moves one way only.
+Only the healthy controller with the lowest name plans moves. Two controllers that disagree on which
+are healthy may both begin moves. This is safe because each move begins with one conditional write,
+so a shard moves to one target only.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from ryewing.sharding.shard_electors import ShardElectors
 from ryewing.units import MonotonicTime, NodeName, monotonic_now
 
-# Operators know `move-refused` as a line of the coordinator (docs/operations.md).
+# docs/operations.md lists `move-refused` as an event of the coordinator.
 log = logging.getLogger(__name__)
 
 PLAN_INTERVAL_S = 5.0
 
 
 class Rebalancer:
-    """Plans at most one move every PLAN_INTERVAL_S; called by the coordinator's greenlet alone."""
+    """Plans at most one move every PLAN_INTERVAL_S; only the coordinator's greenlet calls it."""
 
     def __init__(
         self,
@@ -35,10 +36,10 @@
         self._selector = selector
         self._electors = electors
         self.planned_at: MonotonicTime = monotonic_now()
-        """When a move was last looked for."""
+        """When a move was last planned, whether or not one was found."""
 
     def begin_move_if_due(self, snapshot: RegistrySnapshot) -> None:
-        """Begin the move that evens out the shards most, if it is this controller's turn to plan.
+        """Begin the move that balances the shards best, if this controller plans and a plan is due.
 
         Raises StoreUnavailableError if the store does not answer.
         """
--- a/src/ryewing/sharding/registry.py
+++ b/src/ryewing/sharding/registry.py
@@ -1,7 +1,7 @@
-"""The ownership records in the store: one key for each shard, each step one conditional write.
+"""Stores the ownership records: one key for each shard, one conditional write for each step.
 
-The division of the fleet stands there as well. Keys: `shards/division`, `shards/owner/<shard>`, and
-`shards/node/<controller>` (see `health`).
+The division of the fleet is stored as well. The keys are `shards/division`,
+`shards/owner/<shard>` and `shards/node/<controller>` (see `health`).
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 DIVISION_KEY = SHARDS_PREFIX + "division"
 
 Step = Callable[[Ownership | None], Ownership | None]
-"""Returns the next record, or None to leave the present one as it is."""
+"""Returns the next record, or None to leave the current one unchanged."""
 
 
 class DivisionDiffersError(ShardingError):
@@ -35,14 +35,14 @@
 
 
 class ShardZones(msgspec.Struct, frozen=True):
-    """The part of a shard's settings that has to be the same on every controller."""
+    """The part of a shard's settings that must be the same on every controller."""
 
     name: str
     zones: tuple[str, ...]
 
 
 class StoredOwnership(msgspec.Struct, frozen=True):
-    """A shard's record with its version; no record if it is missing or can't be read."""
+    """A shard's record with its key version; `record` is None if it is missing or unreadable."""
 
     record: Ownership | None
     key_version: KeyVersion
@@ -50,7 +50,7 @@
 
 
 class RegistrySnapshot(NamedTuple):
-    """What one reading of the store returned."""
+    """All ownership records and controller health keys, from one read of the store."""
 
     shards: dict[ShardName, StoredOwnership]
     healthy: set[NodeName]
@@ -59,7 +59,7 @@
 
 
 class ShardRegistry:
-    """Reads the records of all shards and writes the steps.
+    """Reads the records of all shards and writes their steps.
 
     Every method raises StoreUnavailableError if the store does not answer.
     """
@@ -68,12 +68,14 @@
         self._store = store
 
     def ensure_division(self, shards: ShardSettings) -> None:
-        """Store the division of the fleet; raise DivisionDiffersError if another, or none, holds.
+        """Store the division of the fleet, unless it is stored already.
 
-        Controllers that divide the fleet in different ways could each count a machine as theirs
-        (docs/design.md, argument 13). Those that do not divide it at all, of whatever version, read
-        `lead/term` before they lead: it is set here to a value that none of them can read, in one
-        transaction that fails if any of them has ever led.
+        Raises DivisionDiffersError if the store holds another division or an undivided fleet.
+
+        Controllers with different divisions could each treat the same machine as theirs
+        (docs/design.md, argument 13). Controllers without a division, of any version, read
+        `lead/term` before they lead. The transaction sets this key to a value that they cannot
+        decode, and fails if any of them has ever led.
         """
         division = msgspec.json.encode(
             [ShardZones(spec.name, spec.zones) for spec in shards.shards]
@@ -94,9 +96,9 @@
             raise DivisionDiffersError("the store holds the records of another division")
 
     def read(self, names: Iterable[ShardName]) -> RegistrySnapshot:
-        """Read the shards' records and the controllers' health.
+        """Read the shards' records and the controllers' health keys.
 
-        A record that can't be read concerns its own shard only.
+        An unreadable record affects only its own shard.
         """
         listed, revision = self._store.listing(SHARDS_PREFIX)
         entries = {entry.key: entry for entry in listed}
@@ -117,19 +119,19 @@
         stored: StoredOwnership,
         step: Callable[[Ownership], Ownership | None],
     ) -> Ownership | None:
-        """Take a step of a shard that has a record; one without is left alone (see `take`)."""
+        """Apply a step as `apply_step` does, but only to a shard that has a record."""
         return self.apply_step(name, stored, lambda old: step(old) if old is not None else None)
 
     def apply_step(self, name: ShardName, stored: StoredOwnership, step: Step) -> Ownership | None:
-        """Take a step from a record as it was read.
+        """Apply a step to a record as it was read and write the result.
 
-        Return the new record, or None if the step wasn't taken.
+        Return the new record, or None if the step was not applied.
 
-        A write that got no answer may be carried out late: it names the version it replaces, so it
-        can't undo a step that came after it, and the next reading shows whether it was.
+        A write without an answer may still be applied later. It is conditional on the version that
+        it replaces, so it cannot undo a later step; the next read shows whether it was applied.
         """
         if not stored.readable:
-            return None  # an operator has to look at it
+            return None  # an operator has to repair the record
         next_record = step(stored.record)
         if next_record is None:
             return None
@@ -149,5 +151,5 @@
 
 
 def _decode_json(data: bytes | msgspec.Raw) -> object:
-    """Return a JSON value, so that two are compared whatever their spacing."""
+    """Decode a JSON value, so that a comparison does not depend on whitespace."""
     return msgspec.json.decode(bytes(data))
