--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -1,13 +1,14 @@
 """The parts of team limits that shards may use: the stored record, and the rules that divide it.
 
-Pure functions on records; amounts are in processors and in GPUs. All parts of one team's limit
-stand in one record, so each change is one conditional write on the version that was read.
-
-The invariant: the parts of a record add up to the team's limit at most, and no part is below what
-may run on it (docs/design.md, argument 16). It holds whatever is lost, late or disagreed on: only
-its shard's leader lowers a part, which knows what is in use, and never below that (`lowered`); a
-part is raised only by what no shard has (`raised`). What a shard's part *should* be (`fair_share`)
-decides when a part changes, and the invariant does not rest on it.
+Pure functions on records; amounts are in CPUs and GPUs. All parts of one team's limit are in one
+record, so each change is one conditional write on the version that was read.
+
+Invariant: the sum of the parts in a record is at most the team's limit, and no part is below what
+may be in use in its shard (docs/design.md, argument 16). The invariant holds when messages are lost
+or late and when controllers disagree. Only a shard's leader, which knows what is in use, lowers the
+shard's part, and never below that amount (`lower_part`). A part is raised only by amounts that are
+in no shard's part (`raise_part`). What a shard's part *should* be (`fair_share`) decides when a
+part changes; the invariant does not depend on it.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 UNLIMITED = math.inf
 MIN_CHANGE = 1e-6
-"""A smaller difference is the rounding of earlier changes."""
+"""Smaller differences are rounding errors of earlier changes."""
 
 
 class Amount(msgspec.Struct, frozen=True):
-    """Resources that a team limit counts: processors and GPUs, possibly fractions of them."""
+    """An amount of the resources that team limits apply to: CPUs and GPUs, possibly fractional."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -36,15 +37,15 @@
         return Amount(self.cpus + other.cpus, self.gpus + other.gpus)
 
     def __sub__(self, other: Amount) -> Amount:
-        """Return the difference, resource by resource, and 0 where it would be negative."""
+        """Return the difference, resource by resource, with 0 in place of negative values."""
         return Amount(max(0.0, self.cpus - other.cpus), max(0.0, self.gpus - other.gpus))
 
     def at_most(self, other: Amount) -> Amount:
-        """Return the smaller amount of each resource."""
+        """Return the minimum of two amounts, resource by resource."""
         return Amount(min(self.cpus, other.cpus), min(self.gpus, other.gpus))
 
     def at_least(self, other: Amount) -> Amount:
-        """Return the larger amount of each resource."""
+        """Return the maximum of two amounts, resource by resource."""
         return Amount(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
     def scaled(self, cpus: float, gpus: float) -> Amount:
@@ -56,7 +57,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """What a shard needs at once for its oldest job that can't start with less."""
+    """The amount that a shard's oldest waiting job needs at once to start."""
 
     amount: Amount
     since: float
@@ -64,12 +65,12 @@
 
 
 class Allowances(msgspec.Struct, frozen=True):
-    """The stored record of one team: what each shard may use, and what it asks for."""
+    """The stored record of one team: each shard's part of the limit, its demand and its claim."""
 
     parts: dict[str, Amount] = {}
-    """What each shard may use of the team's limit."""
+    """The part of the team's limit that each shard may use."""
     demand: dict[str, Amount] = {}
-    """What each shard's running and waiting tasks would use, as its leader last wrote it."""
+    """What each shard's running and waiting tasks would use, as last written by its leader."""
     claims: dict[str, Claim] = {}
 
     def part_of(self, shard: ShardName) -> Amount:
@@ -81,18 +82,18 @@
         return sum(self.parts.values(), start=ZERO_AMOUNT)
 
     def with_part(self, shard: ShardName, amount: Amount) -> Allowances:
-        """Return the record with another part for one shard."""
+        """Return the record with a new part for one shard."""
         return msgspec.structs.replace(self, parts={**self.parts, shard: amount})
 
     def with_demand(self, shard: ShardName, demand: Amount, claim: Claim | None) -> Allowances:
-        """Return the record with another demand and claim of one shard."""
+        """Return the record with a new demand and claim of one shard."""
         claims = {name: other for name, other in self.claims.items() if name != shard}
         if claim is not None:
             claims[shard] = claim
         return msgspec.structs.replace(self, demand={**self.demand, shard: demand}, claims=claims)
 
     def other_shard_lacks(self, shard: ShardName) -> bool:
-        """Return whether any shard but this one demands more than its part."""
+        """Return whether any shard other than this one demands more than its part."""
         return any(
             name != shard and demand - self.part_of(ShardName(name)) != ZERO_AMOUNT
             for name, demand in self.demand.items()
@@ -100,17 +101,17 @@
 
 
 def team_limit(team: Team) -> Amount:
-    """Return a team's limit over all shards; 0 in the settings means that there is none."""
+    """Return a team's limit over all shards; 0 in the settings means no limit."""
     return Amount(team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED)
 
 
 def lower_part(
     record: Allowances, shard: ShardName, requested: Amount, in_use: Amount
 ) -> Allowances | None:
-    """Return the record without what a shard neither requests nor uses; None if that is nothing.
+    """Lower a shard's part by what it neither requests nor uses; None if nothing changes.
 
-    To be called by the shard's leader alone. `in_use` includes what machines that can't be reached
-    may hold, since their tasks may go on.
+    Only the shard's leader may call this. `in_use` must include what unreachable machines may hold,
+    since their tasks may still be running.
     """
     present = record.part_of(shard)
     kept = present.at_most(requested.at_least(in_use))
@@ -120,7 +121,7 @@
 def raise_part(
     record: Allowances, shard: ShardName, requested: Amount, limit: Amount
 ) -> Allowances | None:
-    """Return the record with more for a shard, of what no shard has; None if that is nothing."""
+    """Raise a shard's part by unassigned amounts of the limit; None if nothing changes."""
     present = record.part_of(shard)
     unassigned = limit - record.total()
     missing = requested - present
@@ -135,10 +136,10 @@
 ) -> Amount:
     """Return a shard's fair share of a limit, by the demand and claims of all shards.
 
-    Every leader comes to the same shares from the same record. The oldest claim comes first: a gang
-    that needs nearly all of a limit would never start beside a steady demand elsewhere if the limit
-    were divided by demand alone. What nobody asks for is divided evenly, so that small jobs need
-    not wait for a change of the record.
+    Every leader computes the same shares from the same record. The oldest claim is satisfied first:
+    if the limit were divided by demand alone, a gang that needs nearly all of it would never start
+    while another shard has steady demand. Unrequested amounts are divided evenly, so that small
+    jobs can start without waiting for a change of the record.
     """
     demand = {name: record.demand.get(name, ZERO_AMOUNT).at_most(limit) for name in shards}
     shares = divide_by_demand(limit, demand, _oldest_claim(record, shards, limit))
@@ -152,7 +153,7 @@
 def _oldest_claim(
     record: Allowances, shards: Sequence[ShardName], limit: Amount
 ) -> dict[ShardName, Amount]:
-    """Return the oldest claim's amount under its shard's name; empty if there is no claim."""
+    """Return the oldest claim's amount by its shard's name; empty if there is no claim."""
     claims = {name: record.claims[name] for name in shards if name in record.claims}
     oldest = min(claims, key=lambda name: (claims[name].since, name), default=None)
     if oldest is None:
@@ -165,12 +166,12 @@
 ) -> dict[ShardName, Amount]:
     """Divide a limit among shards in proportion to their demand.
 
-    What is in use (or reserved for a claim) comes first; only the rest is divided, in proportion to
-    each shard's demand beyond that.
+    Each shard first gets what is in use or reserved for a claim there. The rest is divided in
+    proportion to each shard's demand beyond that.
     """
     used = {shard: in_use.get(shard, ZERO_AMOUNT) for shard in demand}
     rest = limit - sum(used.values(), start=ZERO_AMOUNT)
-    unmet = {shard: asked - used[shard] for shard, asked in demand.items()}
+    unmet = {shard: amount - used[shard] for shard, amount in demand.items()}
     total_unmet = sum(unmet.values(), start=ZERO_AMOUNT)
     cpus = _satisfiable_fraction(rest.cpus, total_unmet.cpus)
     gpus = _satisfiable_fraction(rest.gpus, total_unmet.gpus)
@@ -178,10 +179,9 @@
 
 
 def round_to_whole_tasks(target: Amount, used: Amount, unit: Amount, round_up: bool) -> Amount:
-    """Round what a part has beyond what is used to whole tasks, or gangs, of `unit` each.
+    """Round the unused amount of a part to whole tasks, or gangs, of `unit` each.
 
-    A part that ends in a fraction of a task keeps that fraction from others: two shards with 4.3
-    and 3.7 of 8 GPUs use 7.
+    No shard can use a fraction of a task: two shards with parts of 4.3 and 3.7 of 8 GPUs use 7.
     """
     needs = [
         (amount, room)
@@ -199,10 +199,10 @@
 
 
 def _zero_if_unlimited(amount: float) -> float:
-    """Leave out a resource without a limit: it is never counted against anything."""
+    """Return 0 for a resource without a limit, of which no shares are computed."""
     return amount if math.isfinite(amount) else 0.0
 
 
 def _satisfiable_fraction(available: float, requested: float) -> float:
-    """Return which fraction of a request, 1 at most, what is available satisfies."""
+    """Return the fraction of a request that can be satisfied, at most 1."""
     return 1.0 if requested <= available else available / requested
--- a/src/ryewing/sharding/check.py
+++ b/src/ryewing/sharding/check.py
@@ -1,4 +1,4 @@
-"""The output of `check --shards`: what a division of the fleet means before it is used."""
+"""The output of `check --shards`: validates a division of the fleet and shows its consequences."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def describe_division(text: str, settings: Settings) -> Iterator[str]:
-    """Check a division and yield the lines to print; raise SettingsError with the first problem."""
+    """Check a division and yield the lines to print; raise SettingsError with the first error."""
     shards = parse_shards_option(text, settings)
     yield f"{text}: good, shards {', '.join(shards.names())}"
-    narrow = [spec.name for spec in shards.shards if len(spec.zones) < MIN_SPREAD_ZONES]
-    if len(narrow) == len(shards.shards):
+    single_zone = [spec.name for spec in shards.shards if len(spec.zones) < MIN_SPREAD_ZONES]
+    if len(single_zone) == len(shards.shards):
         yield f"{text}: jobs that are spread over zones are refused (422): every shard has one zone"
-    elif narrow:
-        yield f"{text}: jobs that are spread over zones never run in {', '.join(narrow)}"
+    elif single_zone:
+        yield f"{text}: jobs that are spread over zones never run in {', '.join(single_zone)}"
     yield f"{text}: a job runs in one shard, so a gang is no larger than a shard's room"
--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -1,7 +1,7 @@
-"""The operators' command `shards`: shows which controller owns which shard, and moves a shard.
+"""The command `shards` for operators: shows which controller owns which shard, or moves a shard.
 
-It sends requests to the store alone, and changes only a shard's ownership record, by the same step
-as the rebalancer (`ownership.begin_move`).
+The command sends requests only to the store. It changes only the ownership record of a shard, by
+the same step as the rebalancer (`ownership.begin_move`).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ryewing.units import NodeName, ShardName, monotonic_now, wall_now
 
 MOVE_TIMEOUT_S = 60.0
-"""How long the command waits for a move that it began."""
+"""How long the command waits for the end of its move."""
 POLL_INTERVAL_S = 0.25
 
 
@@ -29,11 +29,11 @@
 
     DONE = 0
     REFUSED = 3
-    """Nothing was changed, for the reason given."""
+    """Nothing was changed; the message gives the reason."""
     NO_STORE = 4
-    """The store did not answer; a move may have been begun."""
+    """The store did not answer; a move may have begun."""
     NOT_FINISHED = 5
-    """The move was begun, and was undone, or not finished when the command ended."""
+    """The move began, but was undone or did not finish before the timeout."""
 
 
 class CommandError(ShardingError):
@@ -45,10 +45,10 @@
 
 
 class ShardsCommand:
-    """One call of the command.
+    """One run of the command.
 
-    Both methods raise CommandError if they can't do what is asked, and StoreUnavailableError if the
-    store does not answer.
+    `show` and `move` raise CommandError if they fail, and StoreUnavailableError if the store does
+    not answer.
     """
 
     def __init__(
@@ -59,53 +59,55 @@
     ) -> None:
         self._store = store
         self._registry = ShardRegistry(store)
-        self._write = write
+        self._print_line = write
         self._sleep = sleep
 
     def show(self) -> None:
         """Print a line for each shard."""
         names = self._names()
         snapshot = self._registry.read(names)
-        self._write(
+        self._print_line(
             f"{'SHARD':<16} {'OWNER':<16} {'HEALTHY':<8} {'PHASE':<8} {'TARGET':<16} EPOCH AGE"
         )
         for name in names:
-            self._write(_line(name, snapshot))
+            self._print_line(_line(name, snapshot))
 
     def move(self, name: ShardName, target: NodeName) -> None:
-        """Begin a move, and print its phases until it is finished."""
+        """Begin a move and print its phases until it has finished."""
         names = self._names()
         if name not in names:
             raise CommandError(ExitCode.REFUSED, f"unknown shard {name!r}: {', '.join(names)}")
         snapshot = self._registry.read(names)
         stored = snapshot.shards[name]
         if stored.record is None:
-            raise CommandError(ExitCode.REFUSED, f"shard {name!r} has no readable owner yet")
+            raise CommandError(ExitCode.REFUSED, f"shard {name!r} has no readable ownership record")
         try:
-            begun = self._registry.apply_step_to_existing(
+            started = self._registry.apply_step_to_existing(
                 name, stored, lambda old: begin_move(old, target, snapshot.healthy)
             )
         except MoveRefusedError as error:
             raise CommandError(ExitCode.REFUSED, f"shard {name!r}: {error}") from None
-        if begun is None:
-            raise CommandError(ExitCode.REFUSED, f"shard {name!r} changed just now: ask again")
-        self._write(f"shard {name}: moving from {begun.owner} to {target}")
-        self._follow(name, begun, target)
+        if started is None:
+            raise CommandError(
+                ExitCode.REFUSED, f"shard {name!r} changed concurrently: run the command again"
+            )
+        self._print_line(f"shard {name}: moving from {started.owner} to {target}")
+        self._follow(name, started, target)
 
-    def _follow(self, name: ShardName, begun: Ownership, target: NodeName) -> None:
+    def _follow(self, name: ShardName, started: Ownership, target: NodeName) -> None:
         began_at = monotonic_now()
-        phase = begun.phase
+        phase = started.phase
         while monotonic_now() - began_at < MOVE_TIMEOUT_S:
             self._sleep(POLL_INTERVAL_S)
             record = self._registry.read([name]).shards[name].record
-            if record is None or record.epoch == begun.epoch:
+            if record is None or record.epoch == started.epoch:
                 continue
             if record.phase is Phase.OWNED:
                 self._write_outcome(name, record, target, monotonic_now() - began_at)
                 return
             if record.phase is not phase:
                 phase = record.phase
-                self._write(f"shard {name}: {phase.value}")
+                self._print_line(f"shard {name}: {phase.value}")
         raise CommandError(
             ExitCode.NOT_FINISHED,
             f"shard {name!r}: still {phase.value} after {MOVE_TIMEOUT_S:g} s",
@@ -118,7 +120,7 @@
             raise CommandError(
                 ExitCode.NOT_FINISHED, f"shard {name!r}: the move was undone, owner {record.owner}"
             )
-        self._write(f"shard {name}: owned by {target} after {took_s:.1f} s")
+        self._print_line(f"shard {name}: owned by {target} after {took_s:.1f} s")
 
     def _names(self) -> list[ShardName]:
         entry = self._store.get(DIVISION_KEY)
--- a/src/ryewing/sharding/division.py
+++ b/src/ryewing/sharding/division.py
@@ -1,6 +1,6 @@
-"""The fleet divided into shards: the `leader.division.Division` of a divided controller.
+"""The division of the fleet into shards: implements `leader.division.Division`.
 
-Which shard a job belongs to, and why, is in docs/sharding.md.
+docs/sharding.md explains how the shard of a job is chosen.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from ryewing.wire.jobs import JobSpec
 
 SAMPLED_SHARDS = 2
-"""How many shards are drawn at random for a new job; the one with the smallest backlog gets it."""
+"""How many shards are sampled for a new job; the one with the smallest backlog gets the job."""
 MIN_SPREAD_ZONES = 2
-"""How many zones a job needs at least whose tasks are spread over zones."""
+"""The minimum number of zones for a job whose tasks are spread over zones."""
 
 
 class ShardDivision:
-    """A division with one term for each shard, which has an even share of each rate."""
+    """A division with one term for each shard; every term gets an equal share of each rate."""
 
     def __init__(self, shards: ShardSettings, rng: random.Random | None = None) -> None:
         share = 1.0 / len(shards.shards)
@@ -37,7 +37,7 @@
         ]
         self._rng = rng or random.Random()
         self.is_confirmed = False
-        """Whether the store has confirmed that this division is the one in force."""
+        """Whether the store has confirmed that it holds this division."""
 
     def scopes(self) -> Sequence[TermScope]:
         """Return the shards' scopes, in the order of the settings."""
@@ -57,9 +57,9 @@
     ) -> ShardName | None:
         """Choose a new job's shard among those that could ever run it.
 
-        Two are drawn at random, and the one with the smaller backlog gets the job. While the load
-        of any of them is unknown, the job's id decides, so that controllers that have just started
-        don't all choose the same shard.
+        Two of them are sampled at random, and the one with the smaller backlog is chosen. While the
+        load of any of them is unknown, a hash of the job id decides instead, so that controllers
+        that have just started don't all choose the same shard.
 
         Raises NotReadyError while the division is not confirmed, and NoShardError if no single
         shard could ever run the job.
@@ -77,8 +77,8 @@
             return eligible[_stable_hash(JobId(spec.id)) % len(eligible)]
         known_loads = {name: load for name, load in loads.items() if load is not None}
         candidates = [name for name in eligible if not known_loads[name].full] or eligible
-        drawn = self._rng.sample(candidates, min(SAMPLED_SHARDS, len(candidates)))
-        return min(drawn, key=lambda name: known_loads[name].backlog)
+        sampled = self._rng.sample(candidates, min(SAMPLED_SHARDS, len(candidates)))
+        return min(sampled, key=lambda name: known_loads[name].backlog)
 
 
 def could_run(spec: JobSpec, scope: TermScope, machine_types: Mapping[str, MachineType]) -> bool:
@@ -96,5 +96,5 @@
 
 
 def _stable_hash(job: JobId) -> int:
-    """Return a number that is the same on every controller and in every process."""
+    """Return a hash that is the same on every controller and in every process."""
     return zlib.crc32(job.encode())
--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -1,10 +1,10 @@
-"""Assigns shards to controllers by an integer program, solved by HiGHS within a time limit.
+"""Assigns shards to controllers by a mixed-integer program, solved by HiGHS within a time limit.
 
-No controller uses this module: controllers plan greedily (`greedy`). It is used by `planner.plan`
-and tools/measure_planner.py, and needs requirements-sharding.txt.
+Controllers do not use this module; they plan greedily (`greedy`). It is used by `planner.plan` and
+tools/measure_planner.py, and needs requirements-sharding.txt.
 
-There is one binary variable for each shard and controller that may own it. The utilization of the
-most utilized controller is a variable that bounds that of all, and its excess over 1 is another.
+The model has a binary variable for each pair of a shard and a controller that may own it. Another
+variable is an upper bound of all controllers' utilizations, and a last one is its excess over 1.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 
 def assign(inputs: PlanInputs, limit_s: float) -> Assignment:
-    """Return the assignment of the least cost that is found within `limit_s` seconds.
+    """Return the cheapest assignment that is found within `limit_s` seconds.
 
-    Raises NoSolutionError if none is found. `inputs` names at least one controller.
+    Raises NoSolutionError if none is found. `inputs` must have at least one controller.
     """
     model = highspy.Highs()
     model.setOptionValue("output_flag", False)
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -1,7 +1,7 @@
 """The input of the planners, and the cost by which they compare assignments of shards.
 
-Pure functions. Loads and rooms are in the same unit, which the caller chooses: a fraction of a
-core, for example. A controller's utilization is its load as a fraction of its room.
+Pure functions. Loads and capacities ("room") have the same unit, which the caller chooses: for
+example, a fraction of a core. A controller's utilization is its load divided by its capacity.
 """
 
 from __future__ import annotations
@@ -15,47 +15,48 @@
 OVERLOAD_COST = 100.0
 """The cost of each unit of the most utilized controller's utilization above 1."""
 PEAK_COST = 10.0
-"""The cost of each unit of the most utilized controller's utilization: it makes the planner even
-out the load."""
+"""The cost of each unit of the most utilized controller's utilization, which makes the planner
+balance the load."""
 MOVE_COST = 1.0
-"""The cost of one move, whatever the shard: a move has to lower the highest utilization by a
-tenth."""
+"""The cost of one move, for any shard: a move must lower the highest utilization by a tenth to pay
+off."""
 
 
 class ShardLoad(msgspec.Struct, frozen=True):
-    """One shard."""
+    """The load, the owner and the placement constraints of one shard."""
 
     name: ShardName
     load: float
     owner: NodeName | None = None
-    """Its present owner, or the next one if it is moving; None if nobody healthy owns it."""
+    """The current owner, or the next one if the shard is moving; None if the owner is unhealthy."""
     pinned_to: NodeName | None = None
-    """The only controller that may own it while that one is healthy."""
+    """The only controller that may own the shard while that controller is healthy."""
     moved_at: MonotonicTime | None = None
-    """When it last changed hands, if that is known."""
+    """When the owner last changed, if that is known."""
 
 
 class NodeRoom(msgspec.Struct, frozen=True):
-    """One healthy controller, and how much load it has room for."""
+    """One healthy controller and its capacity, in the unit of the loads."""
 
     name: NodeName
     room: float
 
 
 class PlanInputs(msgspec.Struct, frozen=True):
-    """All that decides which controller should own which shard."""
+    """All inputs that decide which controller should own which shard."""
 
     shards: Sequence[ShardLoad]
     nodes: Sequence[NodeRoom]
     now: MonotonicTime
     settle_s: float
-    """For how many seconds a shard that has moved stays where it is."""
+    """How many seconds a shard stays with its owner after a move."""
     moves_allowed: bool = True
 
     def eligible_owners(self, shard: ShardLoad) -> list[NodeName]:
         """List the controllers that may own a shard.
 
-        That is all of them, unless it is pinned, has moved within `settle_s`, or may not move.
+        These are all controllers, unless the shard is pinned, moved within the last `settle_s`
+        seconds, or must not move.
         """
         names = [node.name for node in self.nodes]
         if shard.pinned_to in names:
@@ -79,7 +80,7 @@
 
 
 def moved_shards(inputs: PlanInputs, owners: Assignment) -> list[ShardName]:
-    """List the shards that would change hands; taking one that nobody owns is no move."""
+    """List the shards whose owner would change; a first owner is not a move."""
     return [
         shard.name
         for shard in inputs.shards
--- a/src/ryewing/sharding/planner.py
+++ b/src/ryewing/sharding/planner.py
@@ -1,8 +1,8 @@
-"""Which controller should own which shard, by the solver if it is installed, else greedily.
+"""Plans which controller should own which shard, by the solver if it is installed, else greedily.
 
-Controllers call `next_move` alone, with a greedy assignment (`owner_choice`); no controller calls
-`plan`, which tests call. No assignment is preferred that costs as much as the present one: without
-that, two that are equally good would follow each other for ever.
+Controllers call only `next_move`, with a greedy assignment (`owner_choice`); only tests call
+`plan`. An assignment that costs as much as the current one is not preferred to it, because two
+assignments of equal cost would otherwise alternate forever.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 log = logging.getLogger(__name__)
 
 SOLVER_TIME_LIMIT_S = 1.0
-"""How long the solver may run."""
+"""The time limit of the solver."""
 
 
 class NoControllerError(ShardingError):
-    """There is no healthy controller to own anything."""
+    """No healthy controller exists that could own shards."""
 
 
 def plan(inputs: PlanInputs, limit_s: float = SOLVER_TIME_LIMIT_S) -> Assignment:
@@ -45,7 +45,7 @@
 
 
 def next_move(inputs: PlanInputs, owners: Assignment) -> ShardName | None:
-    """Return the shard to move first: the one of the highest load; None if none has to move."""
+    """Return the shard to move first, the one with the highest load; None if none has to move."""
     moving = set(moved_shards(inputs, owners))
     shards = [shard for shard in inputs.shards if shard.name in moving]
     return max(shards, key=lambda shard: (shard.load, shard.name)).name if shards else None
--- a/src/ryewing/sharding/serve.py
+++ b/src/ryewing/sharding/serve.py
@@ -15,15 +15,15 @@
 
 
 def build_node(settings: Settings, policy: Policy, shards: ShardSettings) -> Node:
-    """Return a controller that may lead any shard."""
+    """Build a controller that may lead any shard."""
     return Node(settings, policy, ShardDivision(shards))
 
 
 def build_coordinator(node: Node, shards: ShardSettings) -> Coordinator:
-    """Return the loop that decides which shards a controller leads."""
+    """Build the coordinator, which decides which shards a controller should lead."""
     division = node.division
     if not isinstance(division, ShardDivision):
-        raise TypeError("the controller's fleet is not divided")
+        raise TypeError("the controller's division is not a ShardDivision")
     health = ControllerHealth(
         node.store, node.name, node.identity.boot_id, node.policy.store_lease_s
     )
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -1,7 +1,7 @@
-"""The settings of shards: which zones belong to which shard, read from a file and checked.
+"""The settings of shards: which zones belong to which shard, read from a file and validated.
 
-Each zone belongs to exactly one shard. The form of the file is in docs/sharding.md. Errors are
-`config.settings.SettingsError`, with the first problem.
+Each zone belongs to exactly one shard. docs/sharding.md describes the format of the file. Errors
+are `config.settings.SettingsError` with the first problem.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 
 MAX_NAME_LENGTH = 32
 ZONES_PREFIX = "zones:"
-"""The prefix of an option that divides the fleet without a file."""
+"""The prefix of the option value that divides the fleet without a file."""
 
 
 class ShardSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The machines of one shard: all those of some zones.
+    """One shard, which contains all machines of some zones.
 
-    Whole zones, since machine types come and go, and a zone is lost or cut off as one.
+    Shards consist of whole zones because the set of machine types changes, and because a zone fails
+    or is disconnected as a whole.
     """
 
     name: str
     zones: tuple[str, ...]
     pinned_to: str | None = None
-    """The only controller that may own it while that one is healthy."""
+    """The only controller that may own the shard while that controller is healthy."""
 
 
 class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -40,7 +41,7 @@
     moves_allowed: bool = True
     """Whether controllers may move shards without an operator's command."""
     settle_s: float = 60.0
-    """For how many seconds a shard that has moved stays where it is."""
+    """How many seconds a shard stays with its owner after a move."""
 
     def names(self) -> list[ShardName]:
         """Return the shards' names, in the order of the file."""
@@ -48,7 +49,7 @@
 
 
 def parse_shards_option(text: str, settings: Settings) -> ShardSettings:
-    """Return the division that an option names, `zones:N` or a file; raise SettingsError."""
+    """Return the division for an option value, `zones:N` or a file; raise SettingsError."""
     if not text.startswith(ZONES_PREFIX):
         return load_shards(Path(text), settings)
     count = text.removeprefix(ZONES_PREFIX)
@@ -58,9 +59,9 @@
 
 
 def divide_by_zones(count_max: int, zones: Sequence[str]) -> ShardSettings:
-    """Divide the zones, in alphabetical order, into `count_max` shards at most of similar size.
+    """Divide the zones, in alphabetical order, into at most `count_max` shards of similar size.
 
-    Each shard has at least one zone. The result depends on the settings alone, so it is the same on
+    Each shard has at least one zone. The result depends only on the settings, so it is the same on
     every controller.
     """
     count = min(count_max, len(zones))
@@ -75,7 +76,7 @@
 
 
 def load_shards(path: Path, settings: Settings) -> ShardSettings:
-    """Read and check a file of shard settings; raise SettingsError with the first problem."""
+    """Read and validate a file of shard settings; raise SettingsError with the first problem."""
     try:
         shards = msgspec.json.decode(path.read_bytes(), type=ShardSettings)
     except OSError as error:
@@ -89,7 +90,7 @@
 
 
 def find_problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
-    """Yield a line for each thing that is wrong with a division of the fleet."""
+    """Yield a message for each error in a division of the fleet."""
     if not shards.shards:
         yield "shards: there is none"
     if not shards.settle_s >= 0:
@@ -113,7 +114,7 @@
     earlier: set[str] = set()
     for number, spec in enumerate(specs):
         name = spec.name
-        # The name is a part of keys in the store.
+        # The name becomes part of keys in the store.
         if not name or len(name) > MAX_NAME_LENGTH or not name.replace("-", "").isalnum():
             yield f"shards[{number}].name: letters, digits and hyphens, at most {MAX_NAME_LENGTH}"
         if name in earlier:
--- a/src/ryewing/sharding/shard_electors.py
+++ b/src/ryewing/sharding/shard_electors.py
@@ -1,8 +1,8 @@
-"""The shards' electors at one controller, and what each may do by its shard's ownership record.
+"""The shards' electors at one controller, and the permissions from the shards' ownership records.
 
-An elector follows one shard's lease and campaigns for it; the records say whether it may, and
-whether a leader here may start tasks and rent machines or is sealed. Safety rests on lease and term
-alone (docs/design.md, argument 15), so an old record costs time only.
+An elector follows one shard's lease and campaigns for it. The ownership record decides whether it
+may campaign, and whether its leader may start tasks and rent machines or is sealed. Safety depends
+only on lease and term (docs/design.md, argument 15), so an outdated record can only cause delay.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from ryewing.sharding.team_limits import ShardTeamLimits
 from ryewing.units import NodeName, ShardName
 
-# Operators know `sealed` and `unsealed` as lines of the coordinator (docs/operations.md).
+# docs/operations.md lists `sealed` and `unsealed` as events of the coordinator.
 log = logging.getLogger(__name__)
 
 
 class ShardElectors:
-    """The electors of one controller with the newest known ownership record of each shard.
+    """The electors of one controller, with the newest known ownership record of each shard.
 
     The coordinator's greenlet sets the records; each elector's own greenlet reads them.
     """
@@ -40,29 +40,29 @@
         return list(self._electors)
 
     def leader_of(self, name: ShardName) -> Leader | None:
-        """Return this controller's leader of a shard, or None while it does not lead there."""
+        """Return this controller's leader of a shard, or None while it does not lead the shard."""
         return self._electors[name].leader
 
     def is_abstaining(self, name: ShardName) -> bool:
-        """Return whether this controller leaves a shard's lease to others since it resigned."""
+        """Return whether this controller has resigned and leaves a shard's lease to others."""
         return self._electors[name].is_abstaining()
 
     def set_ownership(self, name: ShardName, ownership: Ownership) -> None:
-        """Set a shard's record as it was last read or written, and seal its leader accordingly."""
+        """Set a shard's record as last read or written, and update the seal of its leader."""
         self._ownership[name] = ownership
         self._update_seal(name)
 
     def has_pending_step(self) -> bool:
-        """Return whether a step may become due here without any change in the store.
+        """Return whether a step may become due here without a change in the store.
 
-        That is so while a shard moves from or to this controller, or has no known owner.
+        This is the case while a shard moves from or to this controller, or has no known owner.
         """
         return any(
             ownership.phase is not Phase.OWNED and self._node in (ownership.owner, ownership.target)
             for ownership in self._ownership.values()
         ) or any(name not in self._ownership for name in self._electors)
 
-    # -- what the electors ask -----------------------------------------------------------
+    # -- permissions of the electors -----------------------------------------------------
 
     def _eligible(self, name: ShardName) -> bool:
         ownership = self._ownership.get(name)
@@ -79,7 +79,7 @@
         return ownership is not None and ownership.may_start_tasks(self._node)
 
     def _update_seal(self, name: ShardName) -> None:
-        """Allow the leader here to start and rent if the record says so, and forbid it if not."""
+        """Seal or unseal the leader of a shard here, as the ownership record requires."""
         leader = self._electors[name].leader
         sealed = not self._may_start(name)
         if leader is None or leader.term.sealed == sealed:
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -1,10 +1,10 @@
-"""One shard's part of the store: the keys of an undivided fleet, under a prefix of its own.
+"""One shard's part of the store: the keys of an undivided fleet, under a prefix for the shard.
 
-The records of a leader (lease, term, finishes, machines, rental requests) are written through this
-by modules that know nothing of shards. So each shard works as an undivided fleet does: its records
-are fenced by its own term, and no shard's leader touches another's keys. Jobs, their final states
-and the machine types are under the same keys for all shards: any controller answers for any job,
-with as many reads as in an undivided fleet.
+A leader writes its records (lease, term, finished tasks, machines, rental requests) through this
+class, by modules that do not depend on shards. Each shard therefore works as an undivided fleet
+does: its records are fenced by its own term, and no leader accesses the keys of another shard.
+Jobs, their final states and the machine types have the same keys for all shards, so that any
+controller can answer requests about any job with as many reads as in an undivided fleet.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 SHARD_PREFIX = "s/"
 ALLOWANCE_PREFIX = "allowance/"
 SHARED_PREFIXES = (LIVE_PREFIX, FINAL_PREFIX, catalogue.KEY, ALLOWANCE_PREFIX)
-"""Keys that are the same for all shards. A job's record names its shard; a team's allowances are in
-one record, so that its parts are changed one after the other."""
+"""Prefixes of keys that all shards share. A job's record names its shard. All allowances of a team
+are in one record, so that changes of them are serialized."""
 
 
 class ShardStore:
-    """The store as one shard's leader sees it; leases have no prefix.
+    """A view of the store for one shard's leader, which adds the prefix to keys; leases have none.
 
     Each method raises what the same method of `Store` raises.
     """
@@ -39,7 +39,7 @@
 
     @property
     def limits(self) -> StateLimits:
-        """The store's limits, which hold for all shards together."""
+        """The store's limits, which apply to all shards together."""
         return self._store.limits
 
     def get(self, key: str) -> Entry | None:
@@ -48,12 +48,12 @@
         return self._without_prefix(entry) if entry is not None else None
 
     def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
-        """Return every entry with the prefix, and the revision from which to watch."""
+        """Return all entries with a prefix, and the revision from which to watch."""
         entries, revision = self._store.listing(self._full_key(prefix))
         return [self._without_prefix(entry) for entry in entries], revision
 
     def txn(self, conditions: dict[str, KeyVersion], writes: Iterable[Put | Remove]) -> TxnResult:
-        """Apply the writes if every key has the given version."""
+        """Apply the writes if every key in `conditions` has the given version."""
         result = self._store.txn(
             {self._full_key(key): version for key, version in conditions.items()},
             [self._with_prefix(write) for write in writes],
@@ -62,22 +62,22 @@
         return TxnResult(result.ok, result.revision, failed)
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
-        """Wait for changes under the prefix."""
+        """Wait up to `wait_s` seconds for changes under a prefix after revision `since`."""
         changes = self._store.watch(self._full_key(prefix), since, wait_s)
         return ChangeLog(
             changes.revision, [self._change_without_prefix(change) for change in changes.log]
         )
 
     def grant(self, ttl_s: float) -> int:
-        """Obtain a lease."""
+        """Obtain a lease of `ttl_s` seconds; return its number."""
         return self._store.grant(ttl_s)
 
     def renew(self, lease: int, deadline_s: float) -> None:
-        """Renew a lease; raise LeaseLostError if it is gone."""
+        """Renew a lease; raise LeaseLostError if it no longer exists."""
         self._store.renew(lease, deadline_s)
 
     def resign(self, lease: int) -> None:
-        """End a lease at once."""
+        """End a lease immediately."""
         self._store.resign(lease)
 
     def _full_key(self, key: str) -> str:
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -1,6 +1,6 @@
-"""What one team's work in one shard uses, and what it should ask for of the team's limit.
+"""Computes what one team's tasks in one shard use, and what the shard requests of the team's limit.
 
-Amounts are in processors and GPUs; a resource that the team may use without a limit is left out.
+Amounts are in CPUs and GPUs; a resource for which the team has no limit counts as 0.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from ryewing.units import MonotonicTime, TeamName, monotonic_now
 
 STALL_TIMEOUT_S = 60.0
-"""For how long room is asked for without any start, and then for how long it is not asked for."""
+"""How long a demand is requested without a task being started; it is then withheld as long."""
 
 
 class RoundedTarget(NamedTuple):
-    """A part rounded to whole tasks."""
+    """A part rounded down and up to whole tasks."""
 
     down: Amount
     up: Amount
@@ -27,11 +27,11 @@
 class TeamDemand:
     """The demand of one team in one term.
 
-    Room that is kept for a gang lies idle until there is enough of it, and room that no machine has
-    lies idle as well, while another shard may have work and machines for it. So what was asked for
-    and brought no start in a minute is not asked for in the next one: without any such room a large
-    gang would never start beside a steady demand; without an end of it small work elsewhere would
-    wait for ever.
+    An amount that is reserved for a gang stays unused until it is large enough, and an amount for
+    which the shard has no machines stays unused too, while another shard may have tasks and
+    machines for it. Therefore a demand that led to no task start for STALL_TIMEOUT_S is not
+    requested for the same time afterwards. Without reservations, a large gang would never start
+    beside steady demand; without the pause, small jobs in other shards would wait forever.
     """
 
     def __init__(self, term: TermContext, team: Team) -> None:
@@ -39,7 +39,7 @@
         self._team = team
         self._last_running = ZERO_AMOUNT
         self._progress_at = monotonic_now()
-        """When a task was last started, or nothing waited."""
+        """When a task was last started, when no task was waiting, or when a pause ended."""
 
     @property
     def limit(self) -> Amount:
@@ -47,9 +47,9 @@
         return team_limit(self._team)
 
     def update_progress(self, now: MonotonicTime) -> None:
-        """Record whether the team's work makes progress; to be called at each step of the limits.
+        """Record whether the team's tasks make progress; called at each step of the limits.
 
-        A minute after the demand was given up for lack of progress, it is asked for again.
+        A demand that was withheld for lack of progress is requested again after STALL_TIMEOUT_S.
         """
         running = self.running()
         started = running - self._last_running != ZERO_AMOUNT
@@ -65,7 +65,7 @@
         )
 
     def in_use(self) -> Amount:
-        """Return what the team may be using: unreconciled machines may be full of its tasks."""
+        """Return what the team may be using; unreconciled machines may be full of its tasks."""
         unreconciled = [machine.machine_type for machine in self._term.cluster.unreconciled()]
         return self.running() + self._limited_only(
             sum(machine_type.cpus for machine_type in unreconciled),
@@ -73,7 +73,7 @@
         )
 
     def requested(self) -> Amount:
-        """Return what running and waiting tasks would use, the team's limit at most."""
+        """Return what running and waiting tasks would use, at most the team's limit."""
         stalled = self._is_stalled()
         waiting = [
             self._required(job, 1 if stalled else job.shortfall) for job in self._requesting_jobs()
@@ -96,7 +96,7 @@
     def round_target(self, target: Amount, requested: Amount) -> RoundedTarget:
         """Round a part down and up to whole tasks of the smallest waiting job.
 
-        A part that satisfies all that is requested stays as it is.
+        A part that covers the whole request is not rounded.
         """
         waiting = self._waiting()
         if requested - target == ZERO_AMOUNT or not waiting:
@@ -110,11 +110,11 @@
         )
 
     def _is_stalled(self) -> bool:
-        """Return whether no task was started for STALL_TIMEOUT_S while some waited."""
+        """Return whether no task was started for STALL_TIMEOUT_S while tasks were waiting."""
         return monotonic_now() - self._progress_at >= STALL_TIMEOUT_S
 
     def _requesting_jobs(self) -> list[Job]:
-        """List the jobs to ask for: while stalled, only the smallest one that is not a gang."""
+        """List the jobs to request amounts for: while stalled, only the smallest non-gang job."""
         waiting = self._waiting()
         if not self._is_stalled():
             return waiting
@@ -130,11 +130,11 @@
         return self._limited_only(job.spec.cpus * tasks, job.spec.gpus * tasks)
 
     def _limited_only(self, cpus: float, gpus: float) -> Amount:
-        """Leave out a resource that the team may use without a limit."""
+        """Return an amount with 0 for each resource for which the team has no limit."""
         team = self._team
         return Amount(cpus if team.cpus_max else 0.0, gpus if team.gpus_max else 0.0)
 
 
 def _task_size(job: Job) -> tuple[float, float, str]:
-    """Sort key: jobs by what one task takes, GPUs first."""
+    """Return the sort key of a job: the resources of one task, GPUs first, then the job id."""
     return job.spec.gpus, job.spec.cpus, job.id
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -1,11 +1,11 @@
-"""The team limits that one shard's leader enforces: its parts of the teams' limits, in the store.
-
-Only this leader changes its shard's parts, under its term. A part counts as raised once the store
-has confirmed it, and as lowered from before the change is sent. A change that gets no answer may be
-carried out later, when tasks were started again on the higher part; so the lower of both counts
-until another write of the same record is confirmed, which makes the lost one fail. With that, tasks
-are started by no more than what the store has confirmed and no write on its way may still lower
-(docs/design.md, argument 16).
+"""The team limits that one shard's leader enforces: the shard's parts of the limits, in the store.
+
+Only this leader changes its shard's parts, fenced by its term. A raised part takes effect once the
+store has confirmed it; a lowered part takes effect before the write is sent. A write without an
+answer may be applied later, after tasks were started again on the higher part. The lower of the two
+parts therefore applies until another write of the same record is confirmed, which makes the
+unanswered one fail. So tasks use at most what the store has confirmed and no write in flight may
+still lower (docs/design.md, argument 16).
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 STEP_INTERVAL_S = 0.5
 INITIAL_STEP_INTERVAL_S = 0.1
-"""How often a new term checks whether it may read the records: until then no team may use any
-limited resource."""
+"""The interval at which a new term checks whether it may read the records. Before the first read no
+team may use any limited resource."""
 READ_INTERVAL_S = 2.0
-"""How often the records are read while no more is requested than the parts allow."""
+"""The interval between reads of the records while the parts cover all requests."""
 NEVER = MonotonicTime(-1e9)
 ZERO_LIMIT = EPSILON / 2
-"""Stands for a part of 0: a team's limit of 0 would mean that there is none."""
+"""Represents a part of 0, because a limit of 0 in a `Team` means no limit."""
 
 
 class TeamRecord:
-    """A team's record as it was last read or written, and how much of it may be relied on."""
+    """A team's record as last read or written, and how much of the shard's part is certain."""
 
     __slots__ = ("record", "unconfirmed_part", "version")
 
@@ -53,16 +53,16 @@
         self.record = record
         self.version = version
         self.unconfirmed_part = unconfirmed_part
-        """What changes without an answer may have lowered the part to; None if there are none."""
+        """The part to which unanswered writes may have lowered it; None if there are none."""
 
     def usable(self, shard: ShardName) -> Amount:
-        """Return how much of its part a shard may use for certain."""
+        """Return the amount that a shard may use, whatever became of unanswered writes."""
         part = self.record.part_of(shard)
         return part if self.unconfirmed_part is None else part.at_most(self.unconfirmed_part)
 
 
 class ShardTeamLimits:
-    """The limits of all teams in one term; its greenlet is `run`, one of the leader's loops."""
+    """The limits of all teams in one term; `run`, in its own greenlet, is a loop of the leader."""
 
     def __init__(self, leader: Leader, shard: ShardName, shards: Sequence[ShardName]) -> None:
         self._leader = leader
@@ -75,11 +75,11 @@
             if team.cpus_max or team.gpus_max
         }
         self.records: dict[str, TeamRecord] = {}
-        """The newest known record of each team; none of a team whose record can't be read."""
+        """The newest known record of each team, without teams whose records are unreadable."""
         self._read_at = NEVER
 
     def teams(self) -> dict[str, Team]:
-        """Return the teams with what this shard may use as their limits."""
+        """Return the teams with the amounts that this shard may use as their limits."""
         return {
             name: self._with_shard_limits(team) if name in self._demands else team
             for name, team in self._term.teams.items()
@@ -95,7 +95,7 @@
         )
 
     def run(self) -> None:
-        """Adapt the parts to the demand until the term ends."""
+        """Adjust the parts to the demand until the term ends."""
         while self._demands:
             gevent.sleep(STEP_INTERVAL_S if self.records else INITIAL_STEP_INTERVAL_S)
             try:
@@ -104,7 +104,7 @@
                 log.debug("event=allowances-failed error=%s", error)
 
     def step(self) -> None:
-        """Read the records if they may have changed, and write those that have to change.
+        """Read the records if that is due, and write those that have to change.
 
         Raises StoreUnavailableError if the store does not answer.
         """
@@ -121,7 +121,7 @@
             self._write(dict(list(changes.items())[: self._term.store.limits.txn_ops]))
 
     def _may_change_records(self) -> bool:
-        """Return whether this leader is past reconciliation and may start tasks now."""
+        """Return whether this leader has reconciled and may start tasks now."""
         return bool(self._demands) and self._term.may_begin() and self._leader.scheduler.reconciled
 
     # -- reading ----------------------------------------------------------------------------
@@ -143,7 +143,7 @@
             self._update_record(name, entries.get(_key(name)))
 
     def _update_record(self, name: str, entry: Entry | None) -> None:
-        """Keep what was read; an unconfirmed write may still be carried out after the reading."""
+        """Keep a record that was read; an unconfirmed write may still be applied after the read."""
         stored = self.records.get(name)
         unconfirmed_part = stored.unconfirmed_part if stored is not None else None
         if entry is None:
@@ -151,21 +151,22 @@
             return
         record = decode_stored(entry.data, Allowances, entry.key)
         if record is None:
-            self.records.pop(name, None)  # the team may use nothing until an operator mends it
+            # Until an operator repairs the record, the team may use nothing.
+            self.records.pop(name, None)
             return
         self.records[name] = TeamRecord(record, KeyVersion(entry.key_version), unconfirmed_part)
 
     # -- writing ----------------------------------------------------------------------------
 
     def _due_changes(self) -> dict[str, Allowances]:
-        """Return the new records of the teams whose records have to be written, by team name."""
+        """Return the new records that have to be written, by team name."""
         changes = {}
         for name, demand in self._demands.items():
             stored = self.records.get(name)
             if stored is None:
                 continue
             record = self._change.next_record(stored.record, demand)
-            # An unchanged record is written as well if that makes an unconfirmed write fail.
+            # An unchanged record is written too if that makes an unconfirmed write fail.
             if record != stored.record or stored.unconfirmed_part is not None:
                 changes[name] = record
         return changes
@@ -187,7 +188,7 @@
             return
         self._read_at = NEVER
         if not result.ok:
-            return  # another shard changed one of them: all are read again
+            return  # another shard changed a record: all are read again
         for name, record in changes.items():
             self.records[name] = TeamRecord(record, KeyVersion(result.revision), None)
         self._term.scheduling_needed.set()
