--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -103,7 +103,7 @@
             if record is None or record.epoch == started.epoch:
                 continue
             if record.phase is Phase.OWNED:
-                self._write_outcome(name, record, target, monotonic_now() - began_at)
+                self._print_outcome(name, record, target, monotonic_now() - began_at)
                 return
             if record.phase is not phase:
                 phase = record.phase
@@ -113,7 +113,7 @@
             f"shard {name!r}: still {phase.value} after {MOVE_TIMEOUT_S:g} s",
         )
 
-    def _write_outcome(
+    def _print_outcome(
         self, name: ShardName, record: Ownership, target: NodeName, took_s: float
     ) -> None:
         if record.owner != target:
--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -38,18 +38,20 @@
     peak = model.addVariable(lb=0.0, obj=PEAK_COST)
     overload = model.addVariable(lb=0.0, obj=OVERLOAD_COST)
     model.addConstr(overload >= peak - 1.0)
-    owns = {
+    ownership_vars = {
         (shard.name, node): model.addBinary(obj=_move_cost(shard, node))
         for shard in inputs.shards
         for node in inputs.eligible_owners(shard)
     }
     for shard in inputs.shards:
-        model.addConstr(sum(owns[shard.name, node] for node in inputs.eligible_owners(shard)) == 1)
-    for room in inputs.nodes:
+        model.addConstr(
+            sum(ownership_vars[shard.name, node] for node in inputs.eligible_owners(shard)) == 1
+        )
+    for controller in inputs.nodes:
         terms = [
-            (shard.load / room.room) * owns[shard.name, room.name]
+            (shard.load / controller.room) * ownership_vars[shard.name, controller.name]
             for shard in inputs.shards
-            if (shard.name, room.name) in owns
+            if (shard.name, controller.name) in ownership_vars
         ]
         if terms:
             model.addConstr(sum(terms) <= peak)
@@ -59,7 +61,8 @@
     values = model.getSolution().col_value
     return {
         shard.name: max(
-            inputs.eligible_owners(shard), key=lambda node: values[owns[shard.name, node].index]
+            inputs.eligible_owners(shard),
+            key=lambda node: values[ownership_vars[shard.name, node].index],
         )
         for shard in inputs.shards
     }
--- a/tests/sharding/test_allowance.py
+++ b/tests/sharding/test_allowance.py
@@ -1,4 +1,4 @@
-"""Team limits divided among shards."""
+"""The division of team limits among shards."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_parts_never_exceed_the_limit_and_never_what_is_used(seed: int) -> None:
-    """Shards raise, use and lower their parts in any order; some writes lose against others."""
+def test_parts_never_exceed_the_limit_nor_fall_below_use(seed: int) -> None:
+    """Shards raise, use and lower their parts in random order; some conditional writes fail."""
     rng = random.Random(seed)
     limit = team_limit(Team("red", cpus_max=64.0, gpus_max=8.0))
     record = Allowances()
@@ -38,7 +38,7 @@
             if rng.random() < 0.5
             else raise_part(record, shard, wanted, limit)
         )
-        if change is not None and rng.random() < 0.8:  # else another write came first
+        if change is not None and rng.random() < 0.8:  # otherwise another write came first
             record = change
         part = record.part_of(shard)
         used[shard] = rng.choice([used[shard], part, part.scaled(rng.random(), rng.random())])
@@ -58,7 +58,7 @@
         pytest.param((0, 60, 0), (30, 0, 0), (30, 30, 0), id="in_use_without_demand"),
     ],
 )
-def test_a_limit_is_divided_by_demand_beyond_what_is_used(
+def test_limit_is_divided_by_demand_beyond_use(
     demand: tuple[float, ...], in_use: tuple[float, ...], parts: tuple[float, ...]
 ) -> None:
     def amounts(cpus: tuple[float, ...]) -> dict[ShardName, Amount]:
@@ -67,7 +67,7 @@
     assert divide_by_demand(Amount(60.0, 8.0), amounts(demand), amounts(in_use)) == amounts(parts)
 
 
-def test_a_team_without_limit_gets_what_it_wants() -> None:
+def test_team_without_limit_gets_its_demand() -> None:
     limit = team_limit(Team("blue"))
     assert limit == Amount(UNLIMITED, UNLIMITED)
     demand = {SHARDS[0]: Amount(1e6, 1e3)}
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -1,4 +1,4 @@
-"""Team limits over shards hold whatever is lost, late, cut off or refused."""
+"""Team limits across shards hold despite lost answers, late writes, partitions and refusals."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def gpu_jobs(cluster: SimulatedCluster, zone: str, count: int, first: int = 0) -> None:
-    """Submit arrays of four tasks with a GPU each."""
+    """Submit arrays of four tasks with one GPU each."""
     for number in range(first, first + count):
         name = CONTROLLERS[number % 3]
         cluster.submit(name, f"run-{number}", zone=zone, gpus=1.0, cpus=1.0, task_count=4)
 
 
 def gpus_in_use(cluster: SimulatedCluster, zones: str = "abc") -> int:
-    """Count the tasks that have not ended in some zones: each uses one GPU."""
+    """Count the tasks in some zones that have not ended, each of which uses one GPU."""
     return sum(
         found.status != "ended"
         for worker in cluster.workers.values()
@@ -42,7 +42,7 @@
 
 
 def allowances(cluster: SimulatedCluster) -> Allowances:
-    """Read the stored parts of team red's limit."""
+    """Read the stored record of team red's limit."""
     entry = cluster.store.get("allowance/red")
     assert entry is not None
     record = decode_stored(entry.data, Allowances, entry.key)
@@ -51,8 +51,8 @@
 
 
 @pytest.fixture
-def limited(divided: MakeCluster) -> SimulatedCluster:
-    """Two shards with more GPUs each than the team may use."""
+def cluster_with_limit(divided: MakeCluster) -> SimulatedCluster:
+    """Return a cluster of two shards, each with more GPUs than the team may use."""
     cluster = divided(moves_allowed=False)
     add_machines(cluster, 0, with_gpus=12)
     cluster.run(12.0)
@@ -60,9 +60,12 @@
     return cluster
 
 
-def test_the_parts_of_a_limit_follow_the_demand(limited: SimulatedCluster) -> None:
-    """All of it goes where the only work is; with work elsewhere too each gets half, to a task."""
-    cluster = limited
+def test_parts_of_a_limit_follow_the_demand(cluster_with_limit: SimulatedCluster) -> None:
+    """A shard with the only demand gets the whole limit; with equal demand each gets half.
+
+    The halves may differ by one task. Steady demand must not cause repeated writes.
+    """
+    cluster = cluster_with_limit
     gpu_jobs(cluster, "a", 4)
     cluster.run(12.0)
     assert gpus_in_use(cluster) == LIMIT
@@ -82,10 +85,10 @@
     assert cluster.store.writes - writes < 30, "steady demand is written again and again"
 
 
-def test_a_gang_that_needs_the_whole_limit_starts_beside_a_steady_demand(
-    limited: SimulatedCluster,
+def test_gang_that_needs_the_whole_limit_starts_beside_steady_demand(
+    cluster_with_limit: SimulatedCluster,
 ) -> None:
-    cluster = limited
+    cluster = cluster_with_limit
     gpu_jobs(cluster, "a", 2)
     cluster.run(8.0)
     cluster.submit("n-1", "run-50", zone="b", gpus=2.0, cpus=1.0, shape="group", task_count=4)
@@ -100,8 +103,8 @@
     assert verdict(cluster) == []
 
 
-def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
-    """Changes of the parts are applied, and the leader of one shard gets no answers."""
+def answers_to_owner_are_lost(cluster: SimulatedCluster) -> None:
+    """The leader of one shard gets no answers, although its changes of the parts are applied."""
     cluster.links["n-0"].loses_answers = True
     gpu_jobs(cluster, "b", 4, first=20)
     for _ in range(10):
@@ -112,8 +115,8 @@
     cluster.run(20.0)
 
 
-def a_lowered_part_is_written_late(cluster: SimulatedCluster) -> None:
-    """A part is lowered by a write that is applied late, after new work has come."""
+def lowering_write_is_applied_late(cluster: SimulatedCluster) -> None:
+    """A write that lowers a part is applied late, after new jobs were submitted."""
     gpu_jobs(cluster, "b", 4, first=20)
     link = cluster.links["n-0"]
     link.delays_transactions = True
@@ -129,8 +132,8 @@
     cluster.run(20.0)
 
 
-def the_store_refuses_one_owner(cluster: SimulatedCluster) -> None:
-    """The leader of one shard can change no parts for a while."""
+def store_refuses_one_owner(cluster: SimulatedCluster) -> None:
+    """The store refuses the requests of one shard's leader for 20 s."""
     cluster.links["n-0"].refused = True
     gpu_jobs(cluster, "b", 4, first=20)
     cluster.run(20.0)
@@ -138,10 +141,10 @@
     cluster.run(20.0)
 
 
-def machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves(
+def machines_are_unreachable_during_cancels_and_move(
     cluster: SimulatedCluster,
 ) -> None:
-    """Tasks on unreachable machines count until their lease is over, whoever leads the shard."""
+    """Tasks on unreachable machines count until their leases end, whichever controller leads."""
     cut_off = [worker for worker in cluster.workers.values() if worker.zone == "a"]
     for number, worker in enumerate(cut_off):
         worker.hangs, worker.heartbeats_lost = bool(number % 2), not number % 2
@@ -157,14 +160,16 @@
 @pytest.mark.parametrize(
     "scenario",
     [
-        owner_gets_no_answers,
-        a_lowered_part_is_written_late,
-        the_store_refuses_one_owner,
-        machines_are_cut_off_while_jobs_are_cancelled_and_the_shard_moves,
+        answers_to_owner_are_lost,
+        lowering_write_is_applied_late,
+        store_refuses_one_owner,
+        machines_are_unreachable_during_cancels_and_move,
     ],
 )
-def test_no_team_is_above_its_limit(limited: SimulatedCluster, scenario: Scenario) -> None:
-    cluster = limited
+def test_no_team_exceeds_its_limit(
+    cluster_with_limit: SimulatedCluster, scenario: Scenario
+) -> None:
+    cluster = cluster_with_limit
     gpu_jobs(cluster, "a", 4)
     cluster.run(12.0)
     assert gpus_in_use(cluster) == LIMIT
@@ -173,11 +178,11 @@
     assert allowances(cluster).total().gpus <= LIMIT
 
 
-def test_a_part_counts_as_lowered_from_before_the_write_and_as_raised_after_it(
-    limited: SimulatedCluster,
+def test_part_is_lowered_before_its_write_and_raised_after_it(
+    cluster_with_limit: SimulatedCluster,
 ) -> None:
-    """Without an answer the lower one counts, until a later write is confirmed."""
-    cluster = limited
+    """Without an answer the lower part applies until a later write is confirmed."""
+    cluster = cluster_with_limit
     leader = cluster.leader("n-0", EAST)
     assert leader is not None
     limits = leader.term.team_limits
@@ -187,16 +192,16 @@
         return limits.teams()["red"].gpus_max
 
     assert part() == pytest.approx(LIMIT / 2)
-    cluster.links[
-        "n-0"
-    ].delays_transactions = True  # its own part is lowered, the answer does not come
+    cluster.links["n-0"].delays_transactions = True  # the write that lowers the part gets no answer
     gpu_jobs(cluster, "b", 3)
     cluster.run(4.0)
     low = part()
     assert low < LIMIT / 2
     cluster.links["n-0"].delays_transactions = False
     limits.read_records()
-    assert limits.records["red"].record.part_of(ShardName(EAST)).gpus > low  # as the store has it
+    assert (
+        limits.records["red"].record.part_of(ShardName(EAST)).gpus > low
+    )  # the value in the store
     assert part() == low
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
@@ -209,7 +214,7 @@
 
 
 @pytest.mark.parametrize(
-    ("demand", "claims", "targets"),
+    ("demand", "claims", "shares"),
     [
         pytest.param({}, {}, (4.0, 4.0), id="no_demand"),
         pytest.param({EAST: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
@@ -224,26 +229,29 @@
         ),
     ],
 )
-def test_the_target_of_each_part(
+def test_fair_share_of_each_shard(
     demand: dict[str, float],
     claims: dict[str, tuple[float, float]],
-    targets: tuple[float, float],
+    shares: tuple[float, float],
 ) -> None:
-    """Each shard derives the same from one record: the oldest claim, then demand, then evenly."""
+    """Shares satisfy the oldest claim, then follow demand; the rest is divided evenly."""
     record = Allowances(
         {},
         {shard: Amount(gpus=gpus) for shard, gpus in demand.items()},
         {shard: Claim(Amount(gpus=gpus), since) for shard, (gpus, since) in claims.items()},
     )
     found = [fair_share(record, shard, SHARDS, RED).gpus for shard in SHARDS]
-    assert found == pytest.approx(list(targets))
+    assert found == pytest.approx(list(shares))
 
 
-def test_small_jobs_get_their_turn_beside_a_gang_that_needs_the_whole_limit(
-    limited: SimulatedCluster,
+def test_small_jobs_start_beside_a_gang_that_needs_the_whole_limit(
+    cluster_with_limit: SimulatedCluster,
 ) -> None:
-    """The gang can start only once all others have ended: room is kept for it in turns."""
-    cluster = limited
+    """The gang can start only after all other tasks have ended, so GPUs are reserved for it.
+
+    The reservation is limited in time, so that small jobs of the other shard start in between.
+    """
+    cluster = cluster_with_limit
     gpu_jobs(cluster, "a", 1)
     cluster.run(6.0)
     cluster.submit("n-1", "run-50", zone="b", gpus=2.0, cpus=1.0, shape="group", task_count=4)
@@ -253,7 +261,7 @@
     assert gpus_in_use(cluster, "a") == LIMIT
 
 
-def test_a_part_is_not_lowered_below_what_unheard_machines_may_hold(
+def test_part_is_not_lowered_below_what_unreconciled_machines_may_hold(
     harness: LeaderHarness,
 ) -> None:
     harness.scope = TermScope(ShardName(EAST), frozenset({Zone("a")}), 0.5)
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -1,4 +1,4 @@
-"""A shard's part of the store: leaders of two shards over one store don't see each other's keys."""
+"""The shard prefix in the store: leaders of two shards don't access each other's keys."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from ryewing.units import JobId, KeyVersion, Revision, ShardName, Zone
 
 
-def shard(store: FakeStore, name: str) -> ShardStore:
+def shard_store(store: FakeStore, name: str) -> ShardStore:
     return ShardStore(store, ShardName(name))  # type: ignore[arg-type]
 
 
 def test_each_shard_has_the_same_keys_under_its_own_prefix() -> None:
     store = FakeStore()
-    east, west = shard(store, "east"), shard(store, "west")
+    east, west = shard_store(store, "east"), shard_store(store, "west")
     lease = east.grant(3.0)
     assert east.txn({"a": KeyVersion(0)}, [Put("a", 1, lease), Put("b/c", 2)]).ok
     assert west.txn({"a": KeyVersion(0)}, [Put("a", 3)]).ok
@@ -39,19 +39,19 @@
 
 
 @pytest.mark.parametrize("other_term", [3, 5, 9])
-def test_a_leader_of_one_shard_neither_sees_nor_fences_another(
+def test_leaders_of_two_shards_neither_see_nor_fence_each_other(
     harness: LeaderHarness, other_term: int
 ) -> None:
-    """The same leader, with the same jobs, over two shards of one store."""
-    whole = harness.store
-    harness.store = shard(whole, "east")  # type: ignore[assignment]
+    """Two leaders over the shards of one store: the first places and finishes a job unaffected."""
+    unprefixed_store = harness.store
+    harness.store = shard_store(unprefixed_store, "east")  # type: ignore[assignment]
     harness.scope = TermScope(ShardName("east"), frozenset({Zone("a")}))
     harness.new_leader(5)
     worker = harness.ready_worker()
     job = harness.accept(task_count=1)
     east = harness.leader
 
-    harness.store = shard(whole, "west")  # type: ignore[assignment]
+    harness.store = shard_store(unprefixed_store, "west")  # type: ignore[assignment]
     harness.scope = TermScope(ShardName("west"), frozenset({Zone("b")}))
     west = harness.new_leader(other_term)
     assert not west.term.cluster.machines
@@ -59,7 +59,7 @@
     assert read_election_record(west.term.store).term == other_term
     assert west.term.store.get(HOLDER_KEY) is None
 
-    harness.leader, harness.store = east, shard(whole, "east")  # type: ignore[assignment]
+    harness.leader, harness.store = east, shard_store(unprefixed_store, "east")  # type: ignore[assignment]
     harness.place()
     assert starts(harness.exchange(worker)) == [f"{job}/0"]
     harness.exchange(worker)
@@ -67,5 +67,5 @@
     harness.write()
     assert harness.finals == {JobId("run-1"): "done"}
     assert not harness.lost
-    assert whole.get(live_key(job)) is None
-    harness.store = whole
+    assert unprefixed_store.get(live_key(job)) is None
+    harness.store = unprefixed_store
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -1,4 +1,4 @@
-"""Controllers that share a divided fleet: shards change hands while their jobs run."""
+"""Controllers of a divided fleet: shards move between them while jobs run."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 def test_moves_without_faults_stop_and_restart_no_task(
     divided: MakeCluster, shards: int, seed: int
 ) -> None:
-    """A hundred moves in all, while gangs wait for their tasks, tasks end and jobs come."""
+    """A hundred moves in all, while gangs are starting, tasks end and jobs are submitted."""
     cluster = divided(shards, moves_allowed=False)
     rng = random.Random(seed)
     add_machines(cluster, 9, with_gpus=9)
@@ -89,7 +89,7 @@
 
 
 def move_until(cluster: SimulatedCluster, phase: Phase) -> None:
-    """Request the move of a shard from n-0 to n-2, and run until it is in a phase."""
+    """Request the move of a shard from n-0 to n-2, and run until it has reached a phase."""
     assert request_move(cluster, EAST, "n-2")
     for _ in range(20):
         if ownership_record(cluster, EAST).phase is phase:
@@ -99,7 +99,7 @@
 
 
 def assert_all_done_at_first_attempt(cluster: SimulatedCluster) -> None:
-    """Finish all tasks: each was started once and never stopped."""
+    """End all tasks and check that each was started once and never stopped."""
     cluster.run(2.0)
     for worker in cluster.workers.values():
         cluster.end(worker)
@@ -109,38 +109,38 @@
     assert not cluster.rules.stopped_tasks
 
 
-@pytest.mark.parametrize("back", ["at once", "later"])
+@pytest.mark.parametrize("restart", ["at once", "later"])
 @pytest.mark.parametrize("phase", list(Phase))
-@pytest.mark.parametrize("lost", CONTROLLERS)
-def test_jobs_go_on_when_a_controller_is_lost_at_any_step_of_a_move(
-    divided: MakeCluster, lost: str, phase: Phase, back: str
+@pytest.mark.parametrize("failed", CONTROLLERS)
+def test_jobs_continue_when_a_controller_fails_at_any_step_of_a_move(
+    divided: MakeCluster, failed: str, phase: Phase, restart: str
 ) -> None:
-    """Source, target or the third controller: each shard soon has a leader."""
+    """The source, the target or the third controller fails: each shard soon has a leader."""
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     if phase is Phase.OWNED:
         assert request_move(cluster, EAST, "n-2")
     else:
         move_until(cluster, phase)
-    cluster.dead.add(lost)
-    if back == "at once":
-        cluster.boot(lost)
+    cluster.dead.add(failed)
+    if restart == "at once":
+        cluster.boot(failed)
     cluster.run(14.0)
     assert all_shards_led(cluster)
-    if back == "later":
-        assert lost not in {ownership_record(cluster, shard).owner for shard in (EAST, WEST)}
+    if restart == "later":
+        assert failed not in {ownership_record(cluster, shard).owner for shard in (EAST, WEST)}
     assert_all_done_at_first_attempt(cluster)
 
 
-@pytest.mark.parametrize("who", CONTROLLERS)
+@pytest.mark.parametrize("controller", CONTROLLERS)
 @pytest.mark.parametrize("fault", ["loses_answers", "delays_transactions", "refused"])
-def test_jobs_go_on_when_steps_of_a_move_are_unanswered_late_or_refused(
-    divided: MakeCluster, who: str, fault: str
+def test_jobs_continue_when_steps_of_a_move_are_unanswered_late_or_refused(
+    divided: MakeCluster, controller: str, fault: str
 ) -> None:
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     assert request_move(cluster, EAST, "n-2")
-    link = cluster.links[who]
+    link = cluster.links[controller]
     setattr(link, fault, True)
     cluster.run(6.0)
     setattr(link, fault, False)
@@ -151,7 +151,7 @@
 
 
 def task_statuses(cluster: SimulatedCluster, job: str) -> list[str]:
-    """Return the status of each of a job's tasks on machines."""
+    """Return the statuses of a job's tasks on all machines."""
     return [
         found.status
         for worker in cluster.workers.values()
@@ -160,8 +160,8 @@
     ]
 
 
-def a_gang_is_half_started(cluster: SimulatedCluster) -> None:
-    """Some of its tasks wait on their machines for the others when the shard is sealed."""
+def gang_is_partly_started(cluster: SimulatedCluster) -> None:
+    """Some tasks of a gang wait on their machines for the others when the shard is sealed."""
     cluster.submit("n-1", "run-8", shape="group", zone="a", task_count=4, cpus=10.0)
     slow = cluster.workers["i-000003"]
     slow.heartbeats_lost = True
@@ -175,8 +175,8 @@
     assert not [task for task in cluster.rules.stopped_tasks if not task.startswith("run-8/")]
 
 
-def a_gang_is_cancelled(cluster: SimulatedCluster) -> None:
-    """Users cancel the jobs of the shard at several steps of the move."""
+def jobs_are_cancelled(cluster: SimulatedCluster) -> None:
+    """Users cancel the jobs of the shard in different phases of the move."""
     move_until(cluster, Phase.SEALED)
     assert cluster.cancel("n-1", "run-1") == 200
     cluster.run(0.25)
@@ -188,7 +188,7 @@
     assert not any(worker.tasks for worker in cluster.workers.values() if worker.zone == "a")
 
 
-def a_spot_notice_comes(cluster: SimulatedCluster) -> None:
+def spot_notice_arrives(cluster: SimulatedCluster) -> None:
     """The owner of a sealed shard still stops tasks in time to save their progress."""
     assert request_move(cluster, EAST, "n-2")
     for worker in cluster.workers.values():
@@ -197,8 +197,8 @@
     assert not cluster.workers["i-000000"].tasks
 
 
-def both_owners_hear_a_worker(cluster: SimulatedCluster) -> None:
-    """The old owner redirects the worker, and ignores what it reports."""
+def worker_sends_heartbeats_to_both_owners(cluster: SimulatedCluster) -> None:
+    """The old owner redirects the worker and ignores its report."""
     worker = cluster.workers["i-000000"]
     move_until(cluster, Phase.SETTLED)
     cluster.run(1.0)
@@ -208,8 +208,8 @@
     assert cluster.leader("n-0", EAST) is None
 
 
-def the_owner_of_a_sealed_shard_restarts(cluster: SimulatedCluster) -> None:
-    """Its new process does not campaign: the target is the next leader."""
+def owner_of_sealed_shard_restarts(cluster: SimulatedCluster) -> None:
+    """The new process of the owner does not campaign, so the target is the next leader."""
     move_until(cluster, Phase.SEALED)
     cluster.dead.add("n-0")
     cluster.boot("n-0")
@@ -219,9 +219,12 @@
     assert leader.term.number == 2
 
 
-def a_health_key_is_lost(cluster: SimulatedCluster) -> None:
-    """A late write of an earlier process removes it: others take the shard over, the owner resigns
-    although its lease still holds, and then its key comes back."""
+def health_key_is_removed(cluster: SimulatedCluster) -> None:
+    """A late write of an earlier process removes the health key of the owner.
+
+    Another controller takes over the shard. The owner resigns although its lease is still valid,
+    and then writes its health key again.
+    """
     renew_if_due = ControllerHealth.renew_if_due
     health = cluster.coordinators["n-0"].health
     health.renew_if_due = lambda: None  # type: ignore[method-assign]
@@ -234,7 +237,7 @@
     assert "n-0" in read_registration(cluster).healthy
 
 
-def cancelled_while_the_leader_hears_no_changes(cluster: SimulatedCluster) -> None:
+def job_is_cancelled_while_the_leader_sees_no_changes(cluster: SimulatedCluster) -> None:
     """The leader of the job's shard learns of the cancel before the user gets an answer."""
     cluster.links["n-0"].watch_hangs = True
     assert cluster.cancel("n-2", "run-0") == 200
@@ -243,8 +246,8 @@
     cluster.ask_all("run-0")
 
 
-def a_shard_has_no_owner_for_a_minute(cluster: SimulatedCluster) -> None:
-    """The store refuses all controllers in the middle of a move."""
+def shard_has_no_owner_for_a_minute(cluster: SimulatedCluster) -> None:
+    """The store refuses all controllers during a move."""
     move_until(cluster, Phase.SETTLED)
     for link in cluster.links.values():
         link.refused = True
@@ -255,8 +258,8 @@
     assert all_shards_led(cluster)
 
 
-def the_owner_can_reach_no_workers(cluster: SimulatedCluster) -> None:
-    """It resigns, and leaves the shard to a controller that can."""
+def owner_can_reach_no_workers(cluster: SimulatedCluster) -> None:
+    """The owner resigns, and transfers the shard to a controller that can reach them."""
     for number in range(6, 15):
         cluster.worker(f"i-{number:06d}", zone="a")
     cluster.run(8.0)
@@ -266,8 +269,8 @@
     assert ownership_record(cluster, EAST).owner != "n-0"
 
 
-def an_owner_freezes(cluster: SimulatedCluster) -> None:
-    """Another controller takes its shard over; when it goes on, it has no lease and resigns."""
+def owner_freezes(cluster: SimulatedCluster) -> None:
+    """Another controller takes over the shard; the owner resumes without a lease and resigns."""
     cluster.frozen.add("n-0")
     cluster.run(9.0)
     assert ownership_record(cluster, EAST).owner != "n-0"
@@ -279,29 +282,27 @@
 @pytest.mark.parametrize(
     "scenario",
     [
-        a_gang_is_half_started,
-        a_gang_is_cancelled,
-        a_spot_notice_comes,
-        both_owners_hear_a_worker,
-        the_owner_of_a_sealed_shard_restarts,
-        a_health_key_is_lost,
-        cancelled_while_the_leader_hears_no_changes,
-        a_shard_has_no_owner_for_a_minute,
-        the_owner_can_reach_no_workers,
-        an_owner_freezes,
+        gang_is_partly_started,
+        jobs_are_cancelled,
+        spot_notice_arrives,
+        worker_sends_heartbeats_to_both_owners,
+        owner_of_sealed_shard_restarts,
+        health_key_is_removed,
+        job_is_cancelled_while_the_leader_sees_no_changes,
+        shard_has_no_owner_for_a_minute,
+        owner_can_reach_no_workers,
+        owner_freezes,
     ],
 )
-def test_no_rule_is_broken_by_what_happens_during_a_move(
-    divided: MakeCluster, scenario: Scenario
-) -> None:
+def test_events_during_a_move_break_no_rule(divided: MakeCluster, scenario: Scenario) -> None:
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     scenario(cluster)
     assert verdict(cluster) == []
 
 
-def test_the_shards_of_a_lost_controller_come_back_to_it(divided: MakeCluster) -> None:
-    """The planner moves them once, after they have settled at other controllers."""
+def test_shards_of_a_failed_controller_return_after_its_restart(divided: MakeCluster) -> None:
+    """The planner moves them once, after `settle_s` at the other controllers has passed."""
     cluster = divided(3, settle_s=20.0)
     start_divided_fleet(cluster)
     cluster.dead.add("n-1")
@@ -319,10 +320,10 @@
 
 
 @pytest.mark.parametrize("first", [1, 2], ids=["undivided_first", "divided_first"])
-def test_controllers_that_divide_the_fleet_differently_do_not_lead(
+def test_controllers_with_a_different_division_do_not_lead(
     divided: MakeCluster, first: int
 ) -> None:
-    """Nor do undivided ones beside divided ones: only the first ones ever lead."""
+    """Only the controllers that start first ever lead, also if either group has no division."""
     cluster = divided(first)
     if first == 1:
         cluster.shards = None
@@ -337,14 +338,14 @@
     for name in CONTROLLERS:
         other.coordinators.pop(name, None)
         other.boot(name)
-    other.run(10.0)  # long enough for every lease of the first ones to end
+    other.run(10.0)  # longer than the leases of the first controllers
     assert not other.latest_leaders()
     cluster.run(4.0)
     assert len(cluster.latest_leaders()) == first
 
 
-def test_jobs_go_on_when_two_controllers_plan_differently(divided: MakeCluster) -> None:
-    """One of them sees another set of healthy controllers: each shard still has one owner."""
+def test_jobs_continue_when_two_controllers_plan_differently(divided: MakeCluster) -> None:
+    """Two controllers see different sets of healthy ones: each shard still has one owner."""
     cluster = divided(3, settle_s=0.0)
     start_jobs_in_both_shards(cluster)
     cluster.dead.add("n-2")
--- a/tests/sharding/test_sharded_loopback.py
+++ b/tests/sharding/test_sharded_loopback.py
@@ -1,4 +1,4 @@
-"""Three controllers that share a fleet, as processes on loopback: no clock is faked here."""
+"""Three controllers of a divided fleet, as processes on loopback with real clocks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LoopbackProcesses:
-    """The controllers' processes, and what an operator and users do with them."""
+    """The processes of the controllers, with the actions of an operator and of users."""
 
     def __init__(self, folder: Path, port: int) -> None:
         self.port = port
@@ -44,7 +44,7 @@
         )
 
     def owners(self) -> dict[str, str]:
-        """Wait until all shards are owned; return the owner of each."""
+        """Wait until all shards have healthy owners; return the owner of each."""
         end = time.monotonic() + PATIENCE_S
         while time.monotonic() < end:
             rows = [line.split() for line in self.shards().stdout.splitlines()[1:]]
@@ -60,7 +60,7 @@
         subprocess.run(["kill", "-9", found.group(1)], check=True)
 
     def url(self, controller: int) -> str:
-        """Return the address at which a controller takes jobs."""
+        """Return the URL at which a controller accepts jobs."""
         return f"http://127.0.0.1:{self.port + 10 + 2 * controller}/v2/runs"
 
 
@@ -74,10 +74,10 @@
         found.process.wait(30)
 
 
-def test_jobs_go_on_while_a_shard_moves_and_a_controller_is_killed(
+def test_jobs_continue_while_a_shard_moves_and_a_controller_is_killed(
     processes: LoopbackProcesses,
 ) -> None:
-    """A gang and an array run in each shard, and each of their tasks is started once."""
+    """A gang and an array run in each shard, and each of their tasks is started exactly once."""
     owners = processes.owners()
     jobs = {}
     for number, (zone, shape) in enumerate(
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -1,4 +1,4 @@
-"""Shards: their settings, how they change hands, and who should own them."""
+"""Shards: their settings, the transfer of ownership, and the assignment of owners."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("shards", "named"),
+    ("shards", "message"),
     [
         pytest.param([], "there is none", id="no_shards"),
         pytest.param([("a", "abc")], None, id="one_shard"),
@@ -54,10 +54,10 @@
         ),
     ],
 )
-def test_the_check_command_names_what_is_wrong_with_a_division(
-    tmp_path: Any, capsys: Any, shards: list[tuple[str, ...]], named: str | None
+def test_check_command_reports_errors_in_a_division(
+    tmp_path: Any, capsys: Any, shards: list[tuple[str, ...]], message: str | None
 ) -> None:
-    """A wrong division ends the command with an exit code other than 0."""
+    """For an invalid division the exit code is not 0."""
     (tmp_path / "s.json").write_bytes(msgspec.json.encode(RAW_SETTINGS))
     specs = [
         {"name": name, "zones": list(zones), "pinned_to": pinned[0] if pinned else None}
@@ -65,16 +65,16 @@
     ]
     (tmp_path / "d.json").write_bytes(msgspec.json.encode({"shards": specs}))
     code = main(["check", str(tmp_path / "s.json"), "--shards", str(tmp_path / "d.json")])
-    assert code == (0 if named is None else 1)
-    assert (named or "good, shards") in "".join(capsys.readouterr())
+    assert code == (0 if message is None else 1)
+    assert (message or "good, shards") in "".join(capsys.readouterr())
 
 
-def test_a_second_division_of_the_fleet_is_refused() -> None:
+def test_second_division_of_the_fleet_is_refused() -> None:
     registry = ShardRegistry(TimedStore(Clock()))  # type: ignore[arg-type]
-    one = ShardSettings((ShardSpec("a", ("a", "b", "c")),))
-    assert not list(find_problems(one, settings()))
-    registry.ensure_division(one)
-    registry.ensure_division(one)
+    division = ShardSettings((ShardSpec("a", ("a", "b", "c")),))
+    assert not list(find_problems(division, settings()))
+    registry.ensure_division(division)
+    registry.ensure_division(division)
     with pytest.raises(DivisionDiffersError):
         registry.ensure_division(
             ShardSettings((ShardSpec("a", ("a",)), ShardSpec("b", ("b", "c"))))
@@ -90,12 +90,12 @@
         pytest.param(Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-2", id="while_settled"),
     ],
 )
-def test_an_impossible_move_is_refused(record: Ownership, target: str) -> None:
+def test_impossible_move_is_refused(record: Ownership, target: str) -> None:
     with pytest.raises(MoveRefusedError):
         begin_move(record, NodeName(target), set(NODES))
 
 
-def test_an_unreadable_record_stops_steps_of_its_own_shard_only() -> None:
+def test_unreadable_record_blocks_steps_of_its_own_shard_only() -> None:
     store = TimedStore(Clock())
     registry = ShardRegistry(store)  # type: ignore[arg-type]
     store.write_raw(OWNER_PREFIX + SHARD, b'{"owner":7}')
@@ -116,16 +116,16 @@
         pytest.param(Ownership("n-0", 3, Phase.SETTLED, "n-1"), "n-1", None, id="settled"),
     ],
 )
-def test_who_may_campaign_and_start_tasks_follows_the_phase(
+def test_phase_decides_who_may_campaign_and_start_tasks(
     record: Ownership, campaigns: str | None, starts: str | None
 ) -> None:
-    """Nobody campaigns for a sealed shard; the target of a settled one has to reconcile first."""
+    """No controller campaigns for a sealed shard; a settled shard's target reconciles first."""
     assert [node for node in NODES if record.may_campaign(node)] == [campaigns] * bool(campaigns)
     assert [node for node in NODES if record.may_start_tasks(node)] == [starts] * bool(starts)
 
 
 class OwnershipSimulation:
-    """Three controllers that take the steps of one shard's record, over a store with faults."""
+    """Three controllers that apply steps to one shard's record, over a store with faults."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -135,17 +135,17 @@
         self.leading: NodeName | None = None
         """The controller that holds the shard's lease."""
 
-    def act(self, node: NodeName, target: NodeName | None) -> None:
-        """Let a controller read the record and take the step that is up to it, if any."""
+    def take_step(self, node: NodeName, target: NodeName | None) -> None:
+        """Let a controller read the record and take the step that is due at it, if any."""
         registry = ShardRegistry(self.links[node])  # type: ignore[arg-type]
         try:
-            seen = registry.read([SHARD]).shards[SHARD]
-            record = seen.record
+            stored = registry.read([SHARD]).shards[SHARD]
+            record = stored.record
             if record is not None and record.may_hold_lease(node) and self.leading is None:
                 self.leading = node
             elif record is not None and not record.may_hold_lease(node) and self.leading == node:
                 self.leading = None
-            registry.apply_step(SHARD, seen, lambda record: self._step(record, node, target))
+            registry.apply_step(SHARD, stored, lambda record: self._step(record, node, target))
         except (StoreUnavailableError, MoveRefusedError):
             pass
 
@@ -166,7 +166,7 @@
         return repair(record, node, self.healthy)
 
     def inject_or_heal(self) -> None:
-        """Begin or end one fault, chosen at random."""
+        """Begin or end one random fault."""
         node = self.rng.choice(NODES)
         link = self.links[node]
         match self.rng.randrange(6):
@@ -187,8 +187,8 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_shard_has_one_owner_after_faults_at_any_step(seed: int) -> None:
-    """Controllers die at any step, answers are lost, writes come late; then all faults end."""
+def test_shard_has_one_owner_after_faults_at_any_step(seed: int) -> None:
+    """Controllers die at any step, answers are lost, writes are late; then all faults end."""
     rng = random.Random(seed)
     simulation = OwnershipSimulation(rng)
     epoch = 0
@@ -196,7 +196,7 @@
         if rng.random() < 0.3:
             simulation.inject_or_heal()
         node = rng.choice(sorted(simulation.healthy))
-        simulation.act(node, rng.choice(NODES) if rng.random() < 0.15 else None)
+        simulation.take_step(node, rng.choice(NODES) if rng.random() < 0.15 else None)
         found = ShardRegistry(simulation.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
         if found is not None:
             assert found.epoch >= epoch
@@ -208,7 +208,7 @@
         link.loses_answers = link.refused = False
     for _ in range(4):
         for node in sorted(simulation.healthy):
-            simulation.act(node, None)
+            simulation.take_step(node, None)
     last = ShardRegistry(simulation.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
     assert last is not None
     assert last.phase is Phase.OWNED
@@ -217,25 +217,27 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_the_plan_costs_the_least_and_is_stable(seed: int) -> None:
-    """No other assignment costs less, and a second plan from there moves nothing."""
+def test_plan_has_the_least_cost_and_is_stable(seed: int) -> None:
+    """No other assignment costs less, and a second plan from the result moves no shard."""
     rng = random.Random(seed)
     inputs = random_inputs(rng, 5, 3)
-    choices = [inputs.eligible_owners(shard) for shard in inputs.shards]
+    owners_by_shard = [inputs.eligible_owners(shard) for shard in inputs.shards]
     names = [shard.name for shard in inputs.shards]
-    everything = [dict(zip(names, each, strict=True)) for each in itertools.product(*choices)]
-    best = min(cost(inputs, each) for each in everything)
+    assignments = [
+        dict(zip(names, each, strict=True)) for each in itertools.product(*owners_by_shard)
+    ]
+    best = min(cost(inputs, each) for each in assignments)
     found = planner.plan(inputs)
-    assert found in everything
+    assert found in assignments
     assert cost(inputs, found) == pytest.approx(best, abs=1e-4)
     assert cost(inputs, greedy.assign(inputs)) >= best - 1e-9
     settled = [msgspec.structs.replace(shard, owner=found[shard.name]) for shard in inputs.shards]
-    again = msgspec.structs.replace(inputs, shards=settled)
-    assert not moved_shards(again, planner.plan(again))
+    replanned_inputs = msgspec.structs.replace(inputs, shards=settled)
+    assert not moved_shards(replanned_inputs, planner.plan(replanned_inputs))
     assert planner.next_move(inputs, found) in {*moved_shards(inputs, found), None}
 
 
-def test_the_plan_is_greedy_without_a_solver_or_a_solution(
+def test_plan_is_greedy_without_a_solver_or_a_solution(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     inputs = random_inputs(random.Random(3), 12, 4)
