--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -103,7 +103,7 @@
         """Resign once no start or write is in flight, or after MAX_DRAIN_S, and record that."""
         if leader is not None:
             waited_s = monotonic_now() - self._sealed_since[name]
-            if not leader.drained() and waited_s < MAX_DRAIN_S:
+            if not leader.is_quiesced() and waited_s < MAX_DRAIN_S:
                 return
             leader.resign(TermEndReason.SHARD_MOVING)
         self._apply_step(name, stored, lambda old: settle_move(old, self._node))
