--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -27,7 +27,7 @@
 from ryewing.sharding.shard_electors import ShardElectors
 from ryewing.units import MonotonicTime, NodeName, ShardName, monotonic_now
 
-MAX_DRAIN_S = 6.0
+MAX_QUIESCE_S = 6.0
 """How long the owner of a sealed shard waits for the outcome of starts and writes before it resigns
 anyway. Safety does not depend on the wait, but it leaves a successor less to reconcile."""
 START_GRACE_S = 5.0
@@ -93,17 +93,17 @@
         if ownership.phase is Phase.OWNED:
             self._hand_off_if_abstaining(name, stored, snapshot)
         elif ownership.phase is Phase.SEALED and ownership.owner == self._node:
-            self._settle_if_drained(name, stored, leader)
+            self._settle_if_quiesced(name, stored, leader)
         elif leader is not None and leader.term.state_loaded.is_set():
             self._apply_step(name, stored, lambda old: finish_move(old, self._node))
 
-    def _settle_if_drained(
+    def _settle_if_quiesced(
         self, name: ShardName, stored: StoredOwnership, leader: Leader | None
     ) -> None:
-        """Resign once no start or write is in flight, or after MAX_DRAIN_S, and record that."""
+        """Resign once no start or write is in flight, or after MAX_QUIESCE_S, and record that."""
         if leader is not None:
             waited_s = monotonic_now() - self._sealed_since[name]
-            if not leader.is_quiesced() and waited_s < MAX_DRAIN_S:
+            if not leader.is_quiesced() and waited_s < MAX_QUIESCE_S:
                 return
             leader.resign(TermEndReason.SHARD_MOVING)
         self._apply_step(name, stored, lambda old: settle_move(old, self._node))
