--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -170,11 +170,11 @@
     proportion to each shard's demand beyond that.
     """
     used = {shard: in_use.get(shard, ZERO_AMOUNT) for shard in demand}
-    rest = limit - sum(used.values(), start=ZERO_AMOUNT)
+    remaining = limit - sum(used.values(), start=ZERO_AMOUNT)
     unmet = {shard: amount - used[shard] for shard, amount in demand.items()}
     total_unmet = sum(unmet.values(), start=ZERO_AMOUNT)
-    cpus = _satisfiable_fraction(rest.cpus, total_unmet.cpus)
-    gpus = _satisfiable_fraction(rest.gpus, total_unmet.gpus)
+    cpus = _satisfiable_fraction(remaining.cpus, total_unmet.cpus)
+    gpus = _satisfiable_fraction(remaining.gpus, total_unmet.gpus)
     return {shard: used[shard] + unmet[shard].scaled(cpus, gpus) for shard in demand}
 
 
@@ -184,8 +184,8 @@
     No shard can use a fraction of a task: two shards with parts of 4.3 and 3.7 of 8 GPUs use 7.
     """
     needs = [
-        (amount, room)
-        for amount, room in (
+        (amount, unused)
+        for amount, unused in (
             (unit.cpus, target.cpus - used.cpus),
             (unit.gpus, target.gpus - used.gpus),
         )
@@ -193,7 +193,7 @@
     ]
     if not needs:
         return target
-    count = min(room / amount for amount, room in needs)
+    count = min(unused / amount for amount, room in needs)
     rounded = math.ceil(count - MIN_CHANGE) if round_up else math.floor(count + MIN_CHANGE)
     return used + unit.scaled(max(0, rounded), max(0, rounded))
 
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -72,7 +72,7 @@
 
 
 def utilization(inputs: PlanInputs, owners: Assignment) -> dict[NodeName, float]:
-    """Return the load of each controller under an assignment, as a fraction of its room."""
+    """Return the load of each controller under an assignment, as a fraction of its capacity."""
     loads = {node.name: 0.0 for node in inputs.nodes}
     for shard in inputs.shards:
         loads[owners[shard.name]] += shard.load
