--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -193,7 +193,7 @@
     ]
     if not needs:
         return target
-    count = min(unused / amount for amount, room in needs)
+    count = min(unused / amount for amount, unused in needs)
     rounded = math.ceil(count - MIN_CHANGE) if round_up else math.floor(count + MIN_CHANGE)
     return used + unit.scaled(max(0, rounded), max(0, rounded))
 
