--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -1,10 +1,10 @@
-"""Assigns shards to controllers by an integer program, solved by HiGHS within a time limit.
+"""Assigns shards to controllers by a mixed-integer program, solved by HiGHS within a time limit.
 
-No controller uses this module: controllers plan greedily (`greedy`). It is used by `planner.plan`
-and tools/measure_planner.py, and needs requirements-sharding.txt.
+Controllers do not use this module; they plan greedily (`greedy`). It is used by `planner.plan` and
+tools/measure_planner.py, and needs requirements-sharding.txt.
 
-There is one binary variable for each shard and controller that may own it. The utilization of the
-most utilized controller is a variable that bounds that of all, and its excess over 1 is another.
+The model has a binary variable for each pair of a shard and a controller that may own it. Another
+variable is an upper bound of all controllers' utilizations, and a last one is its excess over 1.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 
 def assign(inputs: PlanInputs, limit_s: float) -> Assignment:
-    """Return the assignment of the least cost that is found within `limit_s` seconds.
+    """Return the cheapest assignment that is found within `limit_s` seconds.
 
-    Raises NoSolutionError if none is found. `inputs` names at least one controller.
+    Raises NoSolutionError if none is found. `inputs` must have at least one controller.
     """
     model = highspy.Highs()
     model.setOptionValue("output_flag", False)
@@ -38,18 +38,20 @@
     peak = model.addVariable(lb=0.0, obj=PEAK_COST)
     overload = model.addVariable(lb=0.0, obj=OVERLOAD_COST)
     model.addConstr(overload >= peak - 1.0)
-    owns = {
+    ownership_vars = {
         (shard.name, node): model.addBinary(obj=_move_cost(shard, node))
         for shard in inputs.shards
-        for node in inputs.choices(shard)
+        for node in inputs.eligible_owners(shard)
     }
     for shard in inputs.shards:
-        model.addConstr(sum(owns[shard.name, node] for node in inputs.choices(shard)) == 1)
-    for room in inputs.nodes:
+        model.addConstr(
+            sum(ownership_vars[shard.name, node] for node in inputs.eligible_owners(shard)) == 1
+        )
+    for controller in inputs.nodes:
         terms = [
-            (shard.load / room.room) * owns[shard.name, room.name]
+            (shard.load / controller.room) * ownership_vars[shard.name, controller.name]
             for shard in inputs.shards
-            if (shard.name, room.name) in owns
+            if (shard.name, controller.name) in ownership_vars
         ]
         if terms:
             model.addConstr(sum(terms) <= peak)
@@ -59,7 +61,8 @@
     values = model.getSolution().col_value
     return {
         shard.name: max(
-            inputs.choices(shard), key=lambda node: values[owns[shard.name, node].index]
+            inputs.eligible_owners(shard),
+            key=lambda node: values[ownership_vars[shard.name, node].index],
         )
         for shard in inputs.shards
     }
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -1,7 +1,7 @@
-"""The settings of shards: which zones belong to which shard, read from a file and checked.
+"""The settings of shards: which zones belong to which shard, read from a file and validated.
 
-Each zone belongs to exactly one shard. The form of the file is in docs/sharding.md. Errors are
-`config.settings.SettingsError`, with the first problem.
+Each zone belongs to exactly one shard. docs/sharding.md describes the format of the file. Errors
+are `config.settings.SettingsError` with the first problem.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 from ryewing.units import NodeName, ShardName
 from ryewing.wire.codec import UNREADABLE
 
-NAME_LENGTH_MAX = 32
-BY_ZONES = "zones:"
-"""The prefix of an option that divides the fleet without a file."""
+MAX_NAME_LENGTH = 32
+ZONES_PREFIX = "zones:"
+"""The prefix of the option value that divides the fleet without a file."""
 
 
 class ShardSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The machines of one shard: all those of some zones.
+    """One shard, which contains all machines of some zones.
 
-    Whole zones, since machine types come and go, and a zone is lost or cut off as one.
+    Shards consist of whole zones because the set of machine types changes, and because a zone fails
+    or is disconnected as a whole.
     """
 
     name: str
     zones: tuple[str, ...]
     pinned_to: str | None = None
-    """The only controller that may own it while that one is healthy."""
+    """The only controller that may own the shard while that controller is healthy."""
 
 
 class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -40,7 +41,7 @@
     moves_allowed: bool = True
     """Whether controllers may move shards without an operator's command."""
     settle_s: float = 60.0
-    """For how many seconds a shard that has moved stays where it is."""
+    """How many seconds a shard stays with its owner after a move."""
 
     def names(self) -> list[ShardName]:
         """Return the shards' names, in the order of the file."""
@@ -48,19 +49,19 @@
 
 
 def parse_shards_option(text: str, settings: Settings) -> ShardSettings:
-    """Return the division that an option names, `zones:N` or a file; raise SettingsError."""
-    if not text.startswith(BY_ZONES):
+    """Return the division for an option value, `zones:N` or a file; raise SettingsError."""
+    if not text.startswith(ZONES_PREFIX):
         return load_shards(Path(text), settings)
-    count = text.removeprefix(BY_ZONES)
+    count = text.removeprefix(ZONES_PREFIX)
     if not count.isdecimal() or int(count) < 1:
-        raise SettingsError(f"{text}: give {BY_ZONES} and a number of shards from 1 up")
+        raise SettingsError(f"{text}: give {ZONES_PREFIX} and a number of shards from 1 up")
     return divide_by_zones(int(count), settings.params.zones)
 
 
 def divide_by_zones(count_max: int, zones: Sequence[str]) -> ShardSettings:
-    """Divide the zones, in alphabetical order, into `count_max` shards at most of similar size.
+    """Divide the zones, in alphabetical order, into at most `count_max` shards of similar size.
 
-    Each shard has at least one zone. The result depends on the settings alone, so it is the same on
+    Each shard has at least one zone. The result depends only on the settings, so it is the same on
     every controller.
     """
     count = min(count_max, len(zones))
@@ -75,21 +76,21 @@
 
 
 def load_shards(path: Path, settings: Settings) -> ShardSettings:
-    """Read and check a file of shard settings; raise SettingsError with the first problem."""
+    """Read and validate a file of shard settings; raise SettingsError with the first problem."""
     try:
         shards = msgspec.json.decode(path.read_bytes(), type=ShardSettings)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
     except (msgspec.ValidationError, *UNREADABLE) as error:
         raise SettingsError(f"{path}: {error}") from None
-    problem = next(problems(shards, settings), None)
+    problem = next(find_problems(shards, settings), None)
     if problem is not None:
         raise SettingsError(f"{path}: {problem}")
     return shards
 
 
-def problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
-    """Yield a line for each thing that is wrong with a division of the fleet."""
+def find_problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
+    """Yield a message for each error in a division of the fleet."""
     if not shards.shards:
         yield "shards: there is none"
     if not shards.settle_s >= 0:
@@ -113,9 +114,9 @@
     earlier: set[str] = set()
     for number, spec in enumerate(specs):
         name = spec.name
-        # The name is a part of keys in the store.
-        if not name or len(name) > NAME_LENGTH_MAX or not name.replace("-", "").isalnum():
-            yield f"shards[{number}].name: letters, digits and hyphens, at most {NAME_LENGTH_MAX}"
+        # The name becomes part of keys in the store.
+        if not name or len(name) > MAX_NAME_LENGTH or not name.replace("-", "").isalnum():
+            yield f"shards[{number}].name: letters, digits and hyphens, at most {MAX_NAME_LENGTH}"
         if name in earlier:
             yield f"shards[{number}].name: {name!r} is there twice"
         earlier.add(name)
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -1,6 +1,6 @@
-"""What one team's work in one shard uses, and what it should ask for of the team's limit.
+"""Computes what one team's tasks in one shard use, and what the shard requests of the team's limit.
 
-Amounts are in processors and GPUs; a resource that the team may use without a limit is left out.
+Amounts are in CPUs and GPUs; a resource for which the team has no limit counts as 0.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 
 from ryewing.config.settings import Team
 from ryewing.leader.term_context import TermContext
-from ryewing.sharding.allowance import NOTHING, Amount, Claim, limit_of, whole_tasks
+from ryewing.sharding.allowance import ZERO_AMOUNT, Amount, Claim, round_to_whole_tasks, team_limit
 from ryewing.state.jobs import Job
 from ryewing.units import MonotonicTime, TeamName, monotonic_now
 
-RESERVATION_S = 60.0
-"""For how long room is asked for without any start, and then for how long it is not asked for."""
+STALL_TIMEOUT_S = 60.0
+"""How long a demand is requested without a task being started; it is then withheld as long."""
 
 
 class RoundedTarget(NamedTuple):
-    """A part rounded to whole tasks."""
+    """A part rounded down and up to whole tasks."""
 
     down: Amount
     up: Amount
@@ -27,33 +27,33 @@
 class TeamDemand:
     """The demand of one team in one term.
 
-    Room that is kept for a gang lies idle until there is enough of it, and room that no machine has
-    lies idle as well, while another shard may have work and machines for it. So what was asked for
-    and brought no start in a minute is not asked for in the next one: without any such room a large
-    gang would never start beside a steady demand; without an end of it small work elsewhere would
-    wait for ever.
+    An amount that is reserved for a gang stays unused until it is large enough, and an amount for
+    which the shard has no machines stays unused too, while another shard may have tasks and
+    machines for it. Therefore a demand that led to no task start for STALL_TIMEOUT_S is not
+    requested for the same time afterwards. Without reservations, a large gang would never start
+    beside steady demand; without the pause, small jobs in other shards would wait forever.
     """
 
     def __init__(self, term: TermContext, team: Team) -> None:
         self._term = term
         self._team = team
-        self._last_running = NOTHING
+        self._last_running = ZERO_AMOUNT
         self._progress_at = monotonic_now()
-        """When a task was last started, or nothing waited."""
+        """When a task was last started, when no task was waiting, or when a pause ended."""
 
     @property
     def limit(self) -> Amount:
         """The team's limit over all shards."""
-        return limit_of(self._team)
+        return team_limit(self._team)
 
-    def note_progress(self, now: MonotonicTime) -> None:
-        """Record whether the team's work makes progress; to be called at each step of the limits.
+    def update_progress(self, now: MonotonicTime) -> None:
+        """Record whether the team's tasks make progress; called at each step of the limits.
 
-        A minute after the demand was given up for lack of progress, it is asked for again.
+        A demand that was withheld for lack of progress is requested again after STALL_TIMEOUT_S.
         """
         running = self.running()
-        started = running - self._last_running != NOTHING
-        if started or not self._waiting() or now - self._progress_at >= 2 * RESERVATION_S:
+        started = running - self._last_running != ZERO_AMOUNT
+        if started or not self._waiting() or now - self._progress_at >= 2 * STALL_TIMEOUT_S:
             self._progress_at = now
         self._last_running = running
 
@@ -65,7 +65,7 @@
         )
 
     def in_use(self) -> Amount:
-        """Return what the team may be using: unreconciled machines may be full of its tasks."""
+        """Return what the team may be using; unreconciled machines may be full of its tasks."""
         unreconciled = [machine.machine_type for machine in self._term.cluster.unreconciled()]
         return self.running() + self._limited_only(
             sum(machine_type.cpus for machine_type in unreconciled),
@@ -73,48 +73,48 @@
         )
 
     def requested(self) -> Amount:
-        """Return what running and waiting tasks would use, the team's limit at most."""
+        """Return what running and waiting tasks would use, at most the team's limit."""
         stalled = self._is_stalled()
         waiting = [
-            self._needed(job, 1 if stalled else job.shortfall) for job in self._jobs_asked_for()
+            self._required(job, 1 if stalled else job.shortfall) for job in self._requesting_jobs()
         ]
         return sum(waiting, start=self.running()).at_most(self.limit)
 
     def claim(self) -> Claim | None:
         """Return what the oldest waiting job needs at once to start; None if no job waits."""
         oldest = min(
-            self._jobs_asked_for(), key=lambda job: (job.accepted_at, job.id), default=None
+            self._requesting_jobs(), key=lambda job: (job.accepted_at, job.id), default=None
         )
         if oldest is None:
             return None
         if oldest.is_gang:
-            amount = self.running() + self._needed(oldest, oldest.shortfall)
+            amount = self.running() + self._required(oldest, oldest.shortfall)
         else:
-            amount = self._needed(oldest, 1)
+            amount = self._required(oldest, 1)
         return Claim(amount.at_most(self.limit), oldest.accepted_at)
 
-    def in_whole_tasks(self, target: Amount, requested: Amount) -> RoundedTarget:
+    def round_target(self, target: Amount, requested: Amount) -> RoundedTarget:
         """Round a part down and up to whole tasks of the smallest waiting job.
 
-        A part that satisfies all that is requested stays as it is.
+        A part that covers the whole request is not rounded.
         """
         waiting = self._waiting()
-        if requested - target == NOTHING or not waiting:
+        if requested - target == ZERO_AMOUNT or not waiting:
             return RoundedTarget(target, target)
         smallest = min(waiting, key=_task_size)
-        unit = self._needed(smallest, smallest.shortfall if smallest.is_gang else 1)
+        unit = self._required(smallest, smallest.shortfall if smallest.is_gang else 1)
         used = self.running()
         return RoundedTarget(
-            down=whole_tasks(target, used, unit, round_up=False),
-            up=whole_tasks(target, used, unit, round_up=True),
+            down=round_to_whole_tasks(target, used, unit, round_up=False),
+            up=round_to_whole_tasks(target, used, unit, round_up=True),
         )
 
     def _is_stalled(self) -> bool:
-        """Return whether no task was started for RESERVATION_S while some waited."""
-        return monotonic_now() - self._progress_at >= RESERVATION_S
+        """Return whether no task was started for STALL_TIMEOUT_S while tasks were waiting."""
+        return monotonic_now() - self._progress_at >= STALL_TIMEOUT_S
 
-    def _jobs_asked_for(self) -> list[Job]:
-        """List the jobs to ask for: while stalled, only the smallest one that is not a gang."""
+    def _requesting_jobs(self) -> list[Job]:
+        """List the jobs to request amounts for: while stalled, only the smallest non-gang job."""
         waiting = self._waiting()
         if not self._is_stalled():
             return waiting
@@ -126,15 +126,15 @@
         jobs = (table.jobs[job_id] for job_id in table.waiting)
         return [job for job in jobs if job.spec.team == self._team.name and job.shortfall > 0]
 
-    def _needed(self, job: Job, tasks: int) -> Amount:
+    def _required(self, job: Job, tasks: int) -> Amount:
         return self._limited_only(job.spec.cpus * tasks, job.spec.gpus * tasks)
 
     def _limited_only(self, cpus: float, gpus: float) -> Amount:
-        """Leave out a resource that the team may use without a limit."""
+        """Return an amount with 0 for each resource for which the team has no limit."""
         team = self._team
         return Amount(cpus if team.cpus_max else 0.0, gpus if team.gpus_max else 0.0)
 
 
 def _task_size(job: Job) -> tuple[float, float, str]:
-    """Sort key: jobs by what one task takes, GPUs first."""
+    """Return the sort key of a job: the resources of one task, GPUs first, then the job id."""
     return job.spec.gpus, job.spec.cpus, job.id
