--- a/src/ryewing/leader/heartbeat_effects.py
+++ b/src/ryewing/leader/heartbeat_effects.py
@@ -1,7 +1,7 @@
-"""Acts on what a newer heartbeat shows: terminates tasks, quarantines machines, wakes the loops.
+"""Acts on new heartbeats: terminates tasks, quarantines machines and wakes the loops.
 
-It makes no difference whether the worker sent the heartbeat by itself or in its answer to a direct
-message.
+A heartbeat in a worker's answer to a direct message has the same effects as one that the worker
+sent on its own.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 log = logging.getLogger(__name__)
 
-QUARANTINE_FAULTS = 2
-"""The healthy jobs that must have failed on a machine, none having finished there since, for it to
-be quarantined."""
+QUARANTINE_MIN_FAILED_JOBS = 2
+"""A machine is quarantined once this many healthy jobs have failed on it and no task has finished
+there since."""
 QUARANTINE_FLEET_DIVISOR = 8
-"""At most this fraction of the machines (one in eight) is quarantined at a time, but always one."""
+"""At most one in this many machines is quarantined at a time, but one machine always may be."""
 
 
 class HeartbeatEffects:
-    """Applies the consequences of heartbeats to a term; never waits."""
+    """Applies the consequences of heartbeats to a term; never blocks."""
 
     def __init__(self, term: TermContext, terminator: TaskTerminator) -> None:
         self._term = term
         self._terminator = terminator
 
     def apply(self, machine: Machine, now: MonotonicTime) -> None:
-        """Act on a machine's new state: terminate, evict, quarantine; wake the loops concerned."""
+        """Terminate and evict tasks, quarantine the machine if needed, and wake the other loops."""
         self._term.scheduling_needed.set()
         if self._term.job_table.dirty:
             self._term.writes_needed.set()
@@ -46,21 +46,21 @@
                 self._terminator.terminate(assignment, 0.0, TerminationReason.UNWANTED, now)
             elif machine.notice_s is not None:
                 self._terminator.evict(assignment, machine, now)
-        if len(machine.failed_jobs) >= QUARANTINE_FAULTS and not machine.quarantined:
+        if len(machine.failed_jobs) >= QUARANTINE_MIN_FAILED_JOBS and not machine.quarantined:
             self._quarantine(machine, now)
 
     def _quarantine(self, machine: Machine, now: MonotonicTime) -> None:
-        """Quarantine a machine on which several healthy jobs failed, unless too many are already.
+        """Quarantine a machine on which several healthy jobs failed, unless too many already are.
 
-        Found in a replay: a new leader did not know yet which jobs fail everywhere, and quarantined
-        healthy machines on which two of those jobs had failed.
+        Jobs that fail on every machine don't count. A new leader that did not know them yet
+        quarantined healthy machines on which two such jobs had failed.
         """
         if (
             sum(
                 self._term.cluster.failure_detector.is_healthy(job, now)
                 for job in machine.failed_jobs
             )
-            < QUARANTINE_FAULTS
+            < QUARANTINE_MIN_FAILED_JOBS
         ):
             return
         machines = self._term.cluster.machines
--- a/src/ryewing/leader/heartbeats.py
+++ b/src/ryewing/leader/heartbeats.py
@@ -1,7 +1,7 @@
-"""Answers heartbeats: whether this leader may answer, what the heartbeat shows, which commands.
+"""Handles heartbeats: decides whether to answer, applies the report and composes the commands.
 
-Safety arguments 3 (a machine that may hold tasks is known) and 5 (starts ride only in responses to
-heartbeats) of docs/design.md rest on this module. Nothing here waits.
+Safety arguments 3 (every machine that may hold tasks is known) and 5 (starts are sent only in
+responses to heartbeats) of docs/design.md depend on this module. Nothing here blocks.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_EXPECTED_S = 4.5
-"""A worker waits 4 s for the response to a heartbeat: this long after a newer message was received,
-no worker waits for the response to an older one."""
+STALE_HEARTBEAT_AFTER_S = 4.5
+"""An older heartbeat that arrives this long after the newest one gets no response: a worker waits
+only 4 s for a response, so the message is a late copy."""
 
 
 class HeartbeatHandler:
@@ -44,26 +44,26 @@
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Return the response to a heartbeat, or None if this node must not answer 200 now."""
         now = monotonic_now()
-        name = MachineId(heartbeat.machine)
-        if not self._may_answer(heartbeat, now) or name in self._term.released_machines:
+        machine_id = MachineId(heartbeat.machine)
+        if not self._may_answer(heartbeat, now) or machine_id in self._term.released_machines:
             return None
-        machine = self._term.cluster.machines.get(name)
+        machine = self._term.cluster.machines.get(machine_id)
         if machine is None:
             if term_of_token(heartbeat.token) != self._term.number:
-                # Nobody knows it, so it holds nothing (it is recorded before its first start): it
-                # is new, or the message is an old one sent in its name. Only the worker itself can
-                # show our token, which comes with this response. Found with copies of heartbeats
-                # that reached a new leader: machines long gone were recorded, and kept jobs waiting
-                # for a lease.
+                # An unknown machine holds no task, because machines are recorded before their
+                # first start. Either it is new or the message is an old copy. Only the worker
+                # itself can return the token of this term, which this response carries. Without
+                # this check, copies of old heartbeats made a new leader record machines that no
+                # longer existed, and jobs waited for the leases of those machines to expire.
                 return HeartbeatResponse(int(fencing_token(self._term.number)), [])
-            machine = self._add_unexpected(heartbeat, name, now)
+            machine = self._add_unexpected_machine(heartbeat, machine_id, now)
         return self._respond(machine, heartbeat, now)
 
     def _may_answer(self, heartbeat: Heartbeat, now: MonotonicTime) -> bool:
-        """Return whether this term may answer the worker; end the term if it is superseded."""
+        """Return whether this term may answer the worker; end the term if a later one exists."""
         if term_of_token(heartbeat.token) > self._term.number:
-            # The worker has seen a later leader: it would drop a 200 from here, yet it would keep
-            # sending to this node while its lease expires.
+            # The worker has seen a later leader's token. It would ignore a 200 from this node but
+            # keep sending its heartbeats here until its lease expires.
             self._term.end(TermEndReason.LATER_TOKEN)
             return False
         if (
@@ -72,37 +72,42 @@
             or not self._term.lease_validity.may_answer_workers(now)
         ):
             return False
-        # A shard's machines are counted and commanded by its own leader alone: if two leaders took
-        # one up, both would place tasks on it.
+        # Only the leader of a shard counts and commands its machines. If two leaders tracked the
+        # same machine, both would place tasks on it.
         return self._term.scope.covers(heartbeat.zone)
 
-    def _add_unexpected(self, heartbeat: Heartbeat, name: MachineId, now: MonotonicTime) -> Machine:
-        """Add a machine that shows this term's token but was neither recorded nor rented here."""
+    def _add_unexpected_machine(
+        self, heartbeat: Heartbeat, machine_id: MachineId, now: MonotonicTime
+    ) -> Machine:
+        """Add a machine that shows this term's token but was neither recorded nor rented by it."""
         machine = self._term.cluster.add(
-            name,
+            machine_id,
             self._term.machine_type(heartbeat.machine_type),
             Zone(heartbeat.zone),
             heartbeat.spot,
             now,
         )
         log.info(
-            "event=unexpected-machine machine=%s machine_type=%s", name, heartbeat.machine_type
+            "event=unexpected-machine machine=%s machine_type=%s",
+            machine_id,
+            heartbeat.machine_type,
         )
         return machine
 
     def _respond(
         self, machine: Machine, heartbeat: Heartbeat, now: MonotonicTime
     ) -> HeartbeatResponse | None:
-        """Apply a known machine's heartbeat and compose the response.
+        """Apply a known machine's heartbeat and return the response.
 
-        Return None for an old copy: nobody waits for its response, and it must renew no lease.
+        Return None for an old copy: no worker waits for the response, and the copy must not renew
+        a lease.
         """
         new_address = bool(heartbeat.address) and machine.address != heartbeat.address
         fresh = self._term.cluster.apply_heartbeat(machine, heartbeat, now, is_heartbeat=True)
         if (
             not fresh
             and machine.heard_at is not None
-            and now - machine.heard_at > RESPONSE_EXPECTED_S
+            and now - machine.heard_at > STALE_HEARTBEAT_AFTER_S
         ):
             return None
         if not machine.recorded or new_address:
@@ -111,16 +116,17 @@
         if fresh:
             self._effects.apply(machine, now)
         self._term.cluster.extend_lease(machine, now)
-        commands = self._compose(machine, heartbeat, fresh, now)
+        commands = self._compose_commands(machine, heartbeat, fresh, now)
         return HeartbeatResponse(int(self._term.cluster.token(machine)), commands)
 
-    def _compose(
+    def _compose_commands(
         self, machine: Machine, heartbeat: Heartbeat, fresh: bool, now: MonotonicTime
     ) -> list[Command]:
-        """Return the response's commands; mark the tasks whose starts are among them as sent.
+        """Return the commands of a response, and mark the tasks that it starts as sent.
 
-        Starts go only to a machine that is recorded, acknowledges its token and is not leaving, in
-        the response to a new heartbeat, while the lease is valid.
+        Starts are sent only in the response to a new heartbeat, only while the leader's lease is
+        valid, and only to a machine that is recorded, has acknowledged its token and is neither
+        being released nor under notice from the cloud.
         """
         commands = repeatable_commands(self._term, machine, now)
         if not fresh or not machine.acknowledges or not machine.recorded:
