--- a/src/ryewing/leader/gpu_demand.py
+++ b/src/ryewing/leader/gpu_demand.py
@@ -1,4 +1,4 @@
-"""How many GPUs were in demand lately."""
+"""The recent demand for GPUs."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from ryewing.state.jobs import Job
 from ryewing.units import MonotonicTime
 
-HALF_LIFE_S = 60.0
-"""Time in which the memory of past demand halves."""
+DEMAND_HALF_LIFE_S = 60.0
+"""The time in which the remembered peak of the demand halves."""
 
 
 class GpuDemand:
-    """Remembers the demand for GPUs: its peak, fading with time.
+    """Tracks the peak of the demand for GPUs, which decays exponentially.
 
-    Work with GPUs comes and goes; what was in demand a moment ago is likely to be again.
+    Work with GPUs comes and goes: GPUs that were needed a moment ago are likely to be needed again.
     """
 
     def __init__(self, cluster: ClusterState, now: MonotonicTime) -> None:
         self.gpus_wanted = 0.0
-        """The GPUs that were in use or waited for, with the peak halving each `HALF_LIFE_S`."""
+        """The peak number of GPUs in use or waited for, halved each `DEMAND_HALF_LIFE_S`."""
         self._cluster = cluster
-        self._noted_at = now
+        self._updated_at = now
 
-    def note(self, waiting: Iterable[Job], now: MonotonicTime) -> float:
-        """Note the present demand; return how many GPUs are wanted beyond those in use.
+    def update(self, waiting: Iterable[Job], now: MonotonicTime) -> float:
+        """Record the current demand; return how many GPUs are wanted beyond those in use.
 
-        So many free GPUs must be left usable by work without GPUs.
+        Work without GPUs must leave this many free GPUs usable.
         """
         in_use = sum(self._cluster.team_gpus.values())
         wanted = in_use + sum(job.shortfall * job.spec.gpus for job in waiting)
-        elapsed_s = now - self._noted_at
-        self._noted_at = now
-        faded = self.gpus_wanted * 0.5 ** (max(0.0, elapsed_s) / HALF_LIFE_S)
-        self.gpus_wanted = max(wanted, faded)
+        elapsed_s = now - self._updated_at
+        self._updated_at = now
+        decayed = self.gpus_wanted * 0.5 ** (max(0.0, elapsed_s) / DEMAND_HALF_LIFE_S)
+        self.gpus_wanted = max(wanted, decayed)
         return self.gpus_wanted - in_use
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -1,7 +1,7 @@
-"""Which jobs a scheduling cycle may place now, and which machines they avoid.
+"""Decides which jobs a scheduling cycle may place now, and which machines they avoid.
 
-A job with a shortfall may still have to wait: for its finished tasks to be written, for its
-backoff, for unreconciled machines that may run its tasks, or for what is left of its gang to stop.
+A job with missing tasks may have to wait until its finished tasks are written, its backoff is over,
+the machines that may run its tasks are reconciled, or the remaining tasks of its gang have stopped.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class JobEligibility:
-    """Decides whether a job may be placed, and prepares incomplete gangs for it."""
+    """Decides whether a job may be placed, and prepares incomplete gangs for placement."""
 
     def __init__(self, term: TermContext, terminator: TaskTerminator) -> None:
         self._term = term
@@ -32,28 +32,28 @@
     ) -> bool:
         """Return whether a job's missing tasks may be placed now.
 
-        `unreconciled_kinds` has one unreconciled machine of each kind. Of a gang that may not be
-        completed, the remaining tasks are stopped here.
+        `unreconciled_kinds` has one unreconciled machine of each kind. If a gang can't be
+        completed, this terminates its remaining tasks.
         """
         if job.cancelled or job.unwritten or now < job.backoff_until:
-            # A job's finished batch is written before the job is refilled.
+            # Finished tasks are written to the store before the job gets new tasks.
             return False
         if job.backoff_s and not self._may_probe(job, now):
             return False
         if job.inherited and _may_hold_tasks(job, unreconciled_kinds):
-            # Which of its tasks an unreconciled machine runs can't be known.
+            # An unreconciled machine may run any of its tasks.
             return False
         if job.lacks_members:
             return self._prepare_to_complete_gang(job, now)
         return True
 
     def avoids(self, job: Job, machine: Machine) -> bool:
-        """Return whether a job avoids a machine that failed it lately.
+        """Return whether a job avoids a machine on which it failed recently.
 
-        A job that fails everywhere avoids nothing: it avoided each machine for good, and new ones
-        were rented for it until it was cancelled. A machine may have recovered since, or have been
-        healthy, so it is avoided for `MACHINE_AVOIDANCE_S` only: a job that had failed on each one
-        waited for ever beside free room.
+        A job in backoff, which fails everywhere, avoids no machine: otherwise machines were rented
+        for it until it was cancelled, because it avoided all existing ones. Other jobs avoid a
+        machine only for `MACHINE_AVOIDANCE_S`, because it may have recovered or never have been at
+        fault: a job that had failed once on every machine waited forever despite free room.
         """
         if job.backoff_s:
             return False
@@ -61,9 +61,9 @@
         return failed_at is not None and monotonic_now() - failed_at <= MACHINE_AVOIDANCE_S
 
     def _may_probe(self, job: Job, now: MonotonicTime) -> bool:
-        """Return whether a job in backoff may be placed: one task shows whether it still fails.
+        """Return whether a job in backoff may be placed: one task at a time, as a probe.
 
-        Found in a replay: a task was placed in each cycle until the first of them had failed.
+        Without this check, each cycle placed another task until the first probe had failed.
         """
         failure_detector = self._term.cluster.failure_detector
         if failure_detector.end_backoff_if_recovered(job, now):
@@ -73,14 +73,14 @@
         return job.is_gang or not failure_detector.is_probing(job)
 
     def _prepare_to_complete_gang(self, job: Job, now: MonotonicTime) -> bool:
-        """Return whether a gang's missing tasks may be placed beside the others; else stop those.
+        """Return whether a gang's missing tasks may be placed; if not, terminate its other tasks.
 
-        Before the gang has started, a replacement with the same attempt completes it. Once it has
-        run, the attempt is lost: the remaining tasks must be gone before the next attempt.
+        A gang that has not started yet can be completed with replacements of the same attempt. Once
+        it has run, that attempt has failed, and its remaining tasks must end before the next one.
         """
         assignments = self._term.cluster.assignments_of(job)
         attempts = {assignment.attempt for assignment in assignments}
-        has_not_started = all(self._is_waiting(assignment) for assignment in assignments)
+        has_not_started = all(self._is_waiting_for_gang(assignment) for assignment in assignments)
         if has_not_started and len(attempts) == 1 and job.done_count == 0:
             job.gang_attempt = int(attempts.pop())
             return True
@@ -89,8 +89,8 @@
                 self._terminator.terminate(assignment, 0.0, TerminationReason.GANG_BROKEN, now)
         return False
 
-    def _is_waiting(self, assignment: Assignment) -> bool:
-        """Return whether a gang's task waits for the others: it neither runs nor is stopped."""
+    def _is_waiting_for_gang(self, assignment: Assignment) -> bool:
+        """Return whether a gang's task still waits for the others, and is not being terminated."""
         return assignment.phase not in (
             TaskPhase.RUNNING,
             TaskPhase.SAVING,
@@ -99,8 +99,8 @@
         )
 
 
-def one_of_each_kind(machines: Sequence[Machine]) -> list[Machine]:
-    """Return one machine of each type, zone and spot: all that decides which jobs may use it."""
+def one_machine_per_kind(machines: Sequence[Machine]) -> list[Machine]:
+    """Return one machine of each kind: of each machine type, zone and spot or on-demand."""
     return list({machine.kind: machine for machine in machines}.values())
 
 
--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -1,4 +1,4 @@
-"""Carries out what a scheduling cycle has decided: assigns tasks to machines and stops others."""
+"""Applies the plan of a scheduling cycle: assigns tasks to machines and terminates others."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 MIN_ATTEMPTS_LEFT = 1 << 20
-"""A term ends when it has no more attempts than this to give out: far more than a cycle plans."""
+"""A term ends once at most this many attempt numbers are left: far more than one cycle uses."""
 
 
 class PlanApplier:
@@ -41,19 +41,20 @@
         self._terminator = terminator
         self._early_heartbeats = early_heartbeats
         self.attempts_used = 0
-        """Attempts given out in this term."""
+        """The number of attempts assigned in this term."""
         self._reserved_for: JobId | None = None
-        """The gang for which the last cycle reserved machines."""
+        """The gang for which the last cycle reserved machines; None if there was none."""
 
     def is_out_of_attempts(self) -> bool:
-        """Return whether the term has too few attempts left for another cycle.
+        """Return whether the term has too few attempt numbers left for another cycle.
 
-        Attempts never repeat, so those of a term are bounded; the next term has new ones.
+        Attempt numbers never repeat and each term has a bounded range of them; the next term has
+        a new one.
         """
         return self.attempts_used > MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
 
     def apply(self, plan: Plan, now: MonotonicTime) -> None:
-        """Assign the tasks that a cycle has placed, and stop those that it has to stop."""
+        """Assign the tasks that a cycle has placed, and stop those to be preempted or moved."""
         self._log_reservation(plan.reservation)
         for batch in plan.batches:
             self._assign_tasks(batch, now)
@@ -64,7 +65,7 @@
             self._stop(assignment, TerminationReason.MOVED, now)
 
     def _log_reservation(self, reservation: Reservation | None) -> None:
-        """Log a reservation when it is made, not again in each cycle that keeps it."""
+        """Log a reservation in the first cycle that makes it, not in each cycle that keeps it."""
         if reservation is not None and reservation.job.id != self._reserved_for:
             log.info(
                 "event=reserved job=%s machines=%d", reservation.job.id, len(reservation.machines)
@@ -101,7 +102,7 @@
         )
 
     def _gang_attempt(self, job: Job) -> Attempt:
-        """Return the attempt that a gang's tasks share: that of its other members, if any."""
+        """Return the attempt that all tasks of a gang share: that of its assigned tasks, if any."""
         if job.assigned_tasks and job.gang_attempt is not None:
             return Attempt(job.gang_attempt)
         return self._next_attempt()
@@ -111,7 +112,7 @@
         return attempt_of(self._term.number, self.attempts_used)
 
     def _request_early_heartbeats(self, batches: Sequence[Batch], now: MonotonicTime) -> None:
-        """Ask the machines with new tasks to heartbeat soon, those with new replicas first."""
+        """Request early heartbeats of the machines with new tasks, those with replicas first."""
         planned: set[MachineId] = set()
         with_replicas: set[MachineId] = set()
         for batch in batches:
--- a/src/ryewing/leader/replica_moves.py
+++ b/src/ryewing/leader/replica_moves.py
@@ -1,7 +1,7 @@
-"""Which replicas should move to another machine.
+"""Chooses the replicas that should move to another machine.
 
-A replica may not run twice, so a move is a stop and then a start elsewhere, with a short gap. The
-scheduling cycle stops a replica chosen here only once there is room for it elsewhere.
+A replica must not run twice, so a move stops it before it starts elsewhere, with a short downtime.
+The scheduling cycle stops a replica chosen here only once it has found room for it elsewhere.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from ryewing.units import MonotonicTime
 
 MOVE_AFTER_CORDON_S = 30.0
-"""How long a machine must have been cordoned before a replica is moved off it."""
+"""How long a machine must have been cordoned before replicas are moved off it."""
 MOVE_DOWNTIME_S = 1.5
-"""The time for which a moved replica doesn't run."""
+"""The time during which a replica that is being moved doesn't run."""
 MOVE_DOWNTIME_SHARE = 0.0005
 """The share of a job class's replica time that moves off cordoned machines may cost. Without this
 bound and `MOVE_AFTER_CORDON_S`, a third of a service's replicas were moved within minutes of their
@@ -32,11 +32,11 @@
         self._moved_at: dict[str, MonotonicTime] = {}
         """By job class, when one of its replicas was last moved."""
 
-    def choose(self, now: MonotonicTime) -> list[Assignment]:
+    def choose_replicas(self, now: MonotonicTime) -> list[Assignment]:
         """Return the replicas that should run elsewhere.
 
-        Those are all replicas on machines that are about to go or are quarantined, and at most one
-        replica on a cordoned machine that only replicas keep from being released.
+        These are all replicas on machines that are quarantined or under notice from the cloud, and
+        at most one replica on a cordoned machine that could be released but for its replicas.
         """
         must_move: list[Assignment] = []
         may_move: list[Assignment] = []
@@ -45,7 +45,7 @@
                 continue
             if machine.notice_s is not None or machine.quarantined:
                 must_move.extend(self._movable_replicas(machine))
-            elif machine.cordoned and _only_replicas_keep(machine, now):
+            elif machine.cordoned and _only_replicas_prevent_release(machine, now):
                 may_move.extend(self._movable_replicas(machine))
         one_per_class = {
             assignment.job.spec.job_class: assignment
@@ -53,18 +53,18 @@
             if assignment.job is not None
         }
         for job_class, assignment in one_per_class.items():
-            if self._may_move_one_of(job_class, now):
+            if self._may_move_replica_of(job_class, now):
                 return [*must_move, assignment]
         return must_move
 
-    def note_moved(self, moves: list[Assignment], now: MonotonicTime) -> None:
-        """Note the replicas that were stopped in order to move."""
+    def record_moves(self, moves: list[Assignment], now: MonotonicTime) -> None:
+        """Record the replicas that were stopped in order to move."""
         for assignment in moves:
             if assignment.job is not None:
                 self._moved_at[assignment.job.spec.job_class] = now
 
     def _movable_replicas(self, machine: Machine) -> Iterator[Assignment]:
-        """Yield the replicas on a machine that aren't being stopped already."""
+        """Yield the replicas on a machine that are not being terminated yet."""
         return (
             assignment
             for assignment in machine.assignments.values()
@@ -75,10 +75,10 @@
             and not self._term.terminations.has(machine.id, assignment.task, assignment.attempt)
         )
 
-    def _may_move_one_of(self, job_class: str, now: MonotonicTime) -> bool:
-        """Return whether the class can spare another move; before its first, since the term began.
+    def _may_move_replica_of(self, job_class: str, now: MonotonicTime) -> bool:
+        """Return whether enough time has passed since the class's last move, or the term's start.
 
-        The more replicas a class has running, the more often one of them may move.
+        The more running replicas a class has, the more often one of them may move.
         """
         running = sum(
             job.running
@@ -89,8 +89,8 @@
         return now - self._moved_at.get(job_class, self._term.began_at) >= interval_s
 
 
-def _only_replicas_keep(machine: Machine, now: MonotonicTime) -> bool:
-    """Return whether a machine has been cordoned for long enough and runs nothing but replicas."""
+def _only_replicas_prevent_release(machine: Machine, now: MonotonicTime) -> bool:
+    """Return whether a machine has been cordoned for long enough and runs only replicas."""
     return now - machine.cordoned_since >= MOVE_AFTER_CORDON_S and all(
         assignment.job is not None and assignment.job.is_service
         for assignment in machine.assignments.values()
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -1,8 +1,8 @@
-"""The scheduling loop: when to run a scheduling cycle, and what one consists of.
+"""The scheduling loop: when a scheduling cycle runs, and the steps of a cycle.
 
-Which machines get which tasks is decided by `ryewing.scheduling`. Here a cycle's jobs are chosen
-(`job_eligibility`, `replica_moves`), its snapshot is taken (`snapshot_builder`) and its plan is
-carried out (`plan_applier`).
+`ryewing.scheduling` decides which machines get which tasks. This module chooses the jobs of a cycle
+(`job_eligibility`, `replica_moves`), builds the snapshot (`snapshot_builder`) and has the resulting
+plan applied (`plan_applier`).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ryewing.leader import backlog
 from ryewing.leader.early_heartbeats import EarlyHeartbeats
 from ryewing.leader.gpu_demand import GpuDemand
-from ryewing.leader.job_eligibility import JobEligibility, one_of_each_kind
+from ryewing.leader.job_eligibility import JobEligibility, one_machine_per_kind
 from ryewing.leader.plan_applier import PlanApplier
 from ryewing.leader.replica_moves import ReplicaMoves
 from ryewing.leader.snapshot_builder import SnapshotBuilder
@@ -32,23 +32,23 @@
 
 log = logging.getLogger(__name__)
 
-MIN_CYCLE_GAP_S = 0.2
-"""The shortest pause between cycles: a start waits for a heartbeat anyway, which takes half a
-second."""
-MAX_CYCLE_GAP_S = 1.0
-"""How long the loop waits for a change before it runs a cycle all the same."""
+MIN_CYCLE_PAUSE_S = 0.2
+"""The shortest pause between cycles. A shorter one would not help, because a start has to wait for
+the machine's next heartbeat, which takes half a second."""
+MAX_CHANGE_WAIT_S = 1.0
+"""How long the loop waits for a change before it runs a cycle without one."""
 CYCLE_PAUSE_FACTOR = 9.0
-"""The loop rests for this many times a cycle's length: cycles take a tenth of the time at most,
-so that a leader under constant load still answers workers, users and health checks first."""
+"""The pause after a cycle, as a multiple of the cycle's duration. Cycles take at most a tenth
+of the time, so that a leader under constant load answers workers, users and health checks first."""
 LOGGED_NAMES_MAX = 20
-"""Machines named in one line of the log."""
+"""How many machines are named in one log line."""
 
 
 class Scheduler:
-    """Runs the scheduling cycles of one term, and keeps what they found.
+    """Runs the scheduling cycles of one term, and keeps their results.
 
-    `scheduling_loop` is its greenlet, which the leader starts and stops. A cycle sends no request,
-    so no other greenlet runs between its snapshot and the end of its plan.
+    The leader runs `scheduling_loop` in a greenlet. A cycle sends no request, so no other greenlet
+    runs between taking the snapshot and applying the plan.
     """
 
     def __init__(
@@ -56,13 +56,13 @@
     ) -> None:
         self.term = term
         self.reconciled = False
-        """Every machine has been heard or waited for long enough (`check_reconciled`)."""
+        """Whether every machine has been heard or the wait has timed out (`check_reconciled`)."""
         self.unplaced: list[scheduling.Unplaced] = []
-        """Tasks for which the last cycle found no room, not even room to be released."""
+        """Tasks for which the last cycle found no room, including room that is being freed."""
         self.cycles = 0
-        """Cycles run in this term."""
+        """The number of cycles run in this term."""
         self.machines_examined = 0
-        """Machines that this term's cycles looked at one by one: their cost."""
+        """Machines that this term's cycles examined one by one: a measure of their cost."""
         self.rng = random.Random()
         self.plan_applier = PlanApplier(term, terminator, early_heartbeats)
         self._has_guarantees = any(team.cpus or team.gpus for team in term.settings.params.teams)
@@ -74,25 +74,25 @@
     # -- the loop -----------------------------------------------------------------------------
 
     def scheduling_loop(self) -> None:
-        """Run a cycle whenever something has changed, for a bounded share of the time."""
+        """Run a cycle after each change, using a bounded share of the time; never returns."""
         while True:
-            self.term.scheduling_needed.wait(MAX_CYCLE_GAP_S)
+            self.term.scheduling_needed.wait(MAX_CHANGE_WAIT_S)
             self.term.scheduling_needed.clear()
             began = time.perf_counter()
             if self.term.may_start_operations() and self.check_reconciled():
                 self.run_cycle()
             took_s = time.perf_counter() - began
-            gevent.sleep(max(MIN_CYCLE_GAP_S, self.pause_after_s(took_s)))
+            gevent.sleep(max(MIN_CYCLE_PAUSE_S, self.pause_after_s(took_s)))
 
     def pause_after_s(self, took_s: float) -> float:
-        """Return how long to rest after a cycle: longer where other terms may share the process."""
+        """Return the pause after a cycle: longer if other terms may run in the same process."""
         return ((CYCLE_PAUSE_FACTOR + 1.0) / self.term.scope.share - 1.0) * took_s
 
     def check_reconciled(self) -> bool:
-        """Return whether reconciliation is over: every machine heard, or waited for long enough.
+        """Return whether reconciliation is over: all machines were heard, or the wait timed out.
 
-        Until then no cycle may run: the tasks of an unreconciled machine are not known. The setting
-        `gather_s` bounds the wait.
+        No cycle may run before, because the tasks of an unreconciled machine are not known. The
+        policy's `gather_s` bounds the wait.
         """
         if self.reconciled:
             return True
@@ -114,7 +114,7 @@
     # -- one cycle ----------------------------------------------------------------------------
 
     def run_cycle(self) -> None:
-        """Plan tasks for the jobs that are short of them, and stop what has to make room, once."""
+        """Run one cycle: place missing tasks of jobs, and stop tasks that have to make room."""
         if self.plan_applier.is_out_of_attempts():
             self.term.end(TermEndReason.ATTEMPTS_USED_UP)
             return
@@ -124,36 +124,39 @@
         if self._has_guarantees:
             preemption.mark_guaranteed_jobs(self.term.job_table, self.term.teams)
         jobs = self._placeable_jobs(unreconciled, now)
-        moving = self._replica_moves.choose(now)
-        gpus_kept = self._gpu_demand.note(jobs, now)
-        if not jobs and not moving:
+        replicas_to_move = self._replica_moves.choose_replicas(now)
+        gpus_kept = self._gpu_demand.update(jobs, now)
+        if not jobs and not replicas_to_move:
             self.unplaced = []
             return
         for job in jobs:
-            self._snapshot_builder.note_spec(job)
-        jobs = self._in_order(jobs)
+            self._snapshot_builder.record_spec(job)
+        jobs = self._sort_jobs(jobs)
         overdue = queueing.overdue(jobs, wall_now())
         snapshot = self._snapshot_builder.build(unreconciled, gpus_kept, self.rng, now)
-        plan = scheduling.run_cycle(snapshot, jobs, overdue, moving)
+        plan = scheduling.run_cycle(snapshot, jobs, overdue, replicas_to_move)
         self.cycles += 1
         self.machines_examined += plan.machines_examined
         self.plan_applier.apply(plan, now)
-        self._replica_moves.note_moved(plan.moves, now)
+        self._replica_moves.record_moves(plan.moves, now)
         self.unplaced = plan.unplaced
 
     def _drop_stale_plans(self, now: MonotonicTime) -> None:
-        """Give up planned tasks whose machine has not fetched them within two heartbeats."""
+        """Drop planned tasks whose machine has not sent a heartbeat to fetch them in time.
+
+        The limit is two heartbeat intervals plus 2 s.
+        """
         self.term.cluster.drop_stale_plans(now, 2 * self.term.settings.params.workers.report_s + 2)
 
     def _placeable_jobs(self, unreconciled: Sequence[Machine], now: MonotonicTime) -> list[Job]:
-        """Return the jobs with a shortfall that may be placed now."""
-        unreconciled_kinds = one_of_each_kind(unreconciled)
+        """Return the jobs with missing tasks that may be placed now."""
+        unreconciled_kinds = one_machine_per_kind(unreconciled)
         job_table = self.term.job_table
         waiting = (job_table.jobs[job_id] for job_id in job_table.waiting)
         return [job for job in waiting if self._eligibility.may_place(job, unreconciled_kinds, now)]
 
-    def _in_order(self, jobs: list[Job]) -> list[Job]:
-        """Return the jobs in the order in which they get their turn."""
+    def _sort_jobs(self, jobs: list[Job]) -> list[Job]:
+        """Return the jobs in the order in which the cycle places them."""
         supplies = self._snapshot_builder.measure_supplies()
         objectives = self.term.settings.params.objectives
         return queueing.order(jobs, objectives, supplies.gpus, supplies.cpus, wall_now())
@@ -162,20 +165,20 @@
 
     @property
     def gpus_wanted(self) -> float:
-        """The GPUs that were in use or waited for lately (`GpuDemand`)."""
+        """The number of GPUs that were recently in use or needed by waiting jobs (`GpuDemand`)."""
         return self._gpu_demand.gpus_wanted
 
     def drain_s(self) -> float:
-        """Estimate how many seconds the unplaced work without GPUs would keep all machines busy."""
+        """Estimate the seconds that all machines would need for the unplaced work without GPUs."""
         return backlog.drain_s(self.term.cluster.machines.values(), self.unplaced)
 
     def backlog_share(self) -> float:
-        """Return what the unplaced tasks need as a share of the resources of all machines."""
+        """Return the resources that unplaced tasks need, as a share of those of all machines."""
         return backlog.backlog_share(self.term.cluster.machines.values(), self.unplaced)
 
 
 def abbreviate_names(names: Sequence[str]) -> str:
-    """List the first names, and say how many more there are."""
+    """Return the first names as a list for the log, and the number of those left out."""
     more = len(names) - LOGGED_NAMES_MAX
     listed = ",".join(names[:LOGGED_NAMES_MAX])
     return f"{listed},and-{more}-more" if more > 0 else listed
--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""What a scheduling cycle decides by, taken from the term's state."""
+"""Builds the input of a scheduling cycle from the term's state."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from ryewing.units import MonotonicTime
 from ryewing.wire.jobs import JobSpec
 
-FRESH_HEARTBEATS = 2.5
-"""Heartbeat intervals for which a machine counts as heard: a silent one gets no new task."""
+MAX_HEARTBEAT_AGE_INTERVALS = 2.5
+"""A machine gets no new task if its last heartbeat is older than this many heartbeat intervals."""
 RECENT_CLASSES_MAX = 32
-"""Job classes of which it is remembered what a task takes."""
+"""The number of job classes whose most recent spec is remembered."""
 
 
 class Supplies(NamedTuple):
-    """The supply of GPUs and of processors by which jobs are ordered."""
+    """The usable GPUs and processors of the fleet, by which jobs are ordered."""
 
     gpus: Supply
     cpus: Supply
 
 
 class SnapshotBuilder:
-    """Builds the snapshots of scheduling cycles, and remembers what recent tasks took."""
+    """Builds the snapshots of scheduling cycles, and remembers the specs of recent jobs."""
 
     def __init__(
         self, term: TermContext, early_heartbeats: EarlyHeartbeats, eligibility: JobEligibility
@@ -43,10 +43,10 @@
         self._eligibility = eligibility
         self._gpu_reserve = NO_RESERVE
         self._recent_specs: dict[str, JobSpec] = {}
-        """By job class, the spec of the last job that waited; services aside."""
+        """By job class, the spec of the last job that waited, except for services."""
 
-    def note_spec(self, job: Job) -> None:
-        """Remember what a waiting job's tasks take: others leave room for such tasks."""
+    def record_spec(self, job: Job) -> None:
+        """Record a waiting job's spec: the placement of other jobs leaves room for such tasks."""
         self._gpu_reserve = self._gpu_reserve.including(job)
         job_class = job.spec.job_class
         if not job.is_service and (
@@ -63,12 +63,14 @@
     ) -> SchedulingSnapshot:
         """Build a snapshot of the machines that may get tasks and of the teams' limits.
 
-        `gpus_kept`: so many free GPUs must be left usable by work without GPUs.
+        `gpus_kept` is the number of free GPUs that work without GPUs must leave usable.
         """
         cluster = self._term.cluster
-        fresh_since = now - FRESH_HEARTBEATS * self._term.settings.params.workers.report_s
+        fresh_since = (
+            now - MAX_HEARTBEAT_AGE_INTERVALS * self._term.settings.params.workers.report_s
+        )
         capacities = [
-            MachineCapacity(machine, self._tasks_being_stopped(machine))
+            MachineCapacity(machine, self._tasks_being_terminated(machine))
             for machine in cluster.machines.values()
             if machine.is_schedulable()
             and machine.heard_at is not None
@@ -98,9 +100,9 @@
         )
 
     def measure_supplies(self) -> Supplies:
-        """Sum up the machines' resources that can be used.
+        """Sum up the usable resources of all machines.
 
-        A free GPU without enough free processors beside it can't be.
+        A free GPU without enough free processors on its machine is not usable.
         """
         gpus, cpus = Supply(), Supply()
         cpus_per_gpu = max(self._gpu_reserve.cpus, MIN_CPUS_PER_GPU)
@@ -113,8 +115,8 @@
                 cpus.free += machine.free_cpus
         return Supplies(gpus, cpus)
 
-    def _tasks_being_stopped(self, machine: Machine) -> frozenset[Assignment]:
-        """Return a machine's tasks with a pending termination."""
+    def _tasks_being_terminated(self, machine: Machine) -> frozenset[Assignment]:
+        """Return the tasks of a machine that have a pending termination."""
         terminations = self._term.terminations
         if not terminations.has_any_on(machine.id):
             return frozenset()
