--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 MIN_ATTEMPTS_LEFT = 1 << 20
-"""A term ends once at most this many attempt numbers are left: far more than one cycle uses."""
+"""A term ends once fewer attempt numbers than this are left: far more than one cycle uses."""
 
 
 class PlanApplier:
@@ -60,9 +60,9 @@
             self._assign_tasks(batch, now)
         self._request_early_heartbeats(plan.batches, now)
         for assignment in plan.preemptions:
-            self._stop(assignment, TerminationReason.PREEMPTED, now)
+            self._terminate(assignment, TerminationReason.PREEMPTED, now)
         for assignment in plan.moves:
-            self._stop(assignment, TerminationReason.MOVED, now)
+            self._terminate(assignment, TerminationReason.MOVED, now)
 
     def _log_reservation(self, reservation: Reservation | None) -> None:
         """Log a reservation in the first cycle that makes it, not in each cycle that keeps it."""
@@ -77,17 +77,17 @@
         job = batch.job
         task_numbers = job.dequeue(sum(part.task_count for part in batch.parts))
         gang_attempt = self._gang_attempt(job) if job.is_gang else None
-        cold = sum(
+        cold_starts = sum(
             part.task_count for part in batch.parts if part.machine.warmth(job.spec.image) != WARM
         )
-        first = 0
+        offset = 0
         for machine, count in batch.parts:
-            for number in task_numbers[first : first + count]:
+            for number in task_numbers[offset : offset + count]:
                 attempt = gang_attempt or self._next_attempt()
                 self._term.cluster.assign(
                     machine, TaskId(job.id, number), attempt, TaskPhase.PLANNED, now
                 )
-            first += count
+            offset += count
         job.waiting_since = None
         self._term.job_table.reindex(job)
         log.info(
@@ -95,7 +95,7 @@
             job.id,
             len(task_numbers),
             ",".join(f"{machine.id}:{count}" for machine, count in batch.parts),
-            cold,
+            cold_starts,
             job.shortfall,
             job.guaranteed,
             wall_now() - job.accepted_at,
@@ -120,10 +120,12 @@
             planned |= machine_ids
             if batch.job.is_service:
                 with_replicas |= machine_ids
-        for machine_id in sorted(planned, key=lambda planned_id: planned_id not in with_replicas):
+        for machine_id in sorted(planned, key=lambda each_id: each_id not in with_replicas):
             machine = self._term.cluster.machines[machine_id]
             self._early_heartbeats.request(machine, now, machine_id in with_replicas)
 
-    def _stop(self, assignment: Assignment, reason: TerminationReason, now: MonotonicTime) -> None:
+    def _terminate(
+        self, assignment: Assignment, reason: TerminationReason, now: MonotonicTime
+    ) -> None:
         grace_s = assignment.job.grace_s if assignment.job is not None else 0.0
         self._terminator.terminate(assignment, grace_s, reason, now)
