--- a/src/ryewing/leader/final_states.py
+++ b/src/ryewing/leader/final_states.py
@@ -1,8 +1,8 @@
-"""The final states of jobs: when a job has ended, and whether the store has that it has.
+"""The final states of jobs: whether a job has ended, and whether its final state is stored.
 
 A final write removes the job's live record on condition of its version, so a cancel and a `done`
-can't both win (docs/design.md, safety argument 8). While a final write is under way, only the store
-knows the job's state (safety argument 9).
+can't both succeed (docs/design.md, safety argument 8). While a final write is in flight, only the
+store knows the job's state (safety argument 9).
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
         self._final_states = final_states
 
     def on_applied(self, revision: Revision) -> None:  # noqa: ARG002  as `Write` has it
-        """Forget the job, and pass its final state on."""
+        """Forget the job, and publish its final state."""
         self._final_states.finalise(self.job, self._status)
 
     def on_conflict(self, key: str) -> None:  # noqa: ARG002  as `Write` has it
-        """Find out what the store has instead."""
+        """Read the job's records to find out what changed."""
         self._final_states.read_back(self.job)
 
 
 class FinalStates:
-    """Owns which final states are under way."""
+    """Tracks the final states that are being written."""
 
     def __init__(
         self,
@@ -61,54 +61,54 @@
         self._finished_tasks = finished_tasks
         self._on_record = on_record
         self.pending: set[JobId] = set()
-        """Jobs whose final state may or may not be written: only the store can tell."""
+        """Jobs whose final state may or may not be stored: only the store knows."""
         self._unanswered: set[JobId] = set()
-        """Those of them for which a write got no answer: it may be carried out after later ones."""
+        """Pending jobs with a write that got no response: it may be executed after later ones."""
 
     def status(self, job: Job) -> str | None:
-        """Return how a job has ended; None if it has not, or may still have tasks somewhere."""
+        """Return a job's final state; None if it has not ended or may still have tasks running."""
         if not job.cancelled:
             return FinalState.DONE if job.complete else None
         if job.assigned_tasks or any(True for _ in self._term.cluster.unreconciled()):
             return None
         return FinalState.CANCELLED
 
-    def begin(self, jobs: Iterable[JobId]) -> None:
-        """Note that the final states of these jobs are being written."""
+    def mark_pending(self, jobs: Iterable[JobId]) -> None:
+        """Record that the final states of these jobs are being written."""
         self.pending.update(jobs)
 
-    def note_unanswered(self, jobs: Iterable[JobId]) -> None:
-        """Note that a write of these final states got no answer."""
+    def mark_unanswered(self, jobs: Iterable[JobId]) -> None:
+        """Record that a write of these final states got no response."""
         self._unanswered.update(jobs)
 
-    def note_answered(self, jobs: set[JobId]) -> None:
-        """Note that the outcome of a write is known.
+    def mark_answered(self, jobs: set[JobId]) -> None:
+        """Record that the outcome of a write is known.
 
-        A job with an earlier unanswered write stays pending. Found where the next try failed for
-        another key: the first one, still on its way, was carried out after that, and users were
-        told `running` from memory beside `done`.
+        A job with an earlier unanswered write stays pending, because that write may be executed
+        later. In one case the retry failed because of another key and the first write was executed
+        after it: users got `running` from memory although others had already got `done`.
         """
         self.pending -= jobs - self._unanswered
 
-    def settle(self, job: Job) -> None:
-        """Forget a job of which the store has no live record any more."""
+    def forget(self, job: Job) -> None:
+        """Forget a job whose live record is no longer in the store."""
         self._unanswered.discard(job.id)
         self.pending.discard(job.id)
         self._term.job_table.drop(job)
 
     def finalise(self, job: Job, status: str) -> None:
-        """Forget a job whose final state is in the store, and pass that state on."""
+        """Forget a job whose final state is in the store, and publish that state."""
         job.unwritten.clear()
         self._finished_tasks.forget(job)
         self._term.on_final(job.id, status)
-        self.settle(job)
+        self.forget(job)
         log.info("event=final job=%s status=%s tasks=%d", job.id, status, job.spec.task_count)
 
     def read_back(self, job: Job) -> None:
-        """Read what became of a job whose final write met another version of its record.
+        """Read the records of a job whose final write failed because its live record had changed.
 
-        A cancel won, or an earlier try was applied. Raise StoreUnavailableError if that can't be
-        read.
+        Either the job was cancelled or an earlier attempt of the write was executed. Raise
+        StoreUnavailableError if the store can't be read.
         """
         entry = self._term.store.get(live_key(job.id))
         if entry is not None:
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -153,7 +153,7 @@
         self._early_cancels.discard(job_id)
         job = self.term.job_table.get(job_id)
         if job is not None and not job.assigned_tasks:
-            self.writer.final_states.settle(job)
+            self.writer.final_states.forget(job)
 
     def _note_followed(self, asked_at: MonotonicTime) -> None:
         """Take note that all that was in the store at this time is known."""
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -101,7 +101,7 @@
         """
         if not self.term.state_loaded.is_set():
             return True
-        return not self.writer.in_flight() and not any(
+        return not self.writer.has_transaction_in_flight() and not any(
             machine.being_released
             or any(
                 assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()
--- a/src/ryewing/leader/paged_record_writer.py
+++ b/src/ryewing/leader/paged_record_writer.py
@@ -1,4 +1,4 @@
-"""Writes of paged records: many small records in few values of the store."""
+"""Writes paged records: many small records stored in few values."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PagedRecordWriter(ABC, Generic[RecordT]):
-    """Names the writes of one kind of paged records; a subclass says what follows from them."""
+    """Creates the writes of one kind of paged records; a subclass handles their completion."""
 
     def __init__(self, store: KeyValueStore, pages: PagedRecords) -> None:
         self.store = store
@@ -23,35 +23,37 @@
 
     @abstractmethod
     def on_written(self, records: Sequence[RecordT]) -> None:
-        """Act on the records of a page being in the store."""
+        """Handle that these records of a page are in the store."""
 
-    def writes(self, wanted: Mapping[int, Sequence[RecordT]], ops_max: int) -> list[Write]:
-        """Return the writes of pages, by their number, that the store lacks.
+    def writes(self, records_by_page: Mapping[int, Sequence[RecordT]], ops_max: int) -> list[Write]:
+        """Return the writes of those pages, given by number, whose changes are not stored yet.
 
-        The others are in the store already: it has them like this, or the change of another page
-        brought them along.
+        The records of the other pages are stored already: they did not change, or were written
+        along with another page.
         """
         writes: list[Write] = []
-        for number, records in wanted.items():
+        for number, records in records_by_page.items():
             if self.pages.is_dirty(number):
                 writes.append(PageWrite(self, number, records, ops_max))
             else:
                 self.on_written(records)
         return writes
 
-    def removals(self, wanted: Container[int], ops_max: int) -> list[Write]:
-        """Return the writes of changed pages without wanted records: records were dropped there."""
-        numbers = [number for number in self.pages.dirty_pages() if number not in wanted]
+    def removals(self, pages_with_records: Container[int], ops_max: int) -> list[Write]:
+        """Return the writes of the other changed pages, from which records were removed."""
+        numbers = [
+            number for number in self.pages.dirty_pages() if number not in pages_with_records
+        ]
         return [PageWrite(self, number, None, ops_max) for number in numbers]
 
 
 class PageWrite(Write, Generic[RecordT]):
     """The write of one page, together with the pages that must be written before it.
 
-    If those fill the transaction, the page itself comes with a later write.
+    If those fill the transaction, the page itself is written later.
     """
 
-    __slots__ = ("_change", "_number", "_records", "_writer")
+    __slots__ = ("_number", "_records", "_transaction", "_writer")
 
     def __init__(
         self,
@@ -60,24 +62,29 @@
         records: Sequence[RecordT] | None,
         ops_max: int,
     ) -> None:
-        change: PageTransaction = writer.pages.next_transaction(number, ops_max, TXN_BYTES)
-        super().__init__(writer.pages.key(number), change.ops, change.conditions, change.size_bytes)
+        transaction: PageTransaction = writer.pages.next_transaction(number, ops_max, TXN_BYTES)
+        super().__init__(
+            writer.pages.key(number),
+            transaction.ops,
+            transaction.conditions,
+            transaction.size_bytes,
+        )
         self._writer = writer
         self._number = number
         self._records = records
-        """The records whose writing is waited for; None if nothing waits for this write."""
-        self._change = change
+        """The records to report as written; None if nothing waits for this write."""
+        self._transaction = transaction
 
     def on_applied(self, revision: Revision) -> None:
-        """Note the new versions of the pages, and which records are in the store now."""
-        self._writer.pages.record_applied(self._change, revision)
-        if self._records is not None and self._number in self._change.modifications:
+        """Record the new versions of the pages, and report the records that are stored now."""
+        self._writer.pages.record_applied(self._transaction, revision)
+        if self._records is not None and self._number in self._transaction.modifications:
             self._writer.on_written(self._records)
 
     def on_conflict(self, key: str) -> None:
-        """Take note of the version that the store has of a page."""
+        """Read the page's current version from the store."""
         self._writer.pages.record_conflict(key, self._writer.store.get(key))
 
-    def on_refused(self) -> bool:
-        """Make the pages smaller, if that can help."""
-        return self._writer.pages.shrink_pages(self._change)
+    def on_rejected(self) -> bool:
+        """Shrink the pages, and return whether a retry may succeed."""
+        return self._writer.pages.shrink_pages(self._transaction)
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -1,8 +1,8 @@
-"""What a new leader reads back: the store's records, and what its predecessor told of images.
+"""Restores the state of a new term from the store and from the predecessor's image localities.
 
-The workers hold the truth about tasks; they are asked by a handshake afterwards. Jobs are read
-before their finished tasks, and everything after the failover, so that whatever an earlier leader
-wrote is known.
+Which tasks run is known only to the workers, which the leader queries afterwards by a handshake.
+Jobs are read before their finished tasks. Everything is read after the failover, so that all
+writes of earlier leaders are seen.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from ryewing.wire.cloud import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
-"""Added to the time for which machines may hold tasks of an earlier leader."""
+"""Added to the time during which machines may still hold tasks of an earlier leader."""
 
 
 class _ChunkName(NamedTuple):
-    """The name of one record of finished tasks."""
+    """The parsed name of one record of finished tasks, `<job>/<chunk>`."""
 
     job: JobId
     chunk: int | None
-    """None if the name has no number: the record can't be used."""
+    """None if the name has no valid number: the record is dropped."""
 
 
 def _parse_chunk_name(name: str) -> _ChunkName:
@@ -41,7 +41,7 @@
 
 
 class Recovery:
-    """Fills the parts of a new term with what the store has."""
+    """Initializes the parts of a new term from the records in the store."""
 
     def __init__(
         self,
@@ -58,9 +58,10 @@
         self._image_locality = image_locality
 
     def load(self) -> None:
-        """Read everything; may be repeated.
+        """Read all records and apply them; may be repeated.
 
-        Raise StoreUnavailableError if the store did not answer: everything has to be read again.
+        Raise StoreUnavailableError if the store does not answer: call this again to read all of it
+        anew.
         """
         now = monotonic_now()
         machine_types = self._autoscaler.machine_type_refresher.load_stored()
@@ -74,7 +75,7 @@
         self._load_rental_requests()
 
     def _load_jobs(self, now: MonotonicTime) -> None:
-        """Take up the live jobs, as of the revision from which they are watched."""
+        """Load the live jobs, and set the revision from which the watch continues."""
         entries, self._job_watcher.revision = self._term.store.listing(LIVE_PREFIX)
         for entry in entries:
             record = read_record(entry.data, entry.key)
@@ -83,41 +84,41 @@
         self._term.lease_validity.confirm_jobs(now)
 
     def _load_finished_tasks(self) -> None:
-        """Take up the finished tasks; those found twice are put together and written anew."""
+        """Load the finished tasks; merge duplicated records and have them written again."""
         entries, _ = self._term.store.listing(FINISHED_PREFIX)
         pages = self._writer.finished_tasks.pages
-        records, found_twice = pages.load(entries)
-        for name, bits in records:
+        records, duplicated = pages.load(entries)
+        for name, data in records:
             chunk_name = _parse_chunk_name(name)
-            job = self._finishing_job(chunk_name)
-            text = decode_stored(bits, str, name)
+            job = self._job_of_chunk(chunk_name)
+            text = decode_stored(data, str, name)
             if job is None or chunk_name.chunk is None or text is None:
                 pages.drop(name)
             else:
                 job.load_chunk(chunk_name.chunk, text)
                 self._term.job_table.reindex(job)
-        for name in found_twice:
+        for name in duplicated:
             chunk_name = _parse_chunk_name(name)
-            job = self._finishing_job(chunk_name)
+            job = self._job_of_chunk(chunk_name)
             if job is not None and chunk_name.chunk is not None:
                 pages.put(name, job.chunk_text(chunk_name.chunk))
 
-    def _finishing_job(self, chunk_name: _ChunkName) -> Job | None:
-        """Return the live job of a record of finished tasks; None for a service.
+    def _job_of_chunk(self, chunk_name: _ChunkName) -> Job | None:
+        """Return the live job of a record of finished tasks, if there is one.
 
-        Its replicas never finish, whatever a record says.
+        None for a service: its replicas never finish, so such a record is ignored.
         """
         job = self._term.job_table.get(chunk_name.job)
         return None if job is None or job.is_service else job
 
     def _load_machines(self, now: MonotonicTime) -> None:
-        """Take up the machines; those that were heard count as occupied (safety argument 3)."""
-        # Whoever led before may have answered workers until its hold ended, and the last of
-        # these answers keeps a worker's tasks for one lease.
+        """Load the machines; those recorded as heard may hold tasks (safety argument 3)."""
+        # An earlier leader may have answered workers until its hold ended, and its last answer
+        # allows a worker to keep its tasks for one more lease.
         lease_s = self._term.settings.params.workers.lease_s
         may_hold_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
-        records, found_twice = self._writer.machine_records.pages.load(entries)
+        records, duplicated = self._writer.machine_records.pages.load(entries)
         for name, raw in records:
             record = decode_stored(raw, MachineRecord, MACHINE_PREFIX + name)
             if record is None:
@@ -133,12 +134,12 @@
             if record.heard:
                 machine.recorded = True
                 machine.lease_expires_by = MonotonicTime(now + may_hold_s)
-        self._writer.machine_records.pending.update(MachineId(name) for name in found_twice)
+        self._writer.machine_records.pending.update(MachineId(name) for name in duplicated)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
-        """Take up which machines have which images, and the backoff of failing jobs."""
+        """Apply the images cached on machines, and the backoff of failing jobs."""
         self._term.cluster.restore_images(image_locality.images, image_locality.machines)
-        # Without it each new leader let whole batches of such jobs fail once more.
+        # Without the backoff, each new leader let whole batches of these jobs fail once more.
         for name, backoff_s in image_locality.failing.items():
             job = self._term.job_table.get(JobId(name))
             if job is not None and not job.done_count:
@@ -146,7 +147,7 @@
                 job.backoff_until = now
 
     def _load_rental_requests(self) -> None:
-        """Take up the recorded rental requests, to be repeated (safety argument 10)."""
+        """Load the recorded rental requests, which are then repeated (safety argument 10)."""
         entries, _ = self._term.store.listing(REQUEST_PREFIX)
         for entry in entries:
             request = decode_stored(entry.data, RentalRequest, entry.key)
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -1,7 +1,7 @@
-"""The loop that writes what the store lacks, in few transactions and within the write rate.
+"""The loop that writes a term's state to the store, batched and within the write rate.
 
-Every transaction has the condition of the term, so that a late one of an earlier leader fails
-(docs/design.md, safety argument 1). What is to be written is named by `machine_records`,
+Every transaction is conditional on the term, so that a delayed one of an earlier leader fails
+(docs/design.md, safety argument 1). The pending writes come from `machine_records`,
 `finished_task_records` and `final_states`.
 """
 
@@ -21,33 +21,34 @@
 from ryewing.leader.machine_records import MachineRecordWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.term_end_reason import TermEndReason
-from ryewing.leader.write import KeyRemoval, Write, choose_writes
+from ryewing.leader.write import KeyRemoval, Write, select_writes
 from ryewing.units import KeyVersion, MachineId, MonotonicTime, monotonic_now
 
 log = logging.getLogger(__name__)
 
-KEY_REMOVALS_AT_ONCE = 32
+MAX_KEY_REMOVALS_PER_ROUND = 32
+"""How many key removals are considered for one transaction."""
 WRITE_SHARE = 0.65
-"""The part of the write rate for terms; the rest is for renewals and accepting submissions."""
+"""The share of the write rate for terms. The rest is for lease renewals and submissions."""
 REJECTED_WRITE_RETRY_S = 30.0
-"""How long a change that the store won't take is left alone."""
+"""How long a write that the store rejected is not retried."""
 IDLE_WAIT_S = 1.0
-"""How long the loop waits for something to write before it looks by itself."""
+"""How long the loop waits to be woken before it looks for pending writes anyway."""
 NO_LEASE_PAUSE_S = 0.1
 RETRY_PAUSE_S = 0.2
 BATCHING_PAUSE_S = 0.08
-"""Lets finishes gather, so that one write carries many."""
+"""The pause between transactions, in which finished tasks accumulate for one write."""
 RATE_WAIT_MAX_S = 1.0
 
 
 class StateWriter:
-    """Owns the write rate of a term, and the one transaction that may be under way."""
+    """Owns the write rate of a term, and its single transaction in flight."""
 
     def __init__(
         self, term: TermContext, on_record: Callable[[str, msgspec.Raw, KeyVersion], None]
     ) -> None:
         self.term = term
-        # No notice comes of limits that fall: what is written keeps to the stricter ones.
+        # The store gives no notice when its limits fall, so writes keep to the stricter ones.
         limits = term.settings.params.state.strictest()
         self.machine_records = MachineRecordWriter(
             term.store, limits.value_kb, term.cluster, term.scheduling_needed
@@ -58,40 +59,40 @@
         self.final_states = FinalStates(term, self.finished_tasks, on_record)
         self._key_removals: OrderedDict[str, None] = OrderedDict()
         self._sending = False
-        self._ops_max = self._ops_allowed = limits.txn_ops
-        """How many changes a transaction may hold now, and by the settings."""
-        self._set_aside: dict[str, MonotonicTime] = {}
-        """Writes, by their key, that the store would not take, and until when they are left."""
+        self._ops_max = self._ops_limit = limits.txn_ops
+        """The bound on changes in one transaction: the current one, and that of the settings."""
+        self._rejected_until: dict[str, MonotonicTime] = {}
+        """By key of a rejected write: when it is to be retried."""
         rate = WRITE_SHARE * term.scope.share * limits.write_rps
         self.bucket = TokenBucket(rate, rate)
-        """The term's part of the write rate."""
+        """Limits the changes written per second to this term's share of the write rate."""
 
-    # -- what other parts of the term ask ---------------------------------------------------
+    # -- for other parts of the term --------------------------------------------------------
 
     def record_machine(self, machine: MachineId) -> None:
-        """Want a machine's record to be written."""
+        """Schedule the write of a machine's record."""
         self.machine_records.pending.add(machine)
 
     def forget_machine(self, machine: MachineId) -> None:
-        """Want the record of a machine that is gone to be removed."""
+        """Schedule the removal of the record of a machine that no longer exists."""
         self.machine_records.forget(machine)
 
     def remove_key(self, key: str) -> None:
-        """Want a key to be removed from the store."""
+        """Schedule the removal of a key from the store."""
         self._key_removals[key] = None
 
     def try_acquire_writes(self, changes: int) -> bool:
-        """Take room in the term's write rate for another part's changes, if there is some."""
+        """Take a number of changes from the term's write rate; return False if it is used up."""
         return self.bucket.take(changes)
 
-    def in_flight(self) -> bool:
-        """Return whether a transaction waits for its answer."""
+    def has_transaction_in_flight(self) -> bool:
+        """Return whether a transaction was sent and its response is still awaited."""
         return self._sending
 
     # -- the loop ---------------------------------------------------------------------------
 
     def write_loop(self) -> None:
-        """Write what is wanted, as fast as the rate permits, until the greenlet is killed."""
+        """Send pending writes as fast as the write rate permits, until the greenlet is killed."""
         while True:
             self.term.writes_needed.wait(IDLE_WAIT_S)
             self.term.writes_needed.clear()
@@ -109,41 +110,44 @@
             gevent.sleep(BATCHING_PAUSE_S)
 
     def write_once(self) -> bool:
-        """Write one transaction; return True if more is wanted.
+        """Write one transaction; return True if more writes are pending.
 
-        Raise StoreUnavailableError if it got no answer: it may have been carried out.
+        Raise StoreUnavailableError if the store did not answer; the transaction may have been
+        executed.
         """
         now = monotonic_now()
-        wanted = [
-            write for write in self._wanted_writes() if self._set_aside.get(write.key, now) <= now
+        pending = [
+            write
+            for write in self._pending_writes()
+            if self._rejected_until.get(write.key, now) <= now
         ]
-        if not wanted:
+        if not pending:
             return False
-        chosen = choose_writes(wanted, self._ops_max)
-        ops = [op for write in chosen for op in write.ops]
+        selected = select_writes(pending, self._ops_max)
+        ops = [op for write in selected for op in write.ops]
         if not self.bucket.take(len(ops)):
             gevent.sleep(min(RATE_WAIT_MAX_S, self.bucket.wait_s(len(ops))))
             return True
-        finals = {write.job.id for write in chosen if isinstance(write, FinalWrite)}
-        self.final_states.begin(finals)
+        finals = {write.job.id for write in selected if isinstance(write, FinalWrite)}
+        self.final_states.mark_pending(finals)
         try:
-            result = self._send(chosen, ops)
+            result = self._send(selected, ops)
         except RejectedError as error:
-            self.final_states.note_answered(finals)  # it was certainly not executed
-            self._on_rejected(chosen, len(ops), now, error)
+            self.final_states.mark_answered(finals)  # it was certainly not executed
+            self._on_rejected(selected, len(ops), now, error)
             return True
         except StoreUnavailableError:
-            self.final_states.note_unanswered(finals)
+            self.final_states.mark_unanswered(finals)
             raise
         if not result.ok and self.term.leadership.is_superseded(result):
             self.term.end(TermEndReason.FENCED)
             return False
-        self._take_result(chosen, result)
-        self.final_states.note_answered(finals)
-        return len(chosen) < len(wanted) or not result.ok
+        self._apply_result(selected, result)
+        self.final_states.mark_answered(finals)
+        return len(selected) < len(pending) or not result.ok
 
-    def _wanted_writes(self) -> list[Write]:
-        """Return the writes that the store lacks, the most urgent first."""
+    def _pending_writes(self) -> list[Write]:
+        """Return the pending writes, the most urgent first."""
         machines = self.machine_records.update_pages()
         writes = self.machine_records.writes(machines, self._ops_max)
         finishes: dict[int, list[PagedFinishes]] = {}
@@ -155,16 +159,16 @@
             elif not job.cancelled:
                 self.finished_tasks.update_pages(job, finishes)
         writes += self.finished_tasks.writes(finishes, self._ops_max)
-        # Nothing waits for removals: they come last.
+        # Removals come last because nothing waits for them.
         writes += self.machine_records.removals(machines, self._ops_max)
         writes += self.finished_tasks.removals(finishes, self._ops_max)
-        for key in list(self._key_removals)[:KEY_REMOVALS_AT_ONCE]:
+        for key in list(self._key_removals)[:MAX_KEY_REMOVALS_PER_ROUND]:
             writes.append(KeyRemoval(key, self._key_removals))
         return writes
 
-    def _send(self, chosen: Sequence[Write], ops: Sequence[Put | Remove]) -> TxnResult:
+    def _send(self, selected: Sequence[Write], ops: Sequence[Put | Remove]) -> TxnResult:
         conditions: dict[str, KeyVersion] = {}
-        for write in chosen:
+        for write in selected:
             conditions.update(write.conditions)
         self._sending = True
         try:
@@ -172,8 +176,8 @@
         finally:
             self._sending = False
 
-    def _take_result(self, chosen: Sequence[Write], result: TxnResult) -> None:
-        for write in chosen:
+    def _apply_result(self, selected: Sequence[Write], result: TxnResult) -> None:
+        for write in selected:
             if result.ok:
                 write.on_applied(result.revision)
                 continue
@@ -181,22 +185,23 @@
                 write.on_conflict(key)
 
     def _on_rejected(
-        self, chosen: Sequence[Write], ops: int, now: MonotonicTime, error: RejectedError
+        self, selected: Sequence[Write], ops: int, now: MonotonicTime, error: RejectedError
     ) -> None:
-        """Find out whether the store won't take the number of changes, or one of them.
+        """Find out whether the store rejects the number of changes or a particular change.
 
-        One value that can't be written must not hold up all others: when a refusal was taken for
-        an outage, the transaction was tried for ever.
+        Halve the transaction down to one small write, and postpone that one if it is rejected.
+        A value that can't be written must not block all others: when rejections were handled like
+        outages, the same transaction was retried forever.
         """
         log.error(
             "event=write-rejected changes=%d keys=%s error=%s",
             ops,
-            ",".join(write.key for write in chosen),
+            ",".join(write.key for write in selected),
             error,
         )
-        if len(chosen) > 1 or ops > 2:
+        if len(selected) > 1 or ops > 2:
             self._ops_max = max(2 if ops > 2 else 1, ops // 2)
             return
-        self._ops_max = self._ops_allowed
-        if not chosen[0].on_refused():
-            self._set_aside[chosen[0].key] = MonotonicTime(now + REJECTED_WRITE_RETRY_S)
+        self._ops_max = self._ops_limit
+        if not selected[0].on_rejected():
+            self._rejected_until[selected[0].key] = MonotonicTime(now + REJECTED_WRITE_RETRY_S)
--- a/src/ryewing/leader/write.py
+++ b/src/ryewing/leader/write.py
@@ -1,4 +1,4 @@
-"""Wanted changes of the store, and how many of them one transaction carries."""
+"""Pending writes to the store, and the selection of those that fit into one transaction."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ryewing.units import KeyVersion, Revision
 
 TXN_BYTES = 48 * 1024
-"""How many bytes one transaction may carry: below the 64 KiB that the store takes in all."""
+"""The bound on the size of one transaction, below the 64 KiB that the store accepts in total."""
 SMALL_WRITE_BYTES = 256
-"""What a change of a single small key counts towards `TXN_BYTES`."""
+"""The size at which a change of one small key is counted towards `TXN_BYTES`."""
 
 
 class Write(ABC):
-    """One wanted change of the store: on which versions, and what follows from its outcome."""
+    """One pending write: its changes, their conditions, and the handling of its outcome."""
 
     __slots__ = ("conditions", "key", "ops", "size")
 
@@ -28,61 +28,61 @@
         size: int = SMALL_WRITE_BYTES,
     ) -> None:
         self.key = key
-        """Identifies the change among all that are wanted."""
+        """Identifies this write among all pending ones."""
         self.ops = ops
         self.conditions = conditions
-        """The versions that the keys must have for the change to be applied."""
+        """By key, the version that it must have for the changes to be applied."""
         self.size = size
-        """Bytes in a transaction."""
+        """The bytes that this write adds to a transaction."""
 
     @abstractmethod
     def on_applied(self, revision: Revision) -> None:
-        """Act on the change being in the store, since this revision."""
+        """Handle that the changes were applied, at this revision of the store."""
 
     @abstractmethod
     def on_conflict(self, key: str) -> None:
-        """Act on a key being found to have another version; may read the store.
+        """Handle that a key has another version than expected; may read the store.
 
         Raise StoreUnavailableError if the store can't be read.
         """
 
-    def on_refused(self) -> bool:
-        """Act on the store not taking the change; return True if it is to be tried again."""
+    def on_rejected(self) -> bool:
+        """Handle that the store rejected this write; return True to retry it at once."""
         return False
 
 
 class KeyRemoval(Write):
-    """Removes a key that nobody needs any more, and then forgets that this was wanted."""
+    """Removes a key that is no longer needed, and then its entry in the pending removals."""
 
-    __slots__ = ("_wanted",)
+    __slots__ = ("_pending",)
 
-    def __init__(self, key: str, wanted: OrderedDict[str, None]) -> None:
+    def __init__(self, key: str, pending: OrderedDict[str, None]) -> None:
         super().__init__(key, [Remove(key)], {})
-        self._wanted = wanted
+        self._pending = pending
 
     def on_applied(self, revision: Revision) -> None:  # noqa: ARG002  as `Write` has it
-        """Take the key out of the wanted removals."""
-        self._wanted.pop(self.key, None)
+        """Remove the key from the pending removals."""
+        self._pending.pop(self.key, None)
 
     def on_conflict(self, key: str) -> None:
         """Do nothing: a removal has no conditions."""
 
 
-def choose_writes(wanted: Sequence[Write], ops_max: int) -> list[Write]:
-    """Choose the writes, from the first one on, that one transaction carries; at least one.
+def select_writes(pending: Sequence[Write], ops_max: int) -> list[Write]:
+    """Select writes for one transaction, in order, until it is full; at least one.
 
-    No key is written twice: a change that another chosen one already brings along is left out.
+    No key is written twice: a write is skipped if a selected one already includes one of its keys.
     """
-    chosen: list[Write] = []
+    selected: list[Write] = []
     keys: set[str] = set()
     ops = size = 0
-    for write in wanted:
+    for write in pending:
         if write.conditions.keys() & keys:
             continue
         ops += len(write.ops)
         size += write.size
-        if chosen and (ops > ops_max or size > TXN_BYTES):
+        if selected and (ops > ops_max or size > TXN_BYTES):
             break
-        chosen.append(write)
+        selected.append(write)
         keys |= write.conditions.keys()
-    return chosen
+    return selected
