--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -1,8 +1,8 @@
-"""Direct messages to workers: the queue of machines to contact and the exchanges under way.
+"""Direct messages to workers: the queues of machines to contact and the exchanges in progress.
 
-A direct message brings halts and clears sooner than the next heartbeat response would. Without any
-command it is the handshake of a new leader, the probe of a silent machine, or the bearer of a
-raised fencing token. Starts are never sent this way (safety argument 5 of docs/design.md).
+A direct message delivers halts and clears sooner than the next heartbeat response would. Without
+commands it serves as the handshake of a new leader, as the probe of a silent machine, or to deliver
+a raised fencing token. Starts are never sent this way (safety argument 5 of docs/design.md).
 """
 
 from __future__ import annotations
@@ -30,24 +30,24 @@
 log = logging.getLogger(__name__)
 
 BASE_SENDS_IN_FLIGHT = 24
-SENDS_SHARE = 0.02
+SENDS_PER_SOCKET = 0.02
 """The bound on concurrent exchanges is this share of the process's sockets, and at least
 `BASE_SENDS_IN_FLIGHT`. An exchange with a silent machine lasts two seconds, and the loss of a zone
 silences thousands of machines."""
-MAX_ROUNDS = 2
-"""Messages in one exchange: the second is sent if the worker's incarnation was not the one known,
-since a worker then executes nothing."""
+MAX_MESSAGES_PER_EXCHANGE = 2
+"""Messages in one exchange. The second is sent if the first named another incarnation than the
+worker's, because the worker then executes no command."""
 PROBE_AFTER_INTERVALS = 1.6
-"""The heartbeat intervals after which a silent machine is probed."""
+"""The number of heartbeat intervals after which a silent machine is probed."""
 
 
 def max_sends_in_flight(sockets: int) -> int:
-    """Return the bound on concurrent exchanges for a number of sockets."""
-    return max(BASE_SENDS_IN_FLIGHT, int(SENDS_SHARE * sockets))
+    """Return the bound on concurrent exchanges for a process with this many sockets."""
+    return max(BASE_SENDS_IN_FLIGHT, int(SENDS_PER_SOCKET * sockets))
 
 
 class DirectMessages:
-    """Owns the queue of machines to contact, the exchanges under way and their connections.
+    """Owns the queues of machines to contact, the exchanges in progress and their connections.
 
     Public for tests: `senders`, `other_queue`.
     """
@@ -55,32 +55,35 @@
     def __init__(
         self, term: TermContext, on_newer_heartbeat: Callable[[Machine, MonotonicTime], None]
     ) -> None:
-        """Take what to call when a worker's answer holds a newer heartbeat than was known."""
+        """Create empty queues.
+
+        `on_newer_heartbeat` is called when a worker's answer has a newer heartbeat than the last.
+        """
         self._term = term
         self._on_newer_heartbeat = on_newer_heartbeat
         sockets = int(term.scope.share * term.settings.params.resources.fd_limit)
         self.workers = Workers(sockets)
         self.senders = Group()
-        """The greenlets that work the queues off. Not a bounded pool: its spawn waits when it is
-        full, and a decision under way must not be interrupted."""
+        """The greenlets that process the queues. This is not a bounded pool, because spawning in a
+        full pool blocks, and callers must not be interrupted in the middle of a decision."""
         self._max_sends_in_flight = max_sends_in_flight(sockets)
         self._in_exchange: set[MachineId] = set()
         self._termination_queue: OrderedDict[MachineId, Machine] = OrderedDict()
-        """Machines with tasks to stop, in the order in which they will be contacted."""
+        """Machines with pending terminations, in the order in which they will be contacted."""
         self.other_queue: OrderedDict[MachineId, Machine] = OrderedDict()
-        """All other machines to contact, in their order."""
+        """All other machines to contact, in order."""
         self._other_queue_is_next = False
-        """The queues alternate: neither waits for the silent machines of the other."""
+        """The queues alternate, so that silent machines in one don't delay the other."""
 
     def stop(self) -> None:
-        """Kill the exchanges under way, without waiting for them to end."""
+        """Kill the exchanges in progress, without waiting for them to end."""
         self.senders.kill(block=False)
 
     def schedule(self, machine: Machine) -> None:
-        """Queue a direct message that carries the machine's halts and clears, if there are any.
+        """Queue a direct message with the machine's halts and clears, if it has any.
 
-        Never waits: machines beyond the bound on concurrent exchanges stay queued. Those with tasks
-        to stop don't queue behind machines that are only probed.
+        Never blocks: machines beyond the bound on concurrent exchanges stay queued. Machines with
+        pending terminations don't wait behind machines that are only probed.
         """
         if not machine.address or machine.id in self._in_exchange or self._term.stopped:
             return
@@ -102,7 +105,7 @@
             self.send(machine)
 
     def send(self, machine: Machine) -> None:
-        """Do one exchange with a worker; return when it has answered or can't be reached."""
+        """Run one exchange with a worker; return when it has answered or can't be reached."""
         self._in_exchange.add(machine.id)
         try:
             self._exchange(machine)
@@ -117,7 +120,7 @@
             return
         commands = repeatable_commands(self._term, machine, now)
         incarnation = max(1, machine.version.incarnation)
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_MESSAGES_PER_EXCHANGE):
             token = self._term.cluster.token(machine)
             known_version = machine.version
             heartbeat = self.workers.send(machine.address, token, incarnation, commands)
@@ -129,13 +132,16 @@
             self._apply_answer(machine, heartbeat, known_version)
             if heartbeat.incarnation == incarnation:
                 return
-            # The incarnation had changed: nothing was executed.
+            # The worker has another incarnation, so it executed no command.
             incarnation = heartbeat.incarnation
 
     def _apply_answer(
         self, machine: Machine, heartbeat: Heartbeat, known_version: HeartbeatVersion
     ) -> None:
-        """Apply the heartbeat in a worker's answer; `known_version` is that before the request."""
+        """Apply the heartbeat in a worker's answer.
+
+        `known_version` is the version of the machine's newest heartbeat before the request.
+        """
         now = monotonic_now()
         if HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence) < known_version:
             self._term.cluster.reset_worker(machine, now)
@@ -143,14 +149,14 @@
             self._on_newer_heartbeat(machine, now)
 
     def probe(self, now: MonotonicTime) -> None:
-        """Queue a message to machines whose heartbeat is late or that this term has not heard.
+        """Queue a message to each machine whose heartbeat is late or missing in this term.
 
-        Machines that can hold no task are left out.
+        Machines that can't hold tasks are skipped.
         """
-        late = PROBE_AFTER_INTERVALS * self._term.settings.params.workers.report_s
+        late_after_s = PROBE_AFTER_INTERVALS * self._term.settings.params.workers.report_s
         for machine in list(self._term.cluster.machines.values()):
             if machine.lease_expires_by is None:
                 continue
-            since = machine.heard_at if machine.heard_at is not None else self._term.began_at
-            if not machine.acknowledged_term or now - since > late:
+            silent_since = machine.heard_at if machine.heard_at is not None else self._term.began_at
+            if not machine.acknowledged_term or now - silent_since > late_after_s:
                 self.schedule(machine)
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -1,7 +1,7 @@
-"""Early heartbeats: brings a worker to send its next heartbeat before it is due.
+"""Early heartbeats: makes a worker send its next heartbeat before it is due.
 
-A start can only be sent in the response to a heartbeat. A worker sends one at once when a task is
-cleared and when its fencing token rises, the latter at most once in half a lease.
+A start can only be sent in the response to a heartbeat. A worker sends a heartbeat at once when a
+task is cleared or when its fencing token is raised, the latter at most once per half a lease.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from ryewing.state.machine import Machine
 from ryewing.units import MAX_TOKEN_BUMPS, MonotonicTime
 
-TOKEN_BUMP_EVERY = 0.51
-"""The leases between two raises of a worker's token: it sends a heartbeat for one in half a
-lease."""
-EARLY_HEARTBEAT_WITHIN = 0.7
-"""The heartbeat intervals since the last heartbeat after which an early one is not worth it."""
+TOKEN_BUMP_INTERVAL_LEASES = 0.51
+"""The time between two raises of a worker's token, in leases: a worker sends an early heartbeat for
+at most one raise per half a lease."""
+EARLY_HEARTBEAT_MAX_INTERVALS = 0.7
+"""No early heartbeat is requested this many intervals after the last one: the next is due soon."""
 EARLY_HEARTBEATS_PER_CORE = 60.0
-"""Messages a second and core that only make starts a little sooner: a tenth of the core."""
-MIN_HEARTBEAT_GAP_S = 0.5
+"""The rate limit of requests, per second and core; they take up to a tenth of the core's time and
+only make starts a little sooner."""
+MIN_HEARTBEAT_INTERVAL_S = 0.5
 """The shortest time between two heartbeats of a worker."""
 MIN_EARLY_HEARTBEAT_S = 0.1
-"""The shortest estimate of the time until a worker that is asked for an early heartbeat sends
-it."""
+"""The lower bound of the estimated time until a requested early heartbeat arrives."""
 
 
 class EarlyHeartbeats:
-    """Asks workers for early heartbeats, within a rate."""
+    """Requests early heartbeats of workers, within a rate limit."""
 
     def __init__(self, term: TermContext, direct_messages: DirectMessages) -> None:
         self._term = term
@@ -41,38 +41,39 @@
         self.bucket = TokenBucket(rate, rate)
 
     def next_heartbeat_in_s(self, machine: Machine, now: MonotonicTime) -> float:
-        """Estimate the seconds until a worker's next heartbeat, early if one may be requested."""
-        since = now - machine.heard_at if machine.heard_at is not None else math.inf
-        due = max(0.0, self._term.settings.params.workers.report_s - since)
+        """Estimate the seconds until a worker's next heartbeat, or an early one if possible."""
+        since_s = now - machine.heard_at if machine.heard_at is not None else math.inf
+        due_in_s = max(0.0, self._term.settings.params.workers.report_s - since_s)
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
-            return due
+            return due_in_s
         if self._may_bump_token(machine, now) or (
             machine.ended and clear_commands(self._term, machine)
         ):
-            return min(due, max(MIN_EARLY_HEARTBEAT_S, MIN_HEARTBEAT_GAP_S - since))
-        return due
+            return min(due_in_s, max(MIN_EARLY_HEARTBEAT_S, MIN_HEARTBEAT_INTERVAL_S - since_s))
+        return due_in_s
 
     def request(self, machine: Machine, now: MonotonicTime, urgent: bool = False) -> None:
-        """Ask a worker for an early heartbeat, so that its starts need not wait for the next one.
+        """Request an early heartbeat, so that a worker's starts need not wait for the next one.
 
-        Only machines with starts to fetch are asked, and within a rate unless it is urgent: a
-        message to every machine after each write took most of a leader's processor time when there
-        were hundreds of machines. All else that there is to send goes in the responses.
+        This is only for machines with planned tasks, and rate-limited unless `urgent`: a message to
+        every machine after each write took most of a leader's processor time with hundreds of
+        machines. All other commands wait for the next heartbeat response.
         """
         if machine.heard_at is None:
             return
         report_s = self._term.settings.params.workers.report_s
-        if not urgent and now - machine.heard_at > EARLY_HEARTBEAT_WITHIN * report_s:
-            return  # the next heartbeat is due anyway
+        if not urgent and now - machine.heard_at > EARLY_HEARTBEAT_MAX_INTERVALS * report_s:
+            return  # the next heartbeat is due soon
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
-            # A response with the lower token, overtaken by this message, would be dropped.
+            # If this message overtook the response with the start, the worker would drop that
+            # response because of its lower token.
             return
-        clears = bool(machine.ended) and bool(clear_commands(self._term, machine))
-        if not clears and not self._may_bump_token(machine, now):
+        has_clears = bool(machine.ended) and bool(clear_commands(self._term, machine))
+        if not has_clears and not self._may_bump_token(machine, now):
             return
         if not self.bucket.take() and not urgent:
             return
-        if not clears:
+        if not has_clears:
             machine.token_bumped_at = now
             machine.token_bumps += 1
         self._direct_messages.schedule(machine)
@@ -80,5 +81,5 @@
     def _may_bump_token(self, machine: Machine, now: MonotonicTime) -> bool:
         if machine.token_bumps >= MAX_TOKEN_BUMPS:
             return False
-        gap = TOKEN_BUMP_EVERY * self._term.settings.params.workers.lease_s
-        return machine.token_bumped_at is None or now - machine.token_bumped_at >= gap
+        min_interval_s = TOKEN_BUMP_INTERVAL_LEASES * self._term.settings.params.workers.lease_s
+        return machine.token_bumped_at is None or now - machine.token_bumped_at >= min_interval_s
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -1,4 +1,4 @@
-"""What a leader sees to several times a second, whatever else happens."""
+"""Periodic maintenance of a term, several times a second."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Maintenance:
-    """Sees to expired machine leases, stops that are due, and silent machines."""
+    """Expires machine leases, repeats terminations, and probes silent machines."""
 
     def __init__(
         self,
@@ -46,35 +46,36 @@
             self.run_once()
 
     def run_once(self) -> None:
-        """Do all that is due now; resign if this leader is cut off from its workers."""
+        """Do all maintenance that is due; resign if most workers can't be reached."""
         term = self._term
         now = monotonic_now()
-        self.reachability.note_round(now)
+        self.reachability.record_round(now)
         self._state_log.log_if_due(now)
         self._expire_leases(now)
         if not term.lease_validity.may_answer_workers(now):
             return
-        self._resend_stops(now)
+        self._resend_terminations(now)
         self._direct_messages.probe(now)
         if (
             term.settings.members
             and self._scheduler.reconciled
             and self.reachability.are_workers_unreachable(now)
         ):
-            # Another node may reach them; waiting for it costs every machine its tasks.
+            # Another node may be able to reach the workers. Without a change of leader, the leases
+            # of all machines would expire and their tasks be lost.
             self._lease_keeper.resign(TermEndReason.WORKERS_UNREACHABLE)
 
     def _expire_leases(self, now: MonotonicTime) -> None:
-        """Drop what was on machines whose lease has ended."""
+        """Drop the tasks of machines whose lease has expired."""
         for machine in self._term.cluster.expire_leases(now):
             log.info("event=lease-expired machine=%s", machine.id)
             self._term.scheduling_needed.set()
 
-    def _resend_stops(self, now: MonotonicTime) -> None:
-        """Send the stops again whose task is still reported, and forget those of gone machines."""
-        for name in list(self._term.terminations.due(now)):
-            machine = self._term.cluster.machines.get(name)
+    def _resend_terminations(self, now: MonotonicTime) -> None:
+        """Resend the terminations that are due; drop those of machines that no longer exist."""
+        for machine_id in list(self._term.terminations.due(now)):
+            machine = self._term.cluster.machines.get(machine_id)
             if machine is None:
-                self._term.terminations.remove_machine(name)
+                self._term.terminations.remove_machine(machine_id)
             else:
                 self._direct_messages.schedule(machine)
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -59,7 +59,7 @@
         self.final_states = FinalStates(term, self.finished_tasks, on_record)
         self._key_removals: OrderedDict[str, None] = OrderedDict()
         self._sending = False
-        self._ops_max = self._ops_limit = limits.txn_ops
+        self._ops_max = self._ops_max_by_settings = limits.txn_ops
         """The bound on changes in one transaction: the current one, and that of the settings."""
         self._rejected_until: dict[str, MonotonicTime] = {}
         """By key of a rejected write: when it is to be retried."""
@@ -202,6 +202,6 @@
         if len(selected) > 1 or ops > 2:
             self._ops_max = max(2 if ops > 2 else 1, ops // 2)
             return
-        self._ops_max = self._ops_limit
+        self._ops_max = self._ops_max_by_settings
         if not selected[0].on_rejected():
             self._rejected_until[selected[0].key] = MonotonicTime(now + REJECTED_WRITE_RETRY_S)
--- a/src/ryewing/leader/terminations.py
+++ b/src/ryewing/leader/terminations.py
@@ -1,4 +1,4 @@
-"""Terminates task attempts: those no longer wanted, and those on a machine about to be taken."""
+"""Terminates task attempts that are unwanted, or on a machine that the cloud will reclaim."""
 
 from __future__ import annotations
 
@@ -13,13 +13,12 @@
 
 log = logging.getLogger(__name__)
 
-FINISH_WITHIN = 0.7
-"""The share of the remaining notice within which a task must be expected to finish to be left
-running."""
+FINISH_WITHIN_NOTICE_SHARE = 0.7
+"""A task is left running if it is expected to finish within this share of the remaining notice."""
 
 
 class TaskTerminator:
-    """Creates the term's pending terminations; never waits."""
+    """Creates the term's pending terminations; never blocks."""
 
     def __init__(self, term: TermContext, direct_messages: DirectMessages) -> None:
         self._term = term
@@ -30,7 +29,8 @@
     ) -> None:
         """Terminate one task attempt, with `grace_s` seconds to save its progress.
 
-        If its start was not sent it is only dropped, else a pending termination is added and sent.
+        An attempt whose start was not sent is only dropped. For any other, a pending termination is
+        added and a direct message to the worker is queued.
         """
         machine = assignment.machine
         if assignment.phase == TaskPhase.PLANNED:
@@ -48,10 +48,10 @@
             self._direct_messages.schedule(machine)
 
     def evict(self, assignment: Assignment, machine: Machine, now: MonotonicTime) -> None:
-        """Let a task save its progress before the cloud takes its machine (graceful eviction).
+        """Let a task save its progress before the cloud reclaims its machine (graceful eviction).
 
-        A running task that should finish well within the notice is left to finish. A replica serves
-        on until the scheduler has room for it elsewhere.
+        A running task that should finish well within the notice is left running. A replica keeps
+        serving until the scheduler has found room for it on another machine.
         """
         job = assignment.job
         if job is None or assignment.phase == TaskPhase.SAVING or job.is_service:
@@ -59,14 +59,14 @@
         notice_left_s = (machine.notice_s or 0.0) - (now - machine.notice_received_at)
         if assignment.phase == TaskPhase.RUNNING and assignment.running_since is not None:
             remaining_s = job.estimate_s() - (now - assignment.running_since)
-            if remaining_s < FINISH_WITHIN * notice_left_s:
+            if remaining_s < FINISH_WITHIN_NOTICE_SHARE * notice_left_s:
                 return
         self._terminate_with_gang(assignment, job.grace_s, TerminationReason.DRAIN, now)
 
     def _terminate_with_gang(
         self, assignment: Assignment, grace_s: float, reason: TerminationReason, now: MonotonicTime
     ) -> None:
-        """Terminate a task, and if it is part of a gang all of them: a gang saves together."""
+        """Terminate a task, with all tasks of its gang: a gang saves its progress together."""
         job = assignment.job
         if job is None or not job.is_gang or job.spec.task_count == 1:
             self.terminate(assignment, grace_s, reason, now)
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -1,4 +1,4 @@
-"""Whether the leader is cut off from its workers: safety argument 12 in docs/design.md."""
+"""Detects that the leader is cut off from its workers (docs/design.md, safety argument 12)."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from ryewing.units import MonotonicTime
 
 MIN_MACHINES_HEARD = 4
-"""Of fewer machines nothing is concluded."""
+"""With fewer machines that were heard, the workers count as reachable."""
 SILENT_SHARE = 0.7
-"""A leader counts as cut off when more than this share of its machines is silent."""
+"""The leader counts as cut off if more than this share of its machines is silent."""
 PROBE_ANSWER_S = 0.5
-"""How long a late machine has to answer when asked directly, before it counts as silent."""
+"""How long a machine with a late heartbeat may take to answer a probe before it is silent."""
 STALL_S = 2.0
-"""Rounds of maintenance that lie further apart show that this process stood still."""
+"""A longer time between two maintenance rounds shows that this process was paused."""
 
 
 class WorkerReachability:
-    """Judges by their silence whether the workers can be reached."""
+    """Decides whether the workers can be reached, by how many of them are silent."""
 
     def __init__(self, cluster: ClusterState, report_s: float, began_at: MonotonicTime) -> None:
         self._cluster = cluster
         self._silent_after_s = PROBE_AFTER_INTERVALS * report_s + PROBE_ANSWER_S
         self._last_round_at = self._running_since = began_at
 
-    def note_round(self, now: MonotonicTime) -> None:
-        """Take note that the process runs, to notice when it stood still."""
+    def record_round(self, now: MonotonicTime) -> None:
+        """Record a maintenance round, to detect that the process was paused between two rounds."""
         if now - self._last_round_at > STALL_S:
             self._running_since = now
         self._last_round_at = now
 
     def are_workers_unreachable(self, now: MonotonicTime) -> bool:
-        """Return whether most machines fell silent at once, so that the fault is likely here.
+        """Return whether most machines became silent at once, so that the fault is likely here.
 
-        Each has missed a heartbeat and not answered when asked directly. Time in which this process
-        stood still does not count: found in replays, where a leader that was itself again resigned
-        for it, and left leadership alone for a while.
+        A silent machine has missed a heartbeat and not answered a probe. Time in which this process
+        was paused does not count: leaders that had just resumed resigned because of it, and for a
+        while no node led.
         """
         silent = known = 0
         for machine in self._cluster.machines.values():
