--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -1,7 +1,7 @@
 """The autoscaler loop of one term: replaces unhealthy machines, scales in and scales out.
 
-`ryewing.autoscaling` decides which machines; the requests to the cloud are made by `rentals`,
-`machine_releaser`, `cloud_inventory` and `machine_type_refresher`.
+`ryewing.autoscaling` decides which machines to rent and release. `rentals`, `machine_releaser`,
+`cloud_inventory` and `machine_type_refresher` make the requests to the cloud.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 STEP_EVERY_S = 0.5
 """The pause between two steps."""
 CLOUD_RETRY_S = 0.5
-"""The additional pause after the cloud did not answer."""
+"""The additional pause after a request that the cloud did not answer."""
 CORDON_SHARE = 0.01
 """The share of the machines that may be cordoned in one step; at least one may."""
-PLANS_PER_STEP = 2
-"""Rental requests made in one step."""
+RENTALS_PER_STEP = 2
+"""The most rental requests made in one step."""
 
 
 class Autoscaler:
-    """Owns the loop, and what makes the requests to the cloud."""
+    """Owns the loop, and the objects that make the requests to the cloud."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self.machine_type_refresher = MachineTypeRefresher(term, cloud)
 
     def autoscaling_loop(self) -> None:
-        """Take a step twice a second while the term may begin new work; never returns."""
+        """Run a step twice a second while the term may rent and release machines; never returns."""
         while True:
             gevent.sleep(STEP_EVERY_S)
             if not self._term.may_start_operations():
@@ -82,7 +82,7 @@
     def step(self) -> None:
         """Replace unhealthy machines, then scale in and out once reconciliation is over.
 
-        Raise CloudUnavailableError or StoreUnavailableError; the next step begins anew.
+        Raise CloudUnavailableError or StoreUnavailableError; the next step then starts over.
         """
         now = monotonic_now()
         unhealthy = self.unhealthy_machines(now)
@@ -100,7 +100,7 @@
         self.scale_out()
 
     def unhealthy_machines(self, now: MonotonicTime) -> list[Release]:
-        """Return the machines that are better released than waited for."""
+        """Return the machines that never booted, are silent or don't acknowledge their token."""
         return unhealthy_machines(
             self._term.cluster.machines.values(),
             self._term.began_at,
@@ -110,23 +110,23 @@
         )
 
     def cordon(self) -> None:
-        """Cordon machines with more GPUs than are wanted, a few at a time; uncordon the others."""
+        """Cordon machines with surplus GPUs, a few per step, and uncordon the others."""
         machines = self._term.cluster.machines.values()
-        wanted = machines_to_cordon(
+        to_cordon = machines_to_cordon(
             machines, self._scheduler.gpus_wanted, self._scheduler.drain_s(), self._term.policy
         )
         budget = max(1, int(CORDON_SHARE * len(machines)))
         for machine in machines:
-            if machine.cordoned and machine.id not in wanted:
+            if machine.cordoned and machine.id not in to_cordon:
                 machine.cordoned = False
                 self._term.scheduling_needed.set()
-            elif not machine.cordoned and machine.id in wanted and budget > 0:
+            elif not machine.cordoned and machine.id in to_cordon and budget > 0:
                 machine.cordoned = True
                 machine.cordoned_since = monotonic_now()
                 budget -= 1
 
     def _scale_in(self) -> None:
-        """Release idle machines that nothing waiting could use."""
+        """Release idle machines that no unplaced task could use."""
         idle = scale_in_candidates(
             self._term.cluster.machines.values(),
             self._scheduler.unplaced,
@@ -137,7 +137,7 @@
             self.releaser.release([Release(machine, ReleaseReason.IDLE) for machine in idle])
 
     def scale_out(self) -> None:
-        """Rent machines for tasks that found no room, beyond those that are booting."""
+        """Rent machines for unplaced tasks, in addition to the machines that are booting."""
         now = monotonic_now()
         plans = plan_scale_out(
             self._scheduler.unplaced,
@@ -147,13 +147,13 @@
             self._term.policy,
             now,
         )
-        for plan in plans[:PLANS_PER_STEP]:
+        for plan in plans[:RENTALS_PER_STEP]:
             if not self.rentals.request(plan):
                 return
 
 
 def _booting(machines: Iterable[Machine]) -> list[Machine]:
-    """Return the machines that take no tasks yet but should soon."""
+    """Return the machines that are not ready for tasks yet but soon should be."""
     return [
         machine
         for machine in machines
--- a/src/ryewing/leader/cloud_inventory.py
+++ b/src/ryewing/leader/cloud_inventory.py
@@ -1,6 +1,6 @@
-"""Compares the machines known to a term with the cloud's list, one page of it at a time.
+"""Compares the machines known to a term with the cloud's list, one page at a time.
 
-Lists are some seconds old, so what they lack or still have proves little by itself.
+A list is some seconds old, so a machine's presence or absence in a single list proves little.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 log = logging.getLogger(__name__)
 
 MISSED_LISTS_MAX = 2
-"""A machine known from lists alone is forgotten when so many in a row have lacked it."""
+"""A machine known only from lists is removed if this many lists in a row lack it."""
 FAILED_STATUS = "failed"
 """The status with which the cloud lists a machine that will never work."""
 
 
 class CloudInventory:
-    """Owns the reading of the cloud's list and what is known from lists alone."""
+    """Reads the cloud's list, and tracks the machines that are known only from lists."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._releaser = releaser
         self.listing = listing
         self._lists_missed: dict[MachineId, int] = {}
-        """For machines known from lists alone: how many lists in a row have lacked them."""
+        """For each machine known only from lists, how many lists in a row lacked it."""
 
     def read_page(self) -> None:
         """Read the list's next page: add unknown machines and addresses, release failed machines.
@@ -50,10 +50,12 @@
         failed = []
         page = self.listing.read_page(now)
         for listed in page.machines:
-            name = MachineId(listed.id)
-            if name in self._term.released_machines or not self._term.scope.covers(listed.zone):
-                continue  # gone, or another shard's, whose leader alone counts and releases it
-            machine = self._term.cluster.machines.get(name)
+            machine_id = MachineId(listed.id)
+            if machine_id in self._term.released_machines or not self._term.scope.covers(
+                listed.zone
+            ):
+                continue  # released, or of another shard, whose leader counts and releases it
+            machine = self._term.cluster.machines.get(machine_id)
             if machine is None:
                 machine = self._add_listed(listed, now)
             if listed.address and not machine.address:
@@ -68,7 +70,7 @@
             self._forget_unlisted(page.all_names)
 
     def _add_listed(self, listed: ListedMachine, now: MonotonicTime) -> Machine:
-        """Add a machine that only the list knows; it counts as booting until it is heard."""
+        """Add a machine known only from the list; it counts as booting until it is heard."""
         machine = self._term.cluster.add(
             MachineId(listed.id),
             self._term.machine_type(listed.machine_type),
@@ -81,21 +83,21 @@
         log.info("event=listed-machine machine=%s status=%s", machine.id, listed.status)
         return machine
 
-    def _forget_unlisted(self, names: frozenset[MachineId]) -> None:
-        """Forget machines that were listed once, were never heard, and are no longer listed.
+    def _forget_unlisted(self, listed_ids: frozenset[MachineId]) -> None:
+        """Remove machines that are known only from lists and are no longer listed.
 
-        Found by reading: lists are old, so a new leader took up machines that its predecessor had
-        released just before, and counted them as booting, for minutes. A list may be older than the
-        one before it, so two have to agree.
+        Because lists are old, a new leader may add machines that its predecessor released just
+        before, and would count them as booting for minutes. A list may be older than the previous
+        one, so a machine is removed only if two lists in a row lack it.
         """
-        for name in list(self._lists_missed):
-            machine = self._term.cluster.machines.get(name)
+        for machine_id in list(self._lists_missed):
+            machine = self._term.cluster.machines.get(machine_id)
             if machine is None or machine.heard_at is not None or machine.recorded:
-                del self._lists_missed[name]
-            elif name in names:
-                self._lists_missed[name] = 0
+                del self._lists_missed[machine_id]
+            elif machine_id in listed_ids:
+                self._lists_missed[machine_id] = 0
             else:
-                self._lists_missed[name] += 1
-                if self._lists_missed[name] >= MISSED_LISTS_MAX:
-                    del self._lists_missed[name]
+                self._lists_missed[machine_id] += 1
+                if self._lists_missed[machine_id] >= MISSED_LISTS_MAX:
+                    del self._lists_missed[machine_id]
                     self._term.cluster.remove(machine, monotonic_now())
--- a/src/ryewing/leader/lease_keeper.py
+++ b/src/ryewing/leader/lease_keeper.py
@@ -1,4 +1,4 @@
-"""The lease of one term: renewed while the term lasts, or given up."""
+"""Renews the lease of one term, or gives it up to end the term."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 log = logging.getLogger(__name__)
 
 RENEWALS_PER_LEASE = 4
-"""How often a lease is renewed in its time."""
+"""The number of renewals per lease duration."""
 RETRIES_PER_LEASE = 8
-"""How often a renewal is tried in the time of a lease while the store does not answer."""
+"""The number of retries per lease duration while the store does not answer."""
 RENEWAL_TIMEOUTS_PER_LEASE = 3
-"""A renewal waits for its answer for this fraction of a lease: a third."""
+"""A renewal times out after the lease duration divided by this number."""
 JOBS_NOT_FOLLOWED_S = 15.0
-"""A leader whose lease is renewed and that can't read the jobs for so long resigns."""
+"""A leader that renews its lease but has not been able to read the jobs for this long resigns."""
 
 
 class LeaseKeeper:
-    """Renews the lease and confirms the term's authority by it (docs/design.md, argument 2)."""
+    """Renews the lease, and so confirms the term's authority (docs/design.md, argument 2)."""
 
     def __init__(self, term: TermContext) -> None:
         self._term = term
@@ -39,7 +39,7 @@
             pause_s = lease_s / (RENEWALS_PER_LEASE if answered else RETRIES_PER_LEASE)
 
     def renew_once(self) -> bool:
-        """Ask the store to renew the lease; return False if it did not answer."""
+        """Renew the lease once; return False if the store did not answer."""
         term = self._term
         sent_at = monotonic_now()
         try:
@@ -59,15 +59,16 @@
         term.lease_validity.confirm_renewal(sent_at)
         jobs_known_at = max(term.lease_validity.jobs_known_at or term.began_at, term.began_at)
         if term.settings.members and sent_at - jobs_known_at > JOBS_NOT_FOLLOWED_S:
-            # It keeps the lease and may do nothing with it: another node may be able to read.
+            # This leader holds the lease but may not act, while another node may be able to read
+            # the jobs.
             self.resign(TermEndReason.JOBS_NOT_FOLLOWED)
         return True
 
     def resign(self, reason: TermEndReason) -> None:
-        """Leave leadership to another node.
+        """End the term, and give up the lease so that another node can lead.
 
-        The term's authority ends before the lease does: the end of the lease may be made known
-        late.
+        The term ends before the lease does, because the store's response may arrive late, when
+        another node already leads.
         """
         self._term.end(reason)
         try:
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -1,4 +1,4 @@
-"""Releases machines to the cloud, and forgets them once the cloud has confirmed it."""
+"""Releases machines to the cloud, and removes them once the cloud has confirmed it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 RELEASED_MACHINES_KEPT = 20_000
-"""How many released machines are remembered: copies of their messages may still arrive."""
+"""How many released machines are remembered, so that late copies of their messages are ignored."""
 
 
 class MachineReleaser:
@@ -34,16 +34,16 @@
         self.cloud = cloud
 
     def release(self, releases: Sequence[Release]) -> None:
-        """Release machines; when this returns, nothing on those released is there any more.
+        """Release machines, and remove them with their tasks from the term's state.
 
-        Only as many as one request takes; the others stay as they are. Raise CloudUnavailableError
-        if the cloud did not confirm; it may still carry the request out late, and until then the
-        machines are used as before.
+        Only as many machines as fit into one request are released; the others stay unchanged. Raise
+        CloudUnavailableError if the cloud did not confirm the request. The cloud may still execute
+        it later; until then the machines are used as before.
         """
         releases = releases[:RELEASE_MAX]
         if not self._term.may_start_operations():
-            # Requests were made, or the process stood still, since this was decided: a successor
-            # may use these machines by now.
+            # Other requests or a pause of the process may have taken time since the decision, so
+            # a successor may already use these machines.
             return
         for machine, _reason in releases:
             machine.being_released = True
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -1,7 +1,7 @@
-"""Rental requests: recorded in the store, sent to the cloud until answered, then forgotten.
+"""Rental requests: recorded in the store, sent to the cloud until answered, then removed.
 
-A request is recorded before it is sent, under a name that is never used again. A successor repeats
-the recorded requests and gets the same answers, so nothing is rented twice (safety argument 10 of
+A request is recorded before it is sent, under an id that is never reused. A new leader repeats the
+recorded requests and gets the same answers, so no machine is rented twice (safety argument 10 of
 docs/design.md).
 """
 
@@ -28,7 +28,7 @@
 
 
 class Rentals:
-    """Owns a term's rental requests, and the backoff from options without capacity."""
+    """Owns a term's rental requests, and the backoff for rental options without capacity."""
 
     def __init__(self, term: TermContext, writer: StateWriter, cloud: Cloud) -> None:
         self._term = term
@@ -36,18 +36,18 @@
         self.cloud = cloud
         self.backoff = CapacityBackoff()
         self.pending: dict[str, RentalRequest] = {}
-        """The recorded requests that the cloud has not answered, by id."""
-        self._requests = 0
+        """The requests that the cloud has not answered yet, by id."""
+        self._request_count = 0
 
     def request(self, plan: ScaleOutPlan) -> bool:
         """Record a request for a plan's best option and send it; False if the term was fenced.
 
-        Raise StoreUnavailableError or CloudUnavailableError, after which the request stays pending.
+        Raise StoreUnavailableError or CloudUnavailableError; the request then stays pending.
         """
         option = plan.options[0]
-        self._requests += 1
+        self._request_count += 1
         request = RentalRequest(
-            self._term.scope.rental_id(self._term.number, self._requests),
+            self._term.scope.rental_id(self._term.number, self._request_count),
             option.machine_type,
             option.zone,
             option.spot,
@@ -65,7 +65,7 @@
         return True
 
     def send_pending(self) -> None:
-        """Send all pending requests again. Raise CloudUnavailableError at the first unanswered."""
+        """Resend all pending requests; raise CloudUnavailableError at the first unanswered one."""
         for request in list(self.pending.values()):
             self.send(request)
 
@@ -75,42 +75,42 @@
             return
         option = RentalOption(request.machine_type, request.zone, request.spot)
         try:
-            names = self.cloud.rent(request)
+            machine_ids = self.cloud.rent(request)
         except NoCapacityError:
             log.info("event=no-capacity machine_type=%s zone=%s spot=%s", *option)
             self.backoff.record_no_capacity(option, monotonic_now())
-            names = []
-        self._add_machines(request, option, names)
+            machine_ids = []
+        self._add_machines(request, option, machine_ids)
         self.pending.pop(request.id, None)
-        # The records of the machines have to come before the request is forgotten: writes are made
-        # in this order.
+        # The machines must be recorded before the request is removed. The state writer writes
+        # machine records before it removes keys.
         self._writer.remove_key(REQUEST_PREFIX + request.id)
         self._term.writes_needed.set()
 
     def _add_machines(
-        self, request: RentalRequest, option: RentalOption, names: Sequence[MachineId]
+        self, request: RentalRequest, option: RentalOption, machine_ids: Sequence[MachineId]
     ) -> None:
-        """Add the machines that a request has brought."""
+        """Add the machines that were rented by a request, and update the backoff of its option."""
         now = monotonic_now()
-        if names:
-            if len(names) < request.count:
+        if machine_ids:
+            if len(machine_ids) < request.count:
                 self.backoff.record_no_capacity(option, now)
             else:
                 self.backoff.reset(option)
             log.info(
                 "event=rented count=%d requested=%d machine_type=%s zone=%s spot=%s rental=%s",
-                len(names),
+                len(machine_ids),
                 request.count,
                 *option,
                 request.id,
             )
-        for name in names:
+        for machine_id in machine_ids:
             machine = self._term.cluster.add(
-                name,
+                machine_id,
                 self._term.machine_type(request.machine_type),
                 Zone(request.zone),
                 request.spot,
                 now,
             )
             machine.rented_at = now
-            self._writer.record_machine(name)
+            self._writer.record_machine(machine_id)
