--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -47,7 +47,7 @@
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
             return due_in_s
         if self._may_bump_token(machine, now) or (
-            machine.ended and clear_commands(self._term, machine)
+            machine.ended_attempts and clear_commands(self._term, machine)
         ):
             return min(due_in_s, max(MIN_EARLY_HEARTBEAT_S, MIN_HEARTBEAT_INTERVAL_S - since_s))
         return due_in_s
@@ -68,7 +68,7 @@
             # If this message overtook the response with the start, the worker would drop that
             # response because of its lower token.
             return
-        has_clears = bool(machine.ended) and bool(clear_commands(self._term, machine))
+        has_clears = bool(machine.ended_attempts) and bool(clear_commands(self._term, machine))
         if not has_clears and not self._may_bump_token(machine, now):
             return
         if not self.bucket.take() and not urgent:
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -43,7 +43,7 @@
         if job.inherited and _may_hold_tasks(job, unreconciled_kinds):
             # An unreconciled machine may run any of its tasks.
             return False
-        if job.lacks_members:
+        if job.has_missing_members:
             return self._prepare_to_complete_gang(job, now)
         return True
 
