--- a/src/ryewing/leader/finished_task_records.py
+++ b/src/ryewing/leader/finished_task_records.py
@@ -1,6 +1,6 @@
-"""The finished tasks of live jobs that a term keeps in the store (`d/<n>`).
+"""The records of live jobs' finished tasks that a term keeps in the store (`d/<n>`).
 
-A worker's finished task is cleared, and its job refilled, only once the finish is in the store
+A finished task is cleared on its worker, and its job gets new tasks, only once the record is stored
 (docs/design.md, safety argument 7).
 """
 
@@ -19,14 +19,14 @@
 from ryewing.state.paged_records import PagedRecords
 
 
-class PagedFinishes(NamedTuple):
-    """Finished tasks of a job, by their numbers, that a page holds."""
+class PagedFinishedTasks(NamedTuple):
+    """A job's finished tasks, by number, that are recorded in one page."""
 
     job: Job
     tasks: set[int]
 
 
-class FinishedTaskWriter(PagedRecordWriter[PagedFinishes]):
+class FinishedTaskWriter(PagedRecordWriter[PagedFinishedTasks]):
     """Owns the records of finished tasks."""
 
     def __init__(
@@ -36,21 +36,21 @@
         self._job_table = job_table
         self._scheduling_needed = scheduling_needed
 
-    def update_pages(self, job: Job, by_page: dict[int, list[PagedFinishes]]) -> None:
-        """Bring the pages of a job's finished tasks up to date; add those tasks to `by_page`."""
+    def update_pages(self, job: Job, by_page: dict[int, list[PagedFinishedTasks]]) -> None:
+        """Update the pages with a job's finished tasks, and add these tasks to `by_page`."""
         for chunk in job.dirty_chunks():
             number = self.pages.put(finished_chunk_name(job.id, chunk), job.chunk_text(chunk))
             job.chunks_written.add(chunk)
             tasks = {index for index in job.unwritten if index // TASKS_PER_CHUNK == chunk}
-            by_page.setdefault(number, []).append(PagedFinishes(job, tasks))
+            by_page.setdefault(number, []).append(PagedFinishedTasks(job, tasks))
 
     def forget(self, job: Job) -> None:
         """Remove the records of a job that has ended."""
         for chunk in job.chunks_written:
             self.pages.drop(finished_chunk_name(job.id, chunk))
 
-    def on_written(self, records: Sequence[PagedFinishes]) -> None:
-        """Let the finished tasks be cleared, and their jobs be refilled."""
+    def on_written(self, records: Sequence[PagedFinishedTasks]) -> None:
+        """Let the finished tasks be cleared, and new tasks of their jobs be placed."""
         for job, tasks in records:
             job.unwritten -= tasks
             self._job_table.reindex(job)
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -1,4 +1,4 @@
-"""The live jobs as the store has them: followed by a watch, and what users ask about them."""
+"""Follows the live jobs in the store by a watch, and answers status queries and cancels."""
 
 from __future__ import annotations
 
@@ -20,35 +20,37 @@
 log = logging.getLogger(__name__)
 
 JOB_BYTES = 4096
-"""What a live job takes, tasks on machines aside: 1.8 KiB as measured, with room to spare."""
+"""The memory allowance for one live job without its assignments: 1.8 KiB were measured, plus a
+margin."""
 JOBS_MEMORY_SHARE = 0.25
-"""The part of the process's memory that live jobs may take."""
+"""The share of the process's memory that live jobs may use."""
 WATCH_S = 1.0
-"""How long a watch waits: the leader's authority counts from the send of the last answered one."""
+"""How long a watch waits for changes. It has to be short, because the leader's authority counts
+from the time at which the last answered watch was sent."""
 RETRY_PAUSE_S = 0.3
-"""How long to wait before the store is asked again after it did not answer."""
+"""The pause before a retry after the store did not answer."""
 
 
 class JobWatcher:
-    """Owns the revision of the store up to which the jobs are known."""
+    """Tracks the live jobs, and the revision of the store up to which they are known."""
 
     def __init__(self, term: TermContext, writer: StateWriter, terminator: TaskTerminator) -> None:
         self.term = term
         self.writer = writer
         self.terminator = terminator
         self.revision = Revision(0)
-        """All changes of the jobs up to this one are known."""
+        """All changes of the jobs up to this revision are known."""
         self._early_cancels: set[JobId] = set()
-        """Jobs that were cancelled before they were known here. Kept until a watch that was asked
-        for later has brought all that the store has."""
+        """Jobs that were cancelled before they were known here. They are kept until a watch that
+        was sent later has been answered."""
 
-    # -- what users ask ---------------------------------------------------------------------
+    # -- users' requests --------------------------------------------------------------------
 
     def job_status(self, job_id: JobId) -> JobStatus | None:
-        """Return a job's state, or None if only the store can tell.
+        """Return a job's status, or None if it can only be read from the store.
 
-        While a final write is under way nobody but the store knows whether it was applied; an
-        answer from memory might be older than what a reader of the store has told a user
+        While a final write is in flight, only the store knows whether it was applied. An answer
+        from memory might then be older than one that a user already got from the store
         (docs/design.md, safety argument 9).
         """
         if (
@@ -61,11 +63,11 @@
         return job.status() if job is not None else None
 
     def apply_cancel(self, job_id: JobId) -> bool:
-        """Take in a cancel that the store has; True once no older state can be told from here.
+        """Apply a cancel that the store has; True once no older status is returned from here.
 
-        The job may not be known yet, because this term still reads the store or because the watch
-        lags: what is on its way may be older than the cancel. Found where a job was cancelled in
-        the second in which its leader changed.
+        The job may not be known yet, because this term is still reading the store or because the
+        watch lags, and a record that arrives later may be older than the cancel. This happened to a
+        job that was cancelled within a second of a change of leader.
         """
         job = self.term.job_table.get(job_id)
         if job is None:
@@ -75,15 +77,15 @@
         return True
 
     def job_memory_full(self) -> bool:
-        """Return whether more jobs would endanger the memory of this process."""
+        """Return whether the live jobs use up their share of the process's memory."""
         memory_mb = self.term.scope.share * self.term.settings.params.resources.mem_mb
         capacity_bytes = memory_mb * JOBS_MEMORY_SHARE * 1e6
         return len(self.term.job_table.jobs) * JOB_BYTES >= capacity_bytes
 
-    # -- following the store ----------------------------------------------------------------
+    # -- the watch --------------------------------------------------------------------------
 
     def watch_loop(self) -> None:
-        """Follow the jobs in the store (new ones, cancels, final states) until killed."""
+        """Follow the jobs in the store (new jobs, cancels, final states) until killed."""
         while True:
             try:
                 self.watch_once()
@@ -93,12 +95,12 @@
                 gevent.sleep(RETRY_PAUSE_S)
 
     def watch_once(self) -> None:
-        """Wait for changes of the jobs, and take them in.
+        """Wait for changes of the jobs, and apply them.
 
-        Raise WatchExpiredError if all jobs have to be read anew, StoreUnavailableError if the store
-        did not answer.
+        Raise WatchExpiredError if all jobs have to be read again, and StoreUnavailableError if the
+        store did not answer.
         """
-        asked_at = monotonic_now()
+        sent_at = monotonic_now()
         changes = self.term.store.watch(LIVE_PREFIX, self.revision, WATCH_S)
         for change in changes.log:
             if change.set is not None:
@@ -106,12 +108,12 @@
             elif change.remove is not None:
                 self._on_removed(JobId(change.remove[len(LIVE_PREFIX) :]))
         self.revision = Revision(max(self.revision, changes.revision))
-        self._note_followed(asked_at)
+        self._confirm_jobs_known(sent_at)
         if changes.log:
             self.term.scheduling_needed.set()
 
     def apply_record(self, key: str, data: msgspec.Raw, key_version: KeyVersion) -> None:
-        """Take in a job's record, if it can be read and is newer than what is known."""
+        """Apply a job's record if it is readable and newer than the one known."""
         record = read_record(data, key)
         if record is None:
             return
@@ -121,9 +123,9 @@
         self.put(record, key_version)
 
     def put(self, record: JobRecord, key_version: KeyVersion, inherited: bool = False) -> None:
-        """Take in a job of this term's scope, with a cancel that came before the job was known.
+        """Add or update a job of this term's scope, and apply a cancel that arrived before it.
 
-        `inherited` says that an earlier leader may have started its tasks.
+        `inherited` means that an earlier leader may have started tasks of the job.
         """
         if not self.term.scope.owns(record):
             return
@@ -135,13 +137,14 @@
             self._cancel(job)
 
     def _cancel(self, job: Job) -> None:
-        """Mark a job as cancelled, and stop its tasks."""
+        """Mark a job as cancelled, and terminate its tasks."""
         if not job.cancelled:
             log.info("event=cancelled job=%s on_machines=%d", job.id, len(job.assigned_tasks))
         job.cancelled = True
         self.term.job_table.reindex(job)
         if not job.done_count:
-            # Its user cancels a job that never finished anything: the mistake may be its own.
+            # A job that is cancelled without any finished task may have failed by its own fault, so
+            # its failures no longer count against machines.
             self.term.cluster.failure_detector.clear_failures(job)
         now = monotonic_now()
         for assignment in self.term.cluster.assignments_of(job):
@@ -149,33 +152,34 @@
         self.term.writes_needed.set()
 
     def _on_removed(self, job_id: JobId) -> None:
-        """Forget a job whose live record was removed, unless tasks of it are on machines."""
+        """Forget a job whose live record was removed, unless it still has tasks on machines."""
         self._early_cancels.discard(job_id)
         job = self.term.job_table.get(job_id)
         if job is not None and not job.assigned_tasks:
             self.writer.final_states.forget(job)
 
-    def _note_followed(self, asked_at: MonotonicTime) -> None:
-        """Take note that all that was in the store at this time is known."""
-        self.term.lease_validity.confirm_jobs(asked_at)
-        # Whatever was cancelled while this was under way, the next watch is asked for after that.
+    def _confirm_jobs_known(self, sent_at: MonotonicTime) -> None:
+        """Record that all changes of the jobs before this time are known."""
+        self.term.lease_validity.confirm_jobs(sent_at)
+        # This may also drop cancels that arrived in the meantime: the next watch is sent after they
+        # were written, so it returns each together with its job.
         self._early_cancels.clear()
 
     def _read_all_until_answered(self) -> None:
-        """Read all jobs anew, as often as it takes to get an answer."""
+        """Read all jobs again, and retry until the store has answered."""
         while True:
-            asked_at = monotonic_now()
+            sent_at = monotonic_now()
             try:
                 entries, revision = self.term.store.listing(LIVE_PREFIX)
                 break
             except StoreUnavailableError:
                 gevent.sleep(RETRY_PAUSE_S)
-        found = set()
+        listed = set()
         for entry in entries:
-            found.add(JobId(entry.key[len(LIVE_PREFIX) :]))
+            listed.add(JobId(entry.key[len(LIVE_PREFIX) :]))
             self.apply_record(entry.key, entry.data, KeyVersion(entry.key_version))
         for job_id in list(self.term.job_table.jobs):
-            if job_id not in found and self.term.job_table.jobs[job_id].key_version <= revision:
+            if job_id not in listed and self.term.job_table.jobs[job_id].key_version <= revision:
                 self._on_removed(job_id)
         self.revision = revision
-        self._note_followed(asked_at)
+        self._confirm_jobs_known(sent_at)
--- a/src/ryewing/leader/machine_records.py
+++ b/src/ryewing/leader/machine_records.py
@@ -1,4 +1,4 @@
-"""The machine records that a term keeps in the store (`m/<n>`), for its successors.
+"""The machine records that a term keeps in the store (`m/<n>`) for its successors.
 
 A machine is recorded as heard before its first task starts (docs/design.md, safety argument 3).
 """
@@ -23,25 +23,26 @@
 
 
 class MachineRecord(msgspec.Struct, rename=MACHINE_KEYS):
-    """One machine, in a value of `m/<n>`."""
+    """The record of one machine, stored in a page `m/<n>`."""
 
     machine_type: str
     zone: str
     spot: bool = False
     address: str = ""
     heard: bool = False
-    """Written before the machine's first task: without it, the machine can't have any."""
+    """Whether the machine was heard. This is stored before its first task starts, so a machine that
+    was not recorded as heard has no tasks."""
 
 
 class PagedMachine(NamedTuple):
-    """A machine whose record is in a page, and whether that record says that it was heard."""
+    """A machine recorded in a page, and whether it is recorded as heard."""
 
     machine: Machine
     heard: bool
 
 
 class MachineRecordWriter(PagedRecordWriter[PagedMachine]):
-    """Owns the machine records, and which of them the store lacks."""
+    """Owns the machine records, and tracks which of them still have to be written."""
 
     def __init__(
         self, store: KeyValueStore, value_kb: float, cluster: ClusterState, scheduling_needed: Event
@@ -50,33 +51,33 @@
         self._cluster = cluster
         self._scheduling_needed = scheduling_needed
         self.pending: set[MachineId] = set()
-        """Machines to be recorded, or to be recorded anew."""
+        """Machines whose record is new or changed, and not written yet."""
 
     def forget(self, machine: MachineId) -> None:
-        """Remove the record of a machine that is gone."""
+        """Remove the record of a machine that no longer exists."""
         self.pending.discard(machine)
         self.pages.drop(machine)
 
     def update_pages(self) -> dict[int, list[PagedMachine]]:
-        """Bring the pages up to date; return the wanted machines by the number of their page."""
+        """Update the pages with the pending records; return their machines by page number."""
         by_page: dict[int, list[PagedMachine]] = {}
-        for name in list(self.pending):
-            machine = self._cluster.machines.get(name)
+        for machine_id in list(self.pending):
+            machine = self._cluster.machines.get(machine_id)
             if machine is None:
-                self.pending.discard(name)
+                self.pending.discard(machine_id)
                 continue
-            # Once written, it stays: found when a successor repeated a request whose machines had
-            # been heard by its predecessor, and wrote that they never were.
+            # Once a machine is recorded as heard, it stays so. A successor that repeated a rental
+            # request had recorded machines as never heard that its predecessor had heard.
             heard = machine.heard_at is not None or machine.recorded
             record = MachineRecord(
                 machine.machine_type.name, machine.zone, machine.spot, machine.address, heard
             )
-            number = self.pages.put(name, record)
+            number = self.pages.put(machine_id, record)
             by_page.setdefault(number, []).append(PagedMachine(machine, heard))
         return by_page
 
     def on_written(self, records: Sequence[PagedMachine]) -> None:
-        """Let tasks start on the machines that are recorded as heard now."""
+        """Let tasks start on machines that are now recorded as heard."""
         for machine, heard in records:
             if heard or machine.heard_at is None:
                 self.pending.discard(machine.id)
--- a/src/ryewing/leader/state_log.py
+++ b/src/ryewing/leader/state_log.py
@@ -1,4 +1,4 @@
-"""The line of the log that says, every ten seconds, what there is and what waits."""
+"""Logs a summary of machines, GPUs and unplaced tasks every ten seconds."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 log = logging.getLogger(__name__)
 
-STATE_LOG_EVERY_S = 10.0
+STATE_LOG_INTERVAL_S = 10.0
 
 
-class SchedulerFigures(Protocol):
-    """What the line says of the scheduler."""
+class SchedulerStats(Protocol):
+    """The scheduler's counters that are logged."""
 
     cycles: int
-    """Scheduling cycles of this term."""
+    """The number of scheduling cycles in this term."""
     machines_examined: int
-    """Machines that were looked at in all of them."""
+    """The number of machines examined in all of these cycles."""
 
     @property
     def unplaced(self) -> Sequence[tuple[Job, int]]:
-        """Jobs, and how many of their tasks the last scheduling cycle could not place."""
+        """Jobs, with the number of their tasks that the last scheduling cycle could not place."""
 
 
 class _MachineCounts:
-    """What there is of one kind of machines."""
+    """The count and free resources of machines of one type, spot or on-demand."""
 
     __slots__ = ("cpus_free", "gpus_free", "machines", "usable")
 
@@ -51,7 +51,7 @@
     """Logs the state of a term at regular intervals."""
 
     def __init__(
-        self, job_table: JobTable, cluster: ClusterState, scheduler: SchedulerFigures
+        self, job_table: JobTable, cluster: ClusterState, scheduler: SchedulerStats
     ) -> None:
         self._job_table = job_table
         self._cluster = cluster
@@ -59,8 +59,8 @@
         self._logged_at = MonotonicTime(-1e9)
 
     def log_if_due(self, now: MonotonicTime) -> None:
-        """Log the state, unless that was done a short time ago."""
-        if now - self._logged_at < STATE_LOG_EVERY_S:
+        """Log the state if `STATE_LOG_INTERVAL_S` have passed since the last time."""
+        if now - self._logged_at < STATE_LOG_INTERVAL_S:
             return
         self._logged_at = now
         log.info(
@@ -77,22 +77,22 @@
         )
 
     def _machines(self) -> dict[str, _MachineCounts]:
-        """Count the machines by their type."""
-        kinds: dict[str, _MachineCounts] = {}
+        """Count the machines and their free resources by type, spot machines separately."""
+        counts_by_kind: dict[str, _MachineCounts] = {}
         for machine in self._cluster.machines.values():
             kind = machine.machine_type.name + ("/spot" if machine.spot else "")
-            counts = kinds.get(kind)
+            counts = counts_by_kind.get(kind)
             if counts is None:
-                counts = kinds[kind] = _MachineCounts()
+                counts = counts_by_kind[kind] = _MachineCounts()
             counts.machines += 1
             if machine.is_schedulable():
                 counts.usable += 1
                 counts.cpus_free += machine.free_cpus
                 counts.gpus_free += machine.free_gpus
-        return kinds
+        return counts_by_kind
 
     def _gpus(self) -> dict[str, float]:
-        """Sum up the GPUs that assignments have, by the phase of their task."""
+        """Sum up the GPUs of assigned tasks, by phase."""
         phases: dict[str, float] = {}
         for machine in self._cluster.machines.values():
             for assignment in machine.assignments.values():
@@ -102,7 +102,7 @@
         return phases
 
     def _unplaced(self) -> dict[str, int]:
-        """Count the tasks that the last scheduling cycle could not place, by class of job."""
+        """Count the tasks that the last scheduling cycle could not place, by job class."""
         classes: dict[str, int] = {}
         for job, tasks in self._scheduler.unplaced:
             classes[job.spec.job_class] = classes.get(job.spec.job_class, 0) + tasks
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -17,7 +17,7 @@
 from ryewing.clients.store import Put, RejectedError, Remove, StoreUnavailableError, TxnResult
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.leader.final_states import FinalStates, FinalWrite
-from ryewing.leader.finished_task_records import FinishedTaskWriter, PagedFinishes
+from ryewing.leader.finished_task_records import FinishedTaskWriter, PagedFinishedTasks
 from ryewing.leader.machine_records import MachineRecordWriter
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.term_end_reason import TermEndReason
@@ -150,18 +150,18 @@
         """Return the pending writes, the most urgent first."""
         machines = self.machine_records.update_pages()
         writes = self.machine_records.writes(machines, self._ops_max)
-        finishes: dict[int, list[PagedFinishes]] = {}
+        tasks_by_page: dict[int, list[PagedFinishedTasks]] = {}
         for job_id in list(self.term.job_table.dirty):
             job = self.term.job_table.jobs[job_id]
             status = self.final_states.status(job)
             if status is not None:
                 writes.append(FinalWrite(self.final_states, job, status))
             elif not job.cancelled:
-                self.finished_tasks.update_pages(job, finishes)
-        writes += self.finished_tasks.writes(finishes, self._ops_max)
+                self.finished_tasks.update_pages(job, tasks_by_page)
+        writes += self.finished_tasks.writes(tasks_by_page, self._ops_max)
         # Removals come last because nothing waits for them.
         writes += self.machine_records.removals(machines, self._ops_max)
-        writes += self.finished_tasks.removals(finishes, self._ops_max)
+        writes += self.finished_tasks.removals(tasks_by_page, self._ops_max)
         for key in list(self._key_removals)[:MAX_KEY_REMOVALS_PER_ROUND]:
             writes.append(KeyRemoval(key, self._key_removals))
         return writes
