--- a/src/ryewing/leader/backlog.py
+++ b/src/ryewing/leader/backlog.py
@@ -1,4 +1,4 @@
-"""How much work waits for room, against the resources of the fleet."""
+"""The backlog of unplaced work, relative to the resources of the fleet."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def drain_s(machines: Iterable[Machine], unplaced: Sequence[Unplaced]) -> float:
-    """Estimate for how many seconds the unplaced work without GPUs would keep all machines busy.
+    """Estimate the seconds that all machines would need for the unplaced work without GPUs.
 
-    Services aside: they have no end.
+    Services don't count, because they never end.
     """
     cpus = sum(machine.machine_type.cpus for machine in machines if machine.is_schedulable())
     work = sum(
@@ -23,9 +23,9 @@
 
 
 def backlog_share(machines: Iterable[Machine], unplaced: Sequence[Unplaced]) -> float:
-    """Return the resources that unplaced tasks need as a share of all usable machines' resources.
+    """Return the resources that unplaced tasks need, as a share of all usable machines' resources.
 
-    Of processors and GPUs, the larger share.
+    This is the larger of the shares of processors and of GPUs.
     """
     usable = [machine for machine in machines if machine.is_schedulable()]
     cpus = sum(count * job.spec.cpus for job, count in unplaced)
--- a/src/ryewing/leader/commands.py
+++ b/src/ryewing/leader/commands.py
@@ -1,7 +1,7 @@
-"""The commands that may be repeated and may arrive late: halts and clears.
+"""Composes the commands that may be repeated and may arrive late: halts and clears.
 
-They are sent both in heartbeat responses and in direct messages. Starts are composed elsewhere, in
-`heartbeats`, since they are sent once only, in the response to a new heartbeat.
+They are sent in heartbeat responses and in direct messages. Starts are composed in `heartbeats`,
+because each is sent only once, in the response to a new heartbeat.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from ryewing.wire.workers import CLEAR, Command
 
 MAX_COMMANDS = 500
-"""The most commands in one message: keeps its line within 64 KiB."""
+"""The most commands in one message, which keeps the message below 64 KiB."""
 
 
 def clear_commands(term: TermContext, machine: Machine) -> list[Command]:
-    """Return the clears of ended attempts; a finished task is cleared only once it is recorded."""
+    """Return the clears of ended attempts; a finished task is cleared only once it is stored."""
     commands = []
     for ended in machine.ended_attempts.values():
         if ended.done:
@@ -30,7 +30,7 @@
 def repeatable_commands(term: TermContext, machine: Machine, now: MonotonicTime) -> list[Command]:
     """Return the machine's halts and clears, at most `MAX_COMMANDS`.
 
-    Halts come first: clearing an ended task can wait, halting a cancelled one can't.
+    Halts come first, because they are more urgent than clears.
     """
     return [*term.terminations.commands(machine.id, now), *clear_commands(term, machine)][
         :MAX_COMMANDS
--- a/src/ryewing/leader/division.py
+++ b/src/ryewing/leader/division.py
@@ -1,6 +1,6 @@
-"""How the fleet is divided among terms: into one part, unless an operator asks for shards.
+"""The division of the fleet among terms; by default one term leads the whole fleet.
 
-`sharding.division` has the division into shards.
+`sharding.division` implements the division into shards.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 class DivisionError(Exception):
-    """No shard can be chosen for a new job; the message says why."""
+    """No shard can be chosen for a new job; the message gives the reason."""
 
 
 class NoShardError(DivisionError):
-    """No single shard could ever run the job: repeating the submission won't help."""
+    """No single shard could ever run the job, so retrying the submission won't help."""
 
 
 class NotReadyError(DivisionError):
-    """No job can be accepted yet: the submission may be repeated."""
+    """No job can be accepted yet; the submission may be retried."""
 
 
 class Division(Protocol):
-    """The terms among which the fleet is divided."""
+    """The division of the fleet into the scopes of its terms."""
 
     def scopes(self) -> Sequence[TermScope]:
         """Return the scope of each term."""
 
     def store_for(self, scope: TermScope, store: Store) -> KeyValueStore:
-        """Return the part of the store that a term keeps its records in."""
+        """Return the part of the store in which a term keeps its records."""
 
     def choose_shard(
         self,
@@ -45,8 +45,8 @@
     ) -> ShardName | None:
         """Choose a new job's shard; None if the fleet is not divided.
 
-        `loads` has what each shard's leader last said of its load, None without news. Raise
-        NoShardError if no shard could ever run the job, NotReadyError if it's too early to choose.
+        `loads` has the last known load of each shard, None if unknown. Raise NoShardError if no
+        shard could ever run the job, and NotReadyError if no shard can be chosen yet.
         """
 
 
--- a/src/ryewing/leader/guarded_loops.py
+++ b/src/ryewing/leader/guarded_loops.py
@@ -1,4 +1,4 @@
-"""The greenlets of one term: started, guarded and ended in one place."""
+"""Starts and stops the greenlets of one term, and handles their unhandled exceptions."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class GuardedLoops:
-    """Runs functions, each in a greenlet of its own, until all are ended together."""
+    """Runs functions in greenlets of their own, until all are stopped together."""
 
     def __init__(self, on_fault: Callable[[], None]) -> None:
         self._on_fault = on_fault
         self._greenlets: list[gevent.Greenlet] = []
 
     def start(self, name: str, loop: Callable[[], None]) -> None:
-        """Start a greenlet that runs a function; the name is for the log."""
+        """Start a greenlet that runs a function; its name is logged if it fails."""
         self._greenlets.append(gevent.spawn(self._run, name, loop))
 
     def stop(self) -> None:
-        """End all greenlets but the one that calls this, without waiting for them."""
+        """Kill all greenlets except the calling one, without waiting for them to end."""
         current = gevent.getcurrent()
         others = [greenlet for greenlet in self._greenlets if greenlet is not current]
         gevent.killall(others, block=False)
 
     def _run(self, name: str, loop: Callable[[], None]) -> None:
-        """Run a function; a fault in it is reported, and doesn't end the process."""
+        """Run a function; log an unhandled exception and report it to `on_fault`."""
         try:
             loop()
         except gevent.GreenletExit:
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -1,10 +1,11 @@
 """One term of leadership: its parts, and the greenlets in which they run.
 
-Everything here ends with the term. All loops share one state in one thread; gevent switches only
-where a request is under way, so what is decided between two requests is consistent. What the loops
-do is in the parts: `lease_keeper` the lease, `job_watcher` the jobs, `state_writer` the store,
-`heartbeats` and `direct_messages` the workers, `scheduler` the scheduling cycles, `autoscaler`
-the machines, `maintenance` what is due by the clock.
+All state here ends with the term. All loops share it in one thread. gevent switches greenlets only
+while a request is in progress, so decisions made between two requests see a consistent state. Each
+loop is implemented by one part: `lease_keeper` keeps the lease, `job_watcher` follows the jobs,
+`state_writer` writes to the store, `heartbeats` and `direct_messages` talk to the workers,
+`scheduler` runs the scheduling cycles, `autoscaler` rents and releases machines, and `maintenance`
+does periodic work.
 """
 
 from __future__ import annotations
@@ -42,13 +43,14 @@
 log = logging.getLogger(__name__)
 
 LOAD_RETRY_S = 0.2
+"""The pause after the store did not answer while the state was loaded."""
 
 
 class Leader:
-    """One term: what the process asks of it, and the start and end of its loops."""
+    """One term of leadership: the interface for the process, and the start and end of its loops."""
 
     def __init__(self, term: TermContext, image_locality: ImageLocality | None = None) -> None:
-        """Make the parts; `image_locality` is what the previous leader told of images, if any."""
+        """Create the parts; `image_locality` is what the previous leader sent, if anything."""
         self._image_locality = image_locality
         self.term = term
         self.writer = StateWriter(term, self._on_record)
@@ -64,40 +66,41 @@
         self.maintenance = Maintenance(
             term, self.direct_messages, self.scheduler, self.lease_keeper
         )
-        # A fault in one loop ends the term, not the process: another term starts clean.
+        # An unhandled exception in a loop ends the term but not the process: the next term starts
+        # from a clean state.
         self._loops = GuardedLoops(on_fault=partial(term.end, TermEndReason.FAULT))
         self.extra_loops: list[Callable[[], None]] = []
-        """Run for as long as the term lasts, besides its own loops, once the state is loaded."""
+        """Additional loops to run from when the state is loaded until the term ends."""
 
-    # -- what other parts of the process ask ------------------------------------------------
+    # -- for other parts of the process -----------------------------------------------------
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Return the answer to a worker, or None if this node must not answer 200 now."""
+        """Return the response to a worker, or None if this node must not answer 200 now."""
         return self.heartbeats.on_heartbeat(heartbeat)
 
     def job_status(self, job_id: JobId) -> JobStatus | None:
-        """Return a job's state, or None if only the store can tell."""
+        """Return a job's status, or None if it can only be read from the store."""
         return self.job_watcher.job_status(job_id)
 
     def apply_cancel(self, job_id: JobId) -> bool:
-        """Take in a cancel that the store has; True once no older state can be told from here."""
+        """Apply a cancel that the store has; True once no older status is returned from here."""
         return self.job_watcher.apply_cancel(job_id)
 
     def job_memory_full(self) -> bool:
-        """Return whether more jobs would endanger the memory of this process."""
+        """Return whether the live jobs use up their share of the process's memory."""
         return self.job_watcher.job_memory_full()
 
     def image_locality(self) -> ImageLocality:
-        """Return what a successor should know of the machines' images and of failing jobs."""
+        """Return the images cached on machines and the backoff of failing jobs, for a successor."""
         backoff_s: dict[str, float] = {
             job.id: job.backoff_s for job in self.term.job_table if job.backoff_s
         }
         return ImageLocality(int(self.term.number), *self.term.cluster.cached_images(), backoff_s)
 
     def is_quiesced(self) -> bool:
-        """Return whether nothing is under way whose outcome a successor would have to find out.
+        """Return whether no operation is in progress whose outcome a successor would not know.
 
-        What is not written yet does not count: workers keep their finishes until they are.
+        Unwritten state does not matter: workers report a finished task until it is stored.
         """
         if not self.term.state_loaded.is_set():
             return True
@@ -110,33 +113,36 @@
         )
 
     def resign(self, reason: TermEndReason) -> None:
-        """End the term and leave leadership to another node."""
+        """End the term, and give up the lease so that another node can lead."""
         self.lease_keeper.resign(reason)
 
-    # -- life -------------------------------------------------------------------------------
+    # -- start and end ----------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin the term: the lease is kept from the first moment on.
+        """Begin the term; the lease is renewed from the start.
 
-        The names of the loops are what the log says when one fails.
+        The names of the loops are those logged when a loop fails.
         """
         self._loops.start("_renew_loop", self.lease_keeper.renewal_loop)
         self._loops.start("_begin", self._begin)
 
     def stop(self) -> None:
-        """End everything that belongs to the term; called by whoever is told that it ends."""
+        """Stop all greenlets of the term; called by the elector when the term ends."""
         self.term.stopped = True
         self._loops.stop()
         self.direct_messages.stop()
 
     def load(self) -> None:
-        """Read the state from the store; raise StoreUnavailableError to be called again."""
+        """Read the state from the store.
+
+        Raise StoreUnavailableError if the store does not answer; then call this again.
+        """
         Recovery(
             self.term, self.job_watcher, self.writer, self.autoscaler, self._image_locality
         ).load()
 
     def _begin(self) -> None:
-        """Read the state, shake hands with all workers, and start the loops that need the state."""
+        """Load the state, start the handshakes with all workers, and start the other loops."""
         self._load_until_answered()
         self.term.state_loaded.set()
         for machine in list(self.term.cluster.machines.values()):
@@ -151,7 +157,7 @@
             self._loops.start(loop.__name__, loop)
 
     def _load_until_answered(self) -> None:
-        """Read the state from the store, as often as it takes to get an answer."""
+        """Read the state from the store, and retry until the store has answered."""
         while True:
             try:
                 self.load()
--- a/src/ryewing/leader/scope.py
+++ b/src/ryewing/leader/scope.py
@@ -1,7 +1,7 @@
-"""Which part of the fleet a term leads: the whole of it, or one shard.
+"""The part of the fleet that a term leads: all of it, or one shard.
 
-The modules of a term ask its scope which machines and jobs are theirs, and which part of the
-process's rates and memory they may use. What a shard is, and who leads it, is up to `sharding`.
+The scope of a term decides which machines and jobs belong to it, and which share of the process's
+rates and memory it may use. `sharding` defines the shards and decides who leads them.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class TermScope(msgspec.Struct, frozen=True):
-    """The machines and jobs of one term."""
+    """Decides which machines and jobs belong to one term, and its share of the limits."""
 
     shard: ShardName | None = None
-    """None: the whole fleet."""
+    """The shard that the term leads; None for the whole fleet."""
     zones: frozenset[Zone] = frozenset()
-    """The zones of the shard's machines; not used for the whole fleet."""
+    """The zones of the shard's machines; unused for the whole fleet."""
     share: float = 1.0
-    """The part, from 0 to 1, of every rate and bound of a process that the term may use.
+    """The share, from 0 to 1, of each rate and bound of a process that the term may use.
 
-    The parts of all shards add up to one, so the bounds hold however many one controller leads.
+    The shares of all shards add up to one, so the bounds hold for a controller that leads several.
     """
 
     def covers(self, zone: str) -> bool:
-        """Return whether a zone's machines are this term's (docs/design.md, safety argument 13)."""
+        """Return whether the term leads a zone's machines (docs/design.md, safety argument 13)."""
         return self.shard is None or zone in self.zones
 
     def owns(self, record: JobRecord) -> bool:
-        """Return whether a job is this term's (docs/design.md, safety argument 14)."""
+        """Return whether the term leads a job (docs/design.md, safety argument 14)."""
         return record.shard == self.shard
 
     def machine_types(self, machine_types: Sequence[MachineType]) -> list[MachineType]:
-        """Return the machine types, each with only those of its zones that are this term's."""
+        """Return the machine types, each with only those of its zones that the term covers."""
         if self.shard is None:
             return list(machine_types)
         return [
@@ -48,13 +48,13 @@
         ]
 
     def rental_id(self, term: TermNumber, number: int) -> str:
-        """Return the name of a term's rental request.
+        """Return the id of a term's rental request.
 
-        It holds the shard, since terms of two shards may have the same number.
+        It includes the shard, because terms of different shards may have the same number.
         """
         prefix = "r" if self.shard is None else f"r-{self.shard}"
         return f"{prefix}-{term}-{number}"
 
 
 WHOLE_FLEET = TermScope()
-"""The scope of a term whose fleet is not divided."""
+"""The scope of a term that leads an undivided fleet."""
--- a/src/ryewing/leader/team_limits.py
+++ b/src/ryewing/leader/team_limits.py
@@ -1,4 +1,4 @@
-"""The limits of teams that a term keeps to."""
+"""The resource limits of teams that a term enforces."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class TeamLimits(Protocol):
-    """What each team may use under one term; the limits may change while it lasts."""
+    """The limits of each team within one term; they may change during the term."""
 
     def teams(self) -> dict[str, Team]:
-        """Return the teams by name, with their limits of now."""
+        """Return the teams by name, with their current limits."""
 
 
 class SettingsLimits:
-    """The limits of the settings: for a term that leads the whole fleet."""
+    """The limits of the settings, for a term that leads the whole fleet."""
 
     def __init__(self, teams: dict[str, Team]) -> None:
         self._teams = teams
 
     def teams(self) -> dict[str, Team]:
-        """Return the teams as the settings have them."""
+        """Return the teams with the limits of the settings."""
         return self._teams
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -1,7 +1,7 @@
-"""What the parts of one leader's term share: its settings, clients, cluster state and signals.
+"""The state shared by the parts of one term: settings, clients, cluster state and signals.
 
-Nothing here decides anything. Each part owns its own state; what is kept here is read by several
-of them, and ends with the term.
+This module makes no scheduling decisions. Each part owns its own state; only what several parts
+read is kept here. All of it ends with the term.
 """
 
 from __future__ import annotations
@@ -27,33 +27,33 @@
 
 
 class TermEnvironment(NamedTuple):
-    """What a process hands to each of its terms: they may differ in store and scope only."""
+    """What a process passes to each of its terms; only the store and the scope may differ."""
 
     settings: Settings
     policy: Policy
     store: KeyValueStore
-    """The part of the store that the term keeps its records in."""
+    """The part of the store in which the term keeps its records."""
     scope: TermScope = WHOLE_FLEET
 
 
 class TermCallbacks(NamedTuple):
-    """What a term tells its process. None of them may wait."""
+    """Notifications of a term to its process. The callbacks must not block."""
 
     on_lost: Callable[[TermEndReason], None]
-    """Called when the term has to end."""
+    """Called with the reason when the term has to end."""
     on_machine_types: Callable[[list[MachineType]], None]
-    """Called with the machine types of the cloud, of all zones, when they were read."""
+    """Called with the cloud's machine types, in all zones, each time they have been read."""
     on_final: Callable[[JobId, str], None]
     """Called with a job and its final state, once the store has it."""
 
 
 class TermContext:
-    """One term, as its parts see it."""
+    """The shared state of one term."""
 
     def __init__(
         self, environment: TermEnvironment, leadership: Leadership, callbacks: TermCallbacks
     ) -> None:
-        # What the process and the election gave:
+        # From the process and the election:
         self.settings, self.policy, self.store, self.scope = environment
         self.leadership = leadership
         self.number = leadership.term
@@ -61,53 +61,53 @@
         self.on_final = callbacks.on_final
         self._on_lost = callbacks.on_lost
         self._on_machine_types = callbacks.on_machine_types
-        # What is known of the jobs and the fleet:
+        # The jobs and the fleet:
         self.job_table = JobTable()
         self.terminations = PendingTerminations()
         self.cluster = ClusterState(
             self.number, self.settings.params.workers.lease_s, self.job_table, self.terminations
         )
         self.machine_types: dict[str, MachineType] = {}
-        """The machine types by name, each with those of its zones that are in the scope."""
+        """The machine types by name, each with only those of its zones that are in the scope."""
         self.released_machines: OrderedDict[MachineId, None] = OrderedDict()
-        """Machines that are certainly gone: nothing that comes in their name counts."""
+        """Machines that were certainly released: messages in their name are ignored."""
         self.teams = {team.name: team for team in self.settings.params.teams}
-        """The teams as the settings have them."""
+        """The teams by name, with the limits of the settings."""
         self.team_limits: TeamLimits = SettingsLimits(self.teams)
-        # How far the term has got, and what its loops wait for:
+        # The progress of the term, and the signals between its loops:
         self.began_at = monotonic_now()
         self.state_loaded = Event()
-        """Set once the store was read."""
+        """Set once the state has been loaded from the store."""
         self.scheduling_needed = Event()
-        """Set when something has changed that the scheduler may act on."""
+        """Set on a change that the scheduler may act on."""
         self.writes_needed = Event()
-        """Set when the store lacks something."""
+        """Set when a write to the store is pending."""
         self.stopped = False
         self.sealed = False
-        """Whether the shard is about to be led by another controller: nothing new is begun."""
+        """Whether the shard is being handed to another controller: no new operations may start."""
 
     def end(self, reason: TermEndReason) -> None:
-        """End the term, unless it has ended."""
+        """Have the process end the term, unless it has ended already."""
         if not self.stopped:
             self._on_lost(reason)
 
     def has_authority(self) -> bool:
-        """Return whether the lease certainly holds now, and the jobs are known.
+        """Return whether the lease is certainly valid now, and the jobs are known.
 
         See docs/design.md, safety argument 2.
         """
         return not self.stopped and self.lease_validity.has_authority(monotonic_now())
 
     def may_start_operations(self) -> bool:
-        """Return whether tasks may be started, and machines rented or released, now."""
+        """Return whether tasks may be started and machines rented or released now."""
         return not self.sealed and self.has_authority()
 
     def machine_type(self, name: str) -> MachineType:
-        """Return a machine type; one that isn't known has no room."""
+        """Return a machine type by name; an unknown one has no resources."""
         return self.machine_types.get(name) or MachineType(name, 0.0, 0.0, 0.0, ())
 
     def set_machine_types(self, machine_types: list[MachineType]) -> None:
-        """Take up the machine types, and what they change about the machines known."""
+        """Replace the machine types, and adjust the resources of known machines to them."""
         self._on_machine_types(machine_types)
         self.machine_types = {
             machine_type.name: machine_type
