--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -113,7 +113,10 @@
         """Cordon machines with surplus GPUs, a few per step, and uncordon the others."""
         machines = self._term.cluster.machines.values()
         to_cordon = machines_to_cordon(
-            machines, self._scheduler.gpus_wanted, self._scheduler.drain_s(), self._term.policy
+            machines,
+            self._scheduler.gpus_wanted,
+            self._scheduler.backlog_drain_s(),
+            self._term.policy,
         )
         budget = max(1, int(CORDON_SHARE * len(machines)))
         for machine in machines:
--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -57,7 +57,7 @@
     ) -> None:
         """Create empty queues.
 
-        `on_newer_heartbeat` is called when a worker's answer has a newer heartbeat than the last.
+        `on_newer_heartbeat` is called when a worker's answer has a newer heartbeat than known.
         """
         self._term = term
         self._on_newer_heartbeat = on_newer_heartbeat
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -61,7 +61,7 @@
         return failed_at is not None and monotonic_now() - failed_at <= MACHINE_AVOIDANCE_S
 
     def _may_probe(self, job: Job, now: MonotonicTime) -> bool:
-        """Return whether a job in backoff may be placed: one task at a time, as a probe.
+        """Return whether a job in backoff may be placed, as a probe: one task or a whole gang.
 
         Without this check, each cycle placed another task until the first probe had failed.
         """
--- a/src/ryewing/leader/paged_record_writer.py
+++ b/src/ryewing/leader/paged_record_writer.py
@@ -23,7 +23,7 @@
 
     @abstractmethod
     def on_written(self, records: Sequence[RecordT]) -> None:
-        """Handle that these records of a page are in the store."""
+        """Handle the successful write of these records of a page."""
 
     def writes(self, records_by_page: Mapping[int, Sequence[RecordT]], ops_max: int) -> list[Write]:
         """Return the writes of those pages, given by number, whose changes are not stored yet.
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -60,8 +60,8 @@
     def load(self) -> None:
         """Read all records and apply them; may be repeated.
 
-        Raise StoreUnavailableError if the store does not answer: call this again to read all of it
-        anew.
+        Raise StoreUnavailableError if the store does not answer; then call this again, which reads
+        everything again.
         """
         now = monotonic_now()
         machine_types = self._autoscaler.machine_type_refresher.load_stored()
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -168,7 +168,7 @@
         """The number of GPUs that were recently in use or needed by waiting jobs (`GpuDemand`)."""
         return self._gpu_demand.gpus_wanted
 
-    def drain_s(self) -> float:
+    def backlog_drain_s(self) -> float:
         """Estimate the seconds that all machines would need for the unplaced work without GPUs."""
         return backlog.drain_s(self.term.cluster.machines.values(), self.unplaced)
 
--- a/src/ryewing/leader/state_log.py
+++ b/src/ryewing/leader/state_log.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-STATE_LOG_INTERVAL_S = 10.0
+STATE_LOG_EVERY_S = 10.0
 
 
 class SchedulerStats(Protocol):
@@ -59,8 +59,8 @@
         self._logged_at = MonotonicTime(-1e9)
 
     def log_if_due(self, now: MonotonicTime) -> None:
-        """Log the state if `STATE_LOG_INTERVAL_S` have passed since the last time."""
-        if now - self._logged_at < STATE_LOG_INTERVAL_S:
+        """Log the state if `STATE_LOG_EVERY_S` have passed since the last time."""
+        if now - self._logged_at < STATE_LOG_EVERY_S:
             return
         self._logged_at = now
         log.info(
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -8,7 +8,7 @@
 
 MIN_MACHINES_HEARD = 4
 """With fewer machines that were heard, the workers count as reachable."""
-SILENT_SHARE = 0.7
+MAX_SILENT_SHARE = 0.7
 """The leader counts as cut off if more than this share of its machines is silent."""
 PROBE_ANSWER_S = 0.5
 """How long a machine with a late heartbeat may take to answer a probe before it is silent."""
@@ -43,4 +43,4 @@
                 continue
             known += 1
             silent += now - max(machine.heard_at, self._running_since) > self._silent_after_s
-        return known >= MIN_MACHINES_HEARD and silent > SILENT_SHARE * known
+        return known >= MIN_MACHINES_HEARD and silent > MAX_SILENT_SHARE * known
--- a/src/ryewing/leader/write.py
+++ b/src/ryewing/leader/write.py
@@ -37,17 +37,17 @@
 
     @abstractmethod
     def on_applied(self, revision: Revision) -> None:
-        """Handle that the changes were applied, at this revision of the store."""
+        """Handle the successful write of the changes, at this revision of the store."""
 
     @abstractmethod
     def on_conflict(self, key: str) -> None:
-        """Handle that a key has another version than expected; may read the store.
+        """Handle a key that has another version than expected; may read the store.
 
         Raise StoreUnavailableError if the store can't be read.
         """
 
     def on_rejected(self) -> bool:
-        """Handle that the store rejected this write; return True to retry it at once."""
+        """Handle the rejection of this write by the store; return True to retry it at once."""
         return False
 
 
