--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -33,7 +33,7 @@
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Apply a heartbeat and return the commands; None if this node must not answer 200 now."""
 
-    def foreign_leader(self, zone: Zone) -> str | None:
+    def remote_leader(self, zone: Zone) -> str | None:
         """Return the leader to which a zone's workers should be redirected, if another node is."""
 
     def known_machine_types(self) -> dict[str, MachineType]:
@@ -45,7 +45,7 @@
         Raise NoShardError if no shard could ever run it, NotReadyError if that is not known yet.
         """
 
-    def full(self, shard: ShardName | None) -> bool:
+    def job_memory_full(self, shard: ShardName | None) -> bool:
         """Return whether a shard's leader holds as many jobs as its memory allows."""
 
     def local_status(self, job: JobId) -> JobStatus | None:
--- a/src/ryewing/api/final_states.py
+++ b/src/ryewing/api/final_states.py
@@ -17,15 +17,15 @@
     older than one reported before is sent (docs/design.md, safety argument 9).
     """
 
-    def __init__(self, kept: int = FINAL_STATES_KEPT) -> None:
-        self._kept = kept
+    def __init__(self, capacity: int = FINAL_STATES_KEPT) -> None:
+        self._capacity = capacity
         self._states: OrderedDict[JobId, str] = OrderedDict()
 
     def put(self, job: JobId, status: str) -> None:
         """Add a final state; the one added longest ago is dropped if there are too many."""
         self._states[job] = status
         self._states.move_to_end(job)
-        if len(self._states) > self._kept:
+        if len(self._states) > self._capacity:
             self._states.popitem(last=False)
 
     def get(self, job: JobId) -> str | None:
--- a/src/ryewing/api/heartbeats.py
+++ b/src/ryewing/api/heartbeats.py
@@ -25,7 +25,7 @@
         commands = self._node.on_heartbeat(heartbeat)
         if commands is not None:
             return Response(200, commands)
-        leader = self._node.foreign_leader(Zone(heartbeat.zone))
+        leader = self._node.remote_leader(Zone(heartbeat.zone))
         if leader is None:
             return unavailable(self._node.policy, "no leader is known")
         return Response(421, LeaderRedirect(leader))
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -101,7 +101,7 @@
         if reason is not None:
             raise RefusedError(error_response(422, reason))
         shard = self._choose_shard(spec)
-        if self._node.full(shard):
+        if self._node.job_memory_full(shard):
             full = unavailable(self._node.policy, "too many unfinished jobs", FULL_RETRY_S)
             raise RefusedError(full)
         record = JobRecord(spec, wall_now(), shard=shard)
--- a/src/ryewing/process/leader_elector.py
+++ b/src/ryewing/process/leader_elector.py
@@ -235,7 +235,7 @@
             self.leader_name = announcement.node
             self._leader_term = TermNumber(announcement.term)
 
-    def foreign_leader(self) -> str | None:
+    def remote_leader(self) -> str | None:
         """Return the name of the leading node if it is another one, else None."""
         return self.leader_name if self.leader_name != self._node else None
 
--- a/src/ryewing/process/leader_load.py
+++ b/src/ryewing/process/leader_load.py
@@ -27,7 +27,7 @@
     def shard(self) -> ShardName | None:
         """The shard that is led; None: the whole fleet."""
 
-    def foreign_leader(self) -> str | None:
+    def remote_leader(self) -> str | None:
         """Return the name of the leading node if it is another one."""
 
 
@@ -56,7 +56,7 @@
                 gevent.spawn(self._query)
         return self._latest
 
-    def full(self) -> bool:
+    def job_memory_full(self) -> bool:
         """Return whether the leader holds as many jobs as its memory allows."""
         leader = self._followed.leader
         if leader is not None:
@@ -79,7 +79,7 @@
 
     def _query(self) -> None:
         shard = self._followed.shard
-        answer = self._peers.request(self._followed.foreign_leader(), LoadQuery(shard))
+        answer = self._peers.request(self._followed.remote_leader(), LoadQuery(shard))
         if isinstance(answer, ShardLoadAnswer):
             self._latest = answer
         elif shard is None:
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -141,10 +141,10 @@
         leader = elector.leader if elector is not None else None
         return leader.on_heartbeat(heartbeat) if leader is not None else None
 
-    def foreign_leader(self, zone: Zone) -> str | None:
+    def remote_leader(self, zone: Zone) -> str | None:
         """Return the leader that a zone's workers should be sent to, if it is another node."""
         elector = self.electors.for_zone(zone)
-        return elector.foreign_leader() if elector is not None else None
+        return elector.remote_leader() if elector is not None else None
 
     # -- users ------------------------------------------------------------------------------
 
@@ -192,9 +192,9 @@
         }
         return self.division.choose_shard(spec, self._machine_types, loads)
 
-    def full(self, shard: ShardName | None) -> bool:
+    def job_memory_full(self, shard: ShardName | None) -> bool:
         """Return whether a shard's leader holds as many jobs as its memory allows."""
-        return self.electors[shard].load.full()
+        return self.electors[shard].load.job_memory_full()
 
     def local_status(self, job: JobId) -> JobStatus | None:
         """Return a job's status from the memory of a leader in this process, if it may answer."""
@@ -219,7 +219,7 @@
         shard = self._job_shards.get(job)
         known = self.electors.get(shard) if shard is not None else None
         electors = [known] if known is not None else self.electors.values()
-        names = [elector.foreign_leader() for elector in electors]
+        names = [elector.remote_leader() for elector in electors]
         return dict.fromkeys(name for name in names if name is not None)
 
     def remember_shard(self, job: JobId, shard: ShardName) -> None:
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -41,7 +41,7 @@
         self.store = FakeStore()
         self.user_limiter = UserRequestLimiter(UNBOUNDED_RPS, 1)
         self.policy = policy()
-        self.final_states = FinalStateCache(kept=3)
+        self.final_states = FinalStateCache(capacity=3)
         self.leader: FakeLeader | None = None
         self.teams = {team.name: team for team in settings().params.teams}
         self.machine_types = {"c32": CPU, "g4": GPU}
@@ -62,10 +62,10 @@
     def announce_cancel(self, _job: JobId, _shard: ShardName | None) -> bool:
         return self.leader_knows
 
-    def foreign_leader(self, _zone: Zone) -> str | None:
+    def remote_leader(self, _zone: Zone) -> str | None:
         return self.follows
 
-    def full(self, _shard: ShardName | None) -> bool:
+    def job_memory_full(self, _shard: ShardName | None) -> bool:
         return self.is_full
 
     def choose_shard(self, _spec: JobSpec) -> ShardName | None:
