--- a/src/ryewing/clients/store/client.py
+++ b/src/ryewing/clients/store/client.py
@@ -162,7 +162,7 @@
         if reply.status != 200:
             raise StoreUnavailableError(str(reply.status))
 
-    def resign(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         """End a lease at once."""
         try:
             self._http.request("DELETE", f"/holds/{lease}", None, DEADLINE_S)
--- a/src/ryewing/clients/store/protocol.py
+++ b/src/ryewing/clients/store/protocol.py
@@ -52,5 +52,5 @@
     def renew(self, lease: int, deadline_s: float) -> None:
         """Renew a lease; raise LeaseLostError if it does not exist any more."""
 
-    def resign(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         """End a lease at once."""
--- a/src/ryewing/leader/lease_keeper.py
+++ b/src/ryewing/leader/lease_keeper.py
@@ -71,6 +71,6 @@
         """
         self._term.end(reason)
         try:
-            self._term.store.resign(self._term.leadership.lease)
+            self._term.store.revoke(self._term.leadership.lease)
         except StoreUnavailableError as error:
             log.debug("event=resign-failed error=%s", error)
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -76,9 +76,9 @@
         """Renew a lease; raise LeaseLostError if it is gone."""
         self._store.renew(lease, deadline_s)
 
-    def resign(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         """End a lease at once."""
-        self._store.resign(lease)
+        self._store.revoke(lease)
 
     def _full_key(self, key: str) -> str:
         return key if key.startswith(SHARED_PREFIXES) else self._prefix + key
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -255,7 +255,7 @@
 
 def silent_fleet(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """Nine machines that were heard, and a leader that watches over them."""
-    monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
+    monkeypatch.setattr(harness.store, "revoke", lambda _lease: None, raising=False)
     harness.ready_workers(9)
     harness.leader.maintenance.run_once()
 
--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -133,7 +133,7 @@
         self.check_available()
         self._store.renew(lease, deadline_s)
 
-    def resign(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         self.check_available()
         self._store.expire(lease)
 
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -76,7 +76,7 @@
 
 def renew_and_resign(clients: Clients) -> None:
     clients.store.renew(7, 1.0)
-    clients.store.resign(7)
+    clients.store.revoke(7)
 
 
 def read_and_watch(clients: Clients) -> None:
