--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -61,7 +61,7 @@
         self.bucket = TokenBucket(RATE_SHARE * limits.rps, limits.rps)
 
     def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        if not self.bucket.take():
+        if not self.bucket.try_acquire():
             raise CloudUnavailableError("own token bucket is empty")
         try:
             reply = self._http.request(method, path, body, DEADLINE_S)
--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -45,7 +45,7 @@
         """
         if not self._since and now - self._began_at < LIST_EVERY_S:
             return False
-        return self.bucket.take()
+        return self.bucket.try_acquire()
 
     def read_page(self, now: MonotonicTime) -> ListPage:
         """Read the next page, or the first one if the last has been read.
--- a/src/ryewing/clients/token_bucket.py
+++ b/src/ryewing/clients/token_bucket.py
@@ -29,7 +29,7 @@
         self._tokens = min(self.burst, self._tokens + (now - self._refilled_at) * self.rate)
         self._refilled_at = now
 
-    def take(self, amount: float = 1.0) -> bool:
+    def try_acquire(self, amount: float = 1.0) -> bool:
         """Take the amount if it is there, and return whether it was."""
         if not self.has(amount):
             return False
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -70,7 +70,7 @@
         clears = bool(machine.ended_attempts) and bool(clear_commands(self._term, machine))
         if not clears and not self._may_bump_token(machine, now):
             return
-        if not self.bucket.take() and not urgent:
+        if not self.bucket.try_acquire() and not urgent:
             return
         if not clears:
             machine.token_bumped_at = now
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -82,7 +82,7 @@
 
     def try_acquire_writes(self, changes: int) -> bool:
         """Take room in the term's write rate for another part's changes, if there is some."""
-        return self.bucket.take(changes)
+        return self.bucket.try_acquire(changes)
 
     def in_flight(self) -> bool:
         """Return whether a transaction waits for its answer."""
@@ -121,7 +121,7 @@
             return False
         chosen = choose_writes(wanted, self._ops_max)
         ops = [op for write in chosen for op in write.ops]
-        if not self.bucket.take(len(ops)):
+        if not self.bucket.try_acquire(len(ops)):
             gevent.sleep(min(RATE_WAIT_MAX_S, self.bucket.wait_s(len(ops))))
             return True
         finals = {write.job.id for write in chosen if isinstance(write, FinalWrite)}
--- a/src/ryewing/process/peer_requests.py
+++ b/src/ryewing/process/peer_requests.py
@@ -95,7 +95,7 @@
         return JobStatusReply(led.status.status, led.status.done, led.status.running, shard)
 
     def _on_relay_request(self, request: RelayRequest) -> RelayResponse:
-        if not self._relay_bucket.take():
+        if not self._relay_bucket.try_acquire():
             return RelayResponse(0)
         try:
             reply = self._controller.store.request_direct(
--- a/tests/clients/test_token_bucket.py
+++ b/tests/clients/test_token_bucket.py
@@ -15,11 +15,11 @@
 def test_a_bucket_refills_and_returns_the_wait() -> None:
     now = [T0]
     bucket = TokenBucket(10.0, 5.0, lambda: now[0])
-    assert [bucket.take() for _ in range(6)] == [True] * 5 + [False]
+    assert [bucket.try_acquire() for _ in range(6)] == [True] * 5 + [False]
     assert bucket.wait_s(2.0) == pytest.approx(0.2)
     now[0] = MonotonicTime(T0 + 0.2)
-    assert bucket.take(2.0)
-    assert not bucket.take()
+    assert bucket.try_acquire(2.0)
+    assert not bucket.try_acquire()
 
 
 def test_team_without_limit_has_no_limit() -> None:
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -46,7 +46,7 @@
         def limited_check(link: StoreLink) -> None:
             check(link)
             self.made[self._cause] += 1
-            if not self._bucket.take():
+            if not self._bucket.try_acquire():
                 self.refused[self._cause] += 1
                 if link.on_throttled is not None:
                     link.on_throttled()
