--- a/src/ryewing/clients/store/protocol.py
+++ b/src/ryewing/clients/store/protocol.py
@@ -13,12 +13,12 @@
 class TxnResult:
     """How a transaction ended: it was applied, or the conditions on some keys failed."""
 
-    __slots__ = ("failed", "ok", "revision")
+    __slots__ = ("failed_keys", "ok", "revision")
 
-    def __init__(self, ok: bool, revision: Revision, failed: frozenset[str]) -> None:
+    def __init__(self, ok: bool, revision: Revision, failed_keys: frozenset[str]) -> None:
         self.ok = ok
         self.revision = revision
-        self.failed = failed
+        self.failed_keys = failed_keys
 
 
 class KeyValueStore(Protocol):
--- a/src/ryewing/election/leadership.py
+++ b/src/ryewing/election/leadership.py
@@ -41,4 +41,4 @@
 
     def is_superseded(self, result: TxnResult) -> bool:
         """Return whether a transaction failed because another term has begun."""
-        return not result.ok and TERM_KEY in result.failed
+        return not result.ok and TERM_KEY in result.failed_keys
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -177,7 +177,7 @@
             if result.ok:
                 write.on_applied(result.revision)
                 continue
-            for key in write.conditions.keys() & result.failed:
+            for key in write.conditions.keys() & result.failed_keys:
                 write.on_conflict(key)
 
     def _on_rejected(
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -58,7 +58,7 @@
             {self._full_key(key): version for key, version in conditions.items()},
             [self._with_prefix(write) for write in writes],
         )
-        failed = frozenset(key.removeprefix(self._prefix) for key in result.failed)
+        failed = frozenset(key.removeprefix(self._prefix) for key in result.failed_keys)
         return TxnResult(result.ok, result.revision, failed)
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -24,7 +24,7 @@
     lease = east.grant(3.0)
     assert east.txn({"a": KeyVersion(0)}, [Put("a", 1, lease), Put("b/c", 2)]).ok
     assert west.txn({"a": KeyVersion(0)}, [Put("a", 3)]).ok
-    assert west.txn({"a": KeyVersion(0)}, [Put("a", 4)]).failed == {"a"}
+    assert west.txn({"a": KeyVersion(0)}, [Put("a", 4)]).failed_keys == {"a"}
     assert sorted(store.data) == ["s/east/a", "s/east/b/c", "s/west/a"]
     assert [entry.key for entry in east.listing("")[0]] == ["a", "b/c"]
     assert [change.set for change in east.watch("b/", Revision(0), 1.0).log] == ["b/c"]
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -166,7 +166,7 @@
                 return 400, {"error": "no such lease"}
             except RejectedError as error:
                 return 400, {"error": str(error)}
-            answer = {"epoch": result.revision, "failed": sorted(result.failed)}
+            answer = {"epoch": result.revision, "failed": sorted(result.failed_keys)}
             return (200 if result.ok else 409), answer
         if path == "/changes":
             for _ in range(int(query.get("wait_ms", "0")) // 20 + 1):
