--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -24,7 +24,7 @@
     """One page of the list; the last page has the names of all machines that were listed."""
 
     machines: list[ListedMachine]
-    all_names: frozenset[MachineId] | None
+    all_machine_ids: frozenset[MachineId] | None
     """None before the last page."""
 
 
@@ -38,7 +38,7 @@
         self._since = ""
         self._names: set[MachineId] = set()
 
-    def due(self, now: MonotonicTime) -> bool:
+    def try_acquire_page(self, now: MonotonicTime) -> bool:
         """Return whether a page should be read now.
 
         The caller must then read it: its share of the rate has been taken.
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -90,7 +90,7 @@
             self.releaser.release(unhealthy)
         if self.machine_type_refresher.due(now):
             self.machine_type_refresher.refresh()
-        if self.inventory.listing.due(now):
+        if self.inventory.listing.try_acquire_page(now):
             self.inventory.read_page()
         self.rentals.send_pending()
         if not self._scheduler.reconciled or not self._term.machine_types:
--- a/src/ryewing/leader/cloud_inventory.py
+++ b/src/ryewing/leader/cloud_inventory.py
@@ -64,8 +64,8 @@
                 failed.append(Release(machine, ReleaseReason.FAILED))
         if failed:
             self._releaser.release(failed)
-        if page.all_names is not None:
-            self._forget_unlisted(page.all_names)
+        if page.all_machine_ids is not None:
+            self._forget_unlisted(page.all_machine_ids)
 
     def _add_listed(self, listed: ListedMachine, now: MonotonicTime) -> Machine:
         """Add a machine that only the list knows; it counts as booting until it is heard."""
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -207,7 +207,7 @@
     seconds = 60.0
     for _ in range(round(seconds / 0.5)):
         harness.clock.now += 0.5
-        if autoscaler.inventory.listing.due(harness.clock()):
+        if autoscaler.inventory.listing.try_acquire_page(harness.clock()):
             autoscaler.inventory.read_page()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
