--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -27,11 +27,11 @@
 RATE_SHARE = 0.8
 """The share of the cloud's rate that one controller uses. Only the leader sends requests, but two
 leaders can overlap for a moment."""
-RENT_MAX = 50
+MAX_MACHINES_PER_RENTAL = 50
 """The most machines that one rental request may ask for (PROTOCOL)."""
-RELEASE_MAX = 100
+MAX_MACHINES_PER_RELEASE = 100
 """The most machines that one request may release (PROTOCOL)."""
-PAGE_MAX = 500
+MAX_MACHINES_PER_PAGE = 500
 """The most machines in one page of the list (PROTOCOL)."""
 NO_CAPACITY = b"no capacity"
 """The error in a 503 that says that the machines can't be had (PROTOCOL)."""
@@ -89,8 +89,13 @@
         return [MachineId(name) for name in self._decode(reply, MachineNames).machines]
 
     def release(self, machines: Sequence[MachineId]) -> None:
-        """Release up to RELEASE_MAX machines; on return, they and everything on them are gone."""
-        body = msgspec.json.encode(MachineNames([str(m) for m in machines[:RELEASE_MAX]]))
+        """Release up to MAX_MACHINES_PER_RELEASE machines.
+
+        On return, they and everything on them are gone.
+        """
+        body = msgspec.json.encode(
+            MachineNames([str(m) for m in machines[:MAX_MACHINES_PER_RELEASE]])
+        )
         self._request("POST", "/machines/release", body)
 
     def machine_page(self, since: str) -> MachinePage:
@@ -98,7 +103,7 @@
 
         The list describes the machines as they were some seconds ago.
         """
-        path = f"/machines?page={PAGE_MAX}" + (f"&since={since}" if since else "")
+        path = f"/machines?page={MAX_MACHINES_PER_PAGE}" + (f"&since={since}" if since else "")
         return self._decode(self._request("GET", path), MachinePage)
 
     def _decode(self, reply: Reply, kind: type[T]) -> T:
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from ryewing.autoscaling.releases import Release
-from ryewing.clients.cloud import RELEASE_MAX, Cloud, CloudUnavailableError
+from ryewing.clients.cloud import MAX_MACHINES_PER_RELEASE, Cloud, CloudUnavailableError
 from ryewing.leader.direct_messages import DirectMessages
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
@@ -40,7 +40,7 @@
         if the cloud did not confirm; it may still carry the request out late, and until then the
         machines are used as before.
         """
-        releases = releases[:RELEASE_MAX]
+        releases = releases[:MAX_MACHINES_PER_RELEASE]
         if not self._term.may_start_operations():
             # Requests were made, or the process stood still, since this was decided: a successor
             # may use these machines by now.
--- a/src/ryewing/leader/rentals.py
+++ b/src/ryewing/leader/rentals.py
@@ -13,7 +13,7 @@
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
 from ryewing.autoscaling.options import RentalOption
 from ryewing.autoscaling.scale_out import ScaleOutPlan
-from ryewing.clients.cloud import RENT_MAX, Cloud, NoCapacityError
+from ryewing.clients.cloud import MAX_MACHINES_PER_RENTAL, Cloud, NoCapacityError
 from ryewing.clients.store import Put
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
@@ -51,7 +51,7 @@
             option.machine_type,
             option.zone,
             option.spot,
-            min(RENT_MAX, plan.machine_count),
+            min(MAX_MACHINES_PER_RENTAL, plan.machine_count),
         )
         self.pending[request.id] = request
         result = self._term.store.txn(
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -10,7 +10,11 @@
 from support.fakes import FakeWorker, policy, settings
 from support.harness import LeaderHarness
 
-from ryewing.clients.cloud import PAGE_MAX, RELEASE_MAX, RENT_MAX
+from ryewing.clients.cloud import (
+    MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_RELEASE,
+    MAX_MACHINES_PER_RENTAL,
+)
 from ryewing.clients.machine_listing import LIST_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
@@ -123,7 +127,7 @@
     harness.accept(task_count=TASKS, cpus=8.0, estimated_s=300.0, spot=True, spread=True)
     found = Fleet(harness)
     requests, writes = found.rent()
-    assert requests <= MACHINES // RENT_MAX + 2
+    assert requests <= MACHINES // MAX_MACHINES_PER_RENTAL + 2
     # A value holds some fifty machines; one write each would take minutes of the write rate.
     assert writes <= MACHINES // 40
     assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
@@ -182,7 +186,7 @@
     while gone := leader.autoscaler.unhealthy_machines(harness.clock()):
         leader.autoscaler.releaser.release(gone)
         requests += 1
-    assert requests == -(-len(lost) // RELEASE_MAX)
+    assert requests == -(-len(lost) // MAX_MACHINES_PER_RELEASE)
     assert set(map(str, harness.cloud.released)) == lost
 
     # Its work runs again on new machines, and nothing else is touched.
@@ -212,7 +216,7 @@
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
     assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
-    assert pages >= -(-machines // PAGE_MAX)
+    assert pages >= -(-machines // MAX_MACHINES_PER_PAGE)
 
 
 def test_a_term_that_has_used_up_its_attempts_ends(harness: LeaderHarness) -> None:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -14,7 +14,7 @@
 from ryewing.api.store_access import MAX_STORE_READS_IN_FLIGHT
 from ryewing.api.submissions import MAX_SUBMISSIONS_IN_FLIGHT
 from ryewing.autoscaling.releases import Release, ReleaseReason
-from ryewing.clients.cloud import RELEASE_MAX
+from ryewing.clients.cloud import MAX_MACHINES_PER_RELEASE
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
@@ -306,8 +306,8 @@
     harness.leader.autoscaler.releaser.release(
         [Release(machine, ReleaseReason.SILENT) for machine in machines]
     )
-    assert len(harness.cloud.released) == RELEASE_MAX
-    assert len(harness.leader.term.cluster.machines) == 250 - RELEASE_MAX
+    assert len(harness.cloud.released) == MAX_MACHINES_PER_RELEASE
+    assert len(harness.leader.term.cluster.machines) == 250 - MAX_MACHINES_PER_RELEASE
     assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
 
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ryewing.clients.cloud import PAGE_MAX, NoCapacityError
+from ryewing.clients.cloud import MAX_MACHINES_PER_PAGE, NoCapacityError
 from ryewing.clients.store import (
     LeaseLostError,
     Put,
@@ -267,7 +267,7 @@
 
     def machine_page(self, since: str) -> MachinePage:
         after = sorted((m for m in self.listed if m.id > since), key=lambda machine: machine.id)
-        return MachinePage(after[:PAGE_MAX], len(after) > PAGE_MAX)
+        return MachinePage(after[:MAX_MACHINES_PER_PAGE], len(after) > MAX_MACHINES_PER_PAGE)
 
 
 class FakeWorker:
