--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -74,7 +74,7 @@
         except MalformedError as error:
             raise WorkerUnavailableError(str(error)) from None
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Close the connection to an address whose machine is gone."""
         client = self.clients.pop(address, None)
         if client is not None:
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -72,7 +72,7 @@
         )
         self._term.cluster.remove(machine, now)
         if machine.address:
-            self._direct_messages.workers.forget(machine.address)
+            self._direct_messages.workers.disconnect(machine.address)
         self._writer.forget_machine(machine.id)
         self._term.released_machines[machine.id] = None
         if len(self._term.released_machines) > RELEASED_MACHINES_KEPT:
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -57,7 +57,7 @@
             self.sent.extend(commands)
         return worker.heartbeat()
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Do nothing: no connections are kept."""
 
 
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -192,5 +192,5 @@
             worker.execute(token, commands)
         return worker.heartbeat()
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Do nothing: no connections are kept."""
