--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -45,7 +45,7 @@
 """For how many jobs this process remembers to which shard they belong."""
 MACHINE_TYPES_READ_EVERY_S = 0.5
 """While no machine types are known, they are read from the store at most this often."""
-API_SHARE, PEER_SHARE = 0.75, 0.05
+API_SOCKET_SHARE, PEER_SOCKET_SHARE = 0.75, 0.05
 """The parts of the sockets that are for users, workers and health checks, and for requests of other
 controllers. Every worker keeps a connection to the leader; what remains is for the store, the cloud
 and what is sent to workers directly (`workers.KEPT_SHARE`)."""
@@ -82,7 +82,7 @@
         self._machine_types_read_at = MonotonicTime(-1e9)
         self._job_shards: OrderedDict[JobId, ShardName] = OrderedDict()
         sockets = settings.params.resources.fd_limit
-        peer_sockets = max(PEER_SOCKETS_MIN, int(PEER_SHARE * sockets))
+        peer_sockets = max(PEER_SOCKETS_MIN, int(PEER_SOCKET_SHARE * sockets))
         self.peers = _make_peers(settings.members, peer_sockets)
         self.electors = self._make_electors()
         self._cancel_announcer = CancelAnnouncer(
@@ -92,7 +92,7 @@
         self.http_server = HttpServer(
             parse_address(settings.api_addr),
             Api(self),
-            max(API_SOCKETS_MIN, int(API_SHARE * sockets)),
+            max(API_SOCKETS_MIN, int(API_SOCKET_SHARE * sockets)),
         )
         self.peer_server = PeerServer(
             parse_address(settings.mesh_addr), self.peer_requests.handle, peer_sockets
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -20,7 +20,7 @@
 from ryewing.clients.workers import Workers
 from ryewing.leader.direct_messages import max_sends_in_flight
 from ryewing.leader.machine_records import MACHINE_PREFIX
-from ryewing.process.node import API_SHARE, PEER_SHARE
+from ryewing.process.node import API_SOCKET_SHARE, PEER_SOCKET_SHARE
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.attempts import TaskPhase
@@ -202,9 +202,9 @@
         workers.client_for(f"10.0.{n // 250}.{n % 250 + 1}:9000")
     kept = len(workers.clients)
     store = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
-    others = int(PEER_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
-    assert int(API_SHARE * sockets) >= 1.2 * 1100
-    assert int(API_SHARE * sockets) + others <= sockets
+    others = int(PEER_SOCKET_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
+    assert int(API_SOCKET_SHARE * sockets) >= 1.2 * 1100
+    assert int(API_SOCKET_SHARE * sockets) + others <= sockets
 
 
 @pytest.mark.parametrize("size", SIZES)
