--- a/src/ryewing/election/lease_validity.py
+++ b/src/ryewing/election/lease_validity.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ryewing.units import DRIFT, MonotonicTime
+from ryewing.units import CLOCK_DRIFT_MARGIN, MonotonicTime
 
 JOBS_KNOWN_MAX_AGE_S = 6.0
 """How old the leader's knowledge of the jobs may be, in seconds, while it starts tasks and answers
@@ -38,8 +38,8 @@
         `lease_s` is the lifetime of the lease in the store, `hold_s` the time for which workers
         may be answered after the last confirmations, both in seconds.
         """
-        self._lease_s = lease_s * (1 - DRIFT) - _LEASE_MARGIN_S
-        self._hold_s = hold_s * (1 - DRIFT)
+        self._lease_s = lease_s * (1 - CLOCK_DRIFT_MARGIN) - _LEASE_MARGIN_S
+        self._hold_s = hold_s * (1 - CLOCK_DRIFT_MARGIN)
         self.renewed_at: MonotonicTime | None = None
         """When the latest confirmed renewal was sent."""
         self.jobs_known_at: MonotonicTime | None = None
--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -21,7 +21,7 @@
     MachineId,
     MonotonicTime,
     TaskId,
-    attempt_of,
+    attempt_number,
     wall_now,
 )
 
@@ -108,7 +108,7 @@
 
     def _next_attempt(self) -> Attempt:
         self.attempts_used += 1
-        return attempt_of(self._term.number, self.attempts_used)
+        return attempt_number(self._term.number, self.attempts_used)
 
     def _request_early_heartbeats(self, batches: Sequence[Batch], now: MonotonicTime) -> None:
         """Ask the machines with new tasks to heartbeat soon, those with new replicas first."""
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -20,7 +20,15 @@
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.job_records import FINISHED_PREFIX, LIVE_PREFIX, read_record
 from ryewing.state.jobs import Job
-from ryewing.units import DRIFT, JobId, KeyVersion, MachineId, MonotonicTime, Zone, monotonic_now
+from ryewing.units import (
+    CLOCK_DRIFT_MARGIN,
+    JobId,
+    KeyVersion,
+    MachineId,
+    MonotonicTime,
+    Zone,
+    monotonic_now,
+)
 from ryewing.wire.cloud import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
@@ -115,7 +123,9 @@
         # Whoever led before may have answered workers until its hold ended, and the last of
         # these answers keeps a worker's tasks for one lease.
         lease_s = self._term.settings.params.workers.lease_s
-        may_hold_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
+        may_hold_s = (self._term.policy.hold_s + lease_s) * (
+            1 + 2 * CLOCK_DRIFT_MARGIN
+        ) + HANDOVER_MARGIN_S
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
         records, found_twice = self._writer.machine_records.pages.load(entries)
         for name, raw in records:
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -19,7 +19,7 @@
 from ryewing.state.machine import Machine
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
-    DRIFT,
+    CLOCK_DRIFT_MARGIN,
     FencingToken,
     MachineId,
     MonotonicTime,
@@ -65,7 +65,7 @@
         self.apply_heartbeat = self._heartbeats.apply
         """Applies a worker's message; see `HeartbeatApplier.apply`. It is bound here, without a
         method around it, as it is called for every heartbeat of every machine."""
-        self._hold_s = lease_s * (1 + DRIFT) + LEASE_MARGIN_S
+        self._hold_s = lease_s * (1 + CLOCK_DRIFT_MARGIN) + LEASE_MARGIN_S
         """How long after a 200 response a worker may still hold its tasks."""
 
     def token(self, machine: Machine) -> FencingToken:
--- a/src/ryewing/state/heartbeat_applier.py
+++ b/src/ryewing/state/heartbeat_applier.py
@@ -17,14 +17,14 @@
 from ryewing.state.machine import Assignment, Machine
 from ryewing.units import (
     MAX_TOKEN_BUMPS,
-    NEVER_HEARD,
+    NO_HEARTBEAT,
     Attempt,
     HeartbeatVersion,
     MonotonicTime,
     TaskId,
     TermNumber,
     bumps_of_token,
-    parse_task,
+    parse_task_id,
     term_of_token,
 )
 from ryewing.wire.workers import Heartbeat, ReportedTask
@@ -66,7 +66,7 @@
         version = HeartbeatVersion(heartbeat.incarnation, heartbeat.sequence)
         if version <= machine.version or heartbeat.incarnation <= machine.expired_incarnation:
             return False
-        if heartbeat.incarnation > machine.version.incarnation and machine.version != NEVER_HEARD:
+        if heartbeat.incarnation > machine.version.incarnation and machine.version != NO_HEARTBEAT:
             self._begin_incarnation(machine, now)
         machine.version = version
         machine.heard_at = now
@@ -92,7 +92,7 @@
         """
         log.info("event=worker-restarted machine=%s", machine.id)
         self._assignments.drop_all(machine, now)
-        machine.version = NEVER_HEARD
+        machine.version = NO_HEARTBEAT
         machine.expired_incarnation = 0
         machine.acknowledged_bump = -1
         machine.required_bump = 0
@@ -150,7 +150,7 @@
         if len(previous) + len(changed) > len(current):
             self._drop_unreported(machine, previous, current, now)
         for reported in changed:
-            task = parse_task(reported.task_id)
+            task = parse_task_id(reported.task_id)
             if task is None:
                 continue
             if reported.status == TaskPhase.ENDED:
@@ -171,7 +171,7 @@
             if previous[key].status == TaskPhase.ENDED:
                 continue
             task_id, attempt = key
-            task = parse_task(task_id)
+            task = parse_task_id(task_id)
             assignment = machine.assignments.get(task) if task is not None else None
             if assignment is not None and assignment.attempt == attempt:
                 self._assignments.drop(assignment, now)
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -12,7 +12,7 @@
 from ryewing.state.image_fetches import ImageFetch
 from ryewing.state.jobs import Job
 from ryewing.units import (
-    NEVER_HEARD,
+    NO_HEARTBEAT,
     Attempt,
     HeartbeatVersion,
     JobId,
@@ -242,7 +242,7 @@
         self.rented_at = now
         self.recorded = False
 
-        self.version = NEVER_HEARD
+        self.version = NO_HEARTBEAT
         self.heard_at = None
         self.expired_incarnation = 0
         self.lease_expires_by = None
--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -38,7 +38,7 @@
 """A time of day in seconds since 1970: for ages that must outlive a process. It is off by up to the
 bound in the settings (`clock_off_ms`)."""
 
-DRIFT = 0.001
+CLOCK_DRIFT_MARGIN = 0.001
 """Twice the 0.05% by which the monotonic clocks of two machines may drift apart."""
 
 _JOB_ID = re.compile(r"run-[0-9]{1,18}")
@@ -69,7 +69,7 @@
     """Which message in that life."""
 
 
-NEVER_HEARD = HeartbeatVersion(0, 0)
+NO_HEARTBEAT = HeartbeatVersion(0, 0)
 """Older than every message of a worker."""
 
 
@@ -88,7 +88,7 @@
     return isinstance(text, str) and _JOB_ID.fullmatch(text) is not None
 
 
-def parse_task(text: str) -> TaskId | None:
+def parse_task_id(text: str) -> TaskId | None:
     """Parse a task id such as `run-000412/3`; None if the text is not one."""
     job, slash, number = text.partition("/")
     if not slash or not number.isdecimal() or not is_job_id(job):
@@ -96,7 +96,7 @@
     return TaskId(JobId(job), int(number))
 
 
-def attempt_of(term: TermNumber, counter: int) -> Attempt:
+def attempt_number(term: TermNumber, counter: int) -> Attempt:
     """Return the attempt number for a term's `counter`, which no other term can give out.
 
     This is safety argument 6 of `docs/design.md`. Raise ValueError if the counter is negative or
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -23,7 +23,7 @@
 from ryewing.leader.plan_applier import MIN_ATTEMPTS_LEFT
 from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.state.attempts import TaskPhase
-from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
+from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_number
 from ryewing.wire.cloud import ListedMachine
 from ryewing.wire.workers import Command
 
@@ -229,9 +229,9 @@
     assert not harness.lost
     harness.place()
     assert harness.lost == ["attempts-used-up"]
-    assert attempt_of(TermNumber(5), MAX_ATTEMPTS) < attempt_of(TermNumber(6), 0)
+    assert attempt_number(TermNumber(5), MAX_ATTEMPTS) < attempt_number(TermNumber(6), 0)
     with pytest.raises(ValueError, match="another term"):
-        attempt_of(TermNumber(5), MAX_ATTEMPTS + 1)
+        attempt_number(TermNumber(5), MAX_ATTEMPTS + 1)
 
 
 def test_fixed_limits_stand_above_the_fleet() -> None:
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -40,7 +40,7 @@
     TaskId,
     TermNumber,
     Zone,
-    parse_task,
+    parse_task_id,
 )
 from ryewing.wire.store import Entry
 from ryewing.wire.workers import ReportedTask
@@ -266,9 +266,9 @@
 
     def counted(text: str) -> TaskId | None:
         parsed.append(text)
-        return parse_task(text)
+        return parse_task_id(text)
 
-    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task", counted)
+    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task_id", counted)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ryewing.leader.leader import Leader
-from ryewing.units import parse_task
+from ryewing.units import parse_task_id
 from ryewing.wire.jobs import JobSpec
 from support.timed_workers import CONTROLLERS, STEP_S
 
@@ -45,7 +45,7 @@
     jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
     used: dict[str, float] = defaultdict(float)
     for worker in cluster.workers.values():
-        for task in (parse_task(reported) for reported, _ in worker.tasks):
+        for task in (parse_task_id(reported) for reported, _ in worker.tasks):
             if task is not None and task.job in jobs:
                 used[jobs[task.job].spec.team] += jobs[task.job].spec.gpus
     found = []
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -11,7 +11,7 @@
 
 from ryewing.state.attempts import EndCause
 from ryewing.state.job_records import FINAL_STATES, FinalState
-from ryewing.units import parse_task
+from ryewing.units import parse_task_id
 
 if TYPE_CHECKING:
     from support.simulated_cluster import SimulatedCluster
@@ -63,7 +63,7 @@
 
     def record_start(self, worker: TimedWorker, key: tuple[str, int]) -> None:
         """Record and check the start of a task attempt."""
-        task = parse_task(key[0])
+        task = parse_task_id(key[0])
         assert task is not None
         self.starts[key[0]] += 1
         if task.job in self.cancelled_at:
@@ -105,7 +105,7 @@
         used: Counter[str] = Counter()
         for worker in cluster.workers.values():
             for (reported, _attempt), found in worker.tasks.items():
-                task = parse_task(reported)
+                task = parse_task_id(reported)
                 assert task is not None
                 if found.status == "ended":
                     if found.cause == EndCause.DONE:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -34,7 +34,7 @@
 from ryewing.sharding.serve import build_coordinator
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
-from ryewing.units import MachineId, ShardName, is_job_id, parse_task
+from ryewing.units import MachineId, ShardName, is_job_id, parse_task_id
 from ryewing.wire.cloud import MachineTypeList
 from ryewing.wire.jobs import GANG
 from ryewing.wire.workers import Heartbeat
@@ -333,7 +333,7 @@
 
     def is_gang(self, reported: str) -> bool:
         """Return whether a task is one of a gang, and starts only with the others."""
-        task = parse_task(reported)
+        task = parse_task_id(reported)
         wanted = self.rules.job_specs.get(task.job) if task is not None else None
         if wanted is None:
             return False
@@ -341,7 +341,7 @@
 
     def is_complete(self, key: tuple[str, int]) -> bool:
         """Return whether all tasks of a gang's attempt are on machines, or were."""
-        task = parse_task(key[0])
+        task = parse_task_id(key[0])
         assert task is not None
         there = {
             other[0]
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -9,7 +9,7 @@
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS, TimedWorker
 
-from ryewing.units import parse_task
+from ryewing.units import parse_task_id
 
 DRAIN_ROUNDS = 60
 START_MAX_S = 240.0
@@ -168,7 +168,7 @@
             for key, found in list(worker.tasks.items()):
                 if found.status != "running":
                     continue
-                task = parse_task(key[0])
+                task = parse_task_id(key[0])
                 assert task is not None
                 self.started_after_s.setdefault(task.job, now - self._submitted_at)
                 if now - self._running_since.setdefault(key, now) >= run_s:
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -10,7 +10,7 @@
 from support.placement_world import FLAVOURS, TEAMS
 
 from ryewing.state.resources import infeasibility_reason
-from ryewing.units import JobId, TaskId, TermNumber, attempt_of, is_job_id, parse_task
+from ryewing.units import JobId, TaskId, TermNumber, attempt_number, is_job_id, parse_task_id
 from ryewing.wire.codec import MalformedError
 from ryewing.wire.jobs import read_job_spec
 
@@ -34,10 +34,10 @@
 
 
 def test_task_names_and_attempts() -> None:
-    assert parse_task("run-000412/3") == TaskId(JobId("run-000412"), 3)
-    assert [parse_task(bad) for bad in ("run-1", "run-1/", "run-1/-2", "x/1")] == [None] * 4
+    assert parse_task_id("run-000412/3") == TaskId(JobId("run-000412"), 3)
+    assert [parse_task_id(bad) for bad in ("run-1", "run-1/", "run-1/-2", "x/1")] == [None] * 4
     # No two terms give out the same attempt, whatever their counters.
-    assert attempt_of(TermNumber(2), 1) > attempt_of(TermNumber(1), 2**24 - 1)
+    assert attempt_number(TermNumber(2), 1) > attempt_number(TermNumber(1), 2**24 - 1)
 
 
 GOOD = submission()
