--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -14,7 +14,7 @@
 from gevent import socket
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-from ryewing.wire.codec import BODY_LIMIT
+from ryewing.wire.codec import MAX_BODY_BYTES
 from ryewing.wire.responses import ErrorBody
 
 log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
 MAX_HEADER_BYTES = 16 * 1024
 """The most bytes that one line of the headers may have."""
 BODY_TOO_LARGE = "body above 64 KiB"
-"""The error in the 413 to a body above BODY_LIMIT."""
+"""The error in the 413 to a body above MAX_BODY_BYTES."""
 _HEADERS_IN_ENVIRON = ("expect", "transfer-encoding", "connection", "upgrade")
 """The request headers that the WSGI server itself reads."""
 STATUS_LINES: dict[int, str] = {
@@ -47,7 +47,7 @@
 
 
 class _BodyTooLargeError(ValueError):
-    """The Content-Length of a request is above BODY_LIMIT."""
+    """The Content-Length of a request is above MAX_BODY_BYTES."""
 
 
 class RequestHeaders(dict[str, str]):
@@ -120,7 +120,7 @@
 
     def read_request(self, raw_requestline: str) -> Any:
         result = super().read_request(raw_requestline)
-        if self.content_length is not None and self.content_length > BODY_LIMIT:
+        if self.content_length is not None and self.content_length > MAX_BODY_BYTES:
             raise _BodyTooLargeError
         return result
 
--- a/src/ryewing/api/router.py
+++ b/src/ryewing/api/router.py
@@ -29,7 +29,7 @@
 from ryewing.api.submissions import Submissions
 from ryewing.clients.user_request_limiter import RateLimitExceededError
 from ryewing.units import JobId, is_job_id
-from ryewing.wire.codec import BODY_LIMIT
+from ryewing.wire.codec import MAX_BODY_BYTES
 from ryewing.wire.responses import HealthBody
 
 log = logging.getLogger(__name__)
@@ -111,10 +111,10 @@
     stream = environ["wsgi.input"]
     try:
         with gevent.Timeout(BODY_DEADLINE_S, TimeoutError("body")):
-            body: bytes = stream.read(BODY_LIMIT + 1)
+            body: bytes = stream.read(MAX_BODY_BYTES + 1)
     except TimeoutError:
         late = error_response(400, "the body did not come", [CLOSE_CONNECTION])
         raise RefusedError(late) from None
-    if len(body) > BODY_LIMIT:
+    if len(body) > MAX_BODY_BYTES:
         raise RefusedError(error_response(413, BODY_TOO_LARGE, [CLOSE_CONNECTION]))
     return body
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -38,7 +38,7 @@
     wall_now,
 )
 from ryewing.wire.cloud import MachineType
-from ryewing.wire.codec import MalformedError, read_object
+from ryewing.wire.codec import MalformedError, decode_object
 from ryewing.wire.jobs import QUEUED, JobSpec, JobStatus, read_job_spec
 
 log = logging.getLogger(__name__)
@@ -177,7 +177,7 @@
     some refusals (`4.0` in place of a string is a float to one decoder and an int to the other).
     """
     try:
-        job = read_object(body).get("ref")
+        job = decode_object(body).get("ref")
     except MalformedError as error:
         raise RefusedError(error_response(400, str(error))) from None
     if not is_job_id(job):
--- a/src/ryewing/clients/peers/client.py
+++ b/src/ryewing/clients/peers/client.py
@@ -13,7 +13,7 @@
 from ryewing.clients.peers.framing import read_frame, write_frame
 from ryewing.clients.peers.messages import Request, Response
 from ryewing.config.settings import Address
-from ryewing.wire.codec import UNREADABLE
+from ryewing.wire.codec import DECODE_ERRORS
 
 log = logging.getLogger(__name__)
 KEPT_CONNECTIONS = 4
@@ -84,7 +84,7 @@
                 response = _response_decoder.decode(read_frame(sock))
                 done = True
                 return response
-        except (OSError, EOFError, *UNREADABLE) as error:
+        except (OSError, EOFError, *DECODE_ERRORS) as error:
             # The kept connections fail as this one did: each would cost one more deadline.
             self._close_idle()
             raise PeerUnavailableError(f"{type(error).__name__}: {error}") from None
--- a/src/ryewing/clients/peers/server.py
+++ b/src/ryewing/clients/peers/server.py
@@ -13,7 +13,7 @@
 from ryewing.clients.peers.framing import read_frame, write_frame
 from ryewing.clients.peers.messages import Handler, Request
 from ryewing.config.settings import Address
-from ryewing.wire.codec import UNREADABLE
+from ryewing.wire.codec import DECODE_ERRORS
 
 log = logging.getLogger(__name__)
 IDLE_S = 60.0
@@ -50,7 +50,7 @@
                 with gevent.Timeout(IDLE_S, TimeoutError("idle")):
                     frame = read_frame(sock)
                 write_frame(sock, self._handler(_request_decoder.decode(frame)))
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             log.warning("event=unreadable-frame error=%s", error)
         except (OSError, EOFError):
             pass
--- a/src/ryewing/clients/store/client.py
+++ b/src/ryewing/clients/store/client.py
@@ -29,12 +29,12 @@
     Entry,
     EntryPage,
     KeyCondition,
-    LeaseGranted,
     LeaseRequest,
+    LeaseResponse,
     Put,
     Remove,
     Transaction,
-    TxnAnswer,
+    TransactionResponse,
 )
 
 TXN_PATH = "/txn"
@@ -146,13 +146,13 @@
             raise RejectedError(f"400: {reply.body[:200]!r}")
         if reply.status not in (200, 409):
             raise StoreUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
-        answer = decode_body(reply, TxnAnswer)
+        answer = decode_body(reply, TransactionResponse)
         return TxnResult(reply.status == 200, Revision(answer.revision), frozenset(answer.failed))
 
     def grant(self, ttl_s: float) -> int:
         """Obtain a lease that lasts for `ttl_s` seconds unless it is renewed."""
         body = msgspec.json.encode(LeaseRequest(int(ttl_s * 1000)))
-        return decode_reply(self.request_direct("POST", "/holds", body), LeaseGranted).lease
+        return decode_reply(self.request_direct("POST", "/holds", body), LeaseResponse).lease
 
     def renew(self, lease: int, deadline_s: float) -> None:
         """Renew a lease; raise LeaseLostError if it does not exist any more."""
--- a/src/ryewing/config/settings_file.py
+++ b/src/ryewing/config/settings_file.py
@@ -9,7 +9,7 @@
 
 from ryewing.config.settings import OBJECTIVE_KINDS, Settings, SettingsError
 from ryewing.config.settings_check import find_problems
-from ryewing.wire.codec import UNREADABLE
+from ryewing.wire.codec import DECODE_ERRORS
 
 PROBLEMS_TOLD = 5
 """How many of the problems found are told at once."""
@@ -24,7 +24,7 @@
         raw = msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise SettingsError(f"{path}: not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise SettingsError(f"{path}: not an object")
--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -14,7 +14,7 @@
 
 from ryewing.config.settings import Settings, SettingsError
 from ryewing.units import NodeName, ShardName
-from ryewing.wire.codec import UNREADABLE
+from ryewing.wire.codec import DECODE_ERRORS
 
 NAME_LENGTH_MAX = 32
 BY_ZONES = "zones:"
@@ -80,7 +80,7 @@
         shards = msgspec.json.decode(path.read_bytes(), type=ShardSettings)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
-    except (msgspec.ValidationError, *UNREADABLE) as error:
+    except (msgspec.ValidationError, *DECODE_ERRORS) as error:
         raise SettingsError(f"{path}: {error}") from None
     problem = next(problems(shards, settings), None)
     if problem is not None:
--- a/src/ryewing/wire/codec.py
+++ b/src/ryewing/wire/codec.py
@@ -8,10 +8,10 @@
 
 T = TypeVar("T")
 
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """The largest body of a request, in bytes (PROTOCOL)."""
 
-UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 """What msgspec raises while decoding. Deep nesting gives a RecursionError: found by a table of test
 cases, where one answer of the store ended the process."""
 
@@ -24,15 +24,15 @@
     """Decode JSON as a message of a type; raise MalformedError whatever is wrong with it."""
     try:
         return msgspec.json.decode(data, type=kind)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise MalformedError(str(error)) from None
 
 
-def read_object(body: bytes) -> dict[str, Any]:
+def decode_object(body: bytes) -> dict[str, Any]:
     """Decode a JSON object; raise MalformedError if it is not JSON, or something else."""
     try:
         value = msgspec.json.decode(body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise MalformedError(f"not JSON: {error}") from None
     if not isinstance(value, dict):
         raise MalformedError("not an object")
--- a/src/ryewing/wire/jobs.py
+++ b/src/ryewing/wire/jobs.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ryewing.wire.codec import UNREADABLE, MalformedError
+from ryewing.wire.codec import DECODE_ERRORS, MalformedError
 
 MAX_TASKS = 100_000
 """The most tasks that one job may have."""
@@ -135,7 +135,7 @@
     try:
         spec = _job_spec_decoder.decode(body)
         flags = _required_flags_decoder.decode(body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise MalformedError(str(error)) from None
     _check_flags(flags)
     _check_spec(spec)
--- a/src/ryewing/wire/store.py
+++ b/src/ryewing/wire/store.py
@@ -89,7 +89,7 @@
     """Empty if the waiting time ran out."""
 
 
-class TxnAnswer(msgspec.Struct, rename={"revision": "epoch"}):
+class TransactionResponse(msgspec.Struct, rename={"revision": "epoch"}):
     """The answer of a transaction, whether it was applied or not."""
 
     revision: int
@@ -98,7 +98,7 @@
     """The keys whose versions were not as the conditions demanded."""
 
 
-class LeaseGranted(msgspec.Struct, rename={"lease": "tenancy"}):
+class LeaseResponse(msgspec.Struct, rename={"lease": "tenancy"}):
     """The answer to a request for a lease of the store."""
 
     lease: int
--- a/src/ryewing/wire/workers.py
+++ b/src/ryewing/wire/workers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryewing.wire.codec import UNREADABLE, MalformedError
+from ryewing.wire.codec import DECODE_ERRORS, MalformedError
 
 START, HALT, CLEAR = "start", "halt", "clear"
 """The verbs of commands: run a task attempt, stop it, forget its result."""
@@ -116,5 +116,5 @@
     """Decode a worker's heartbeat; raise MalformedError if it can't be decoded."""
     try:
         return _heartbeat_decoder.decode(body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise MalformedError(str(error)) from None
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -21,7 +21,7 @@
 from ryewing.process.node import Node
 from ryewing.state.job_records import live_key
 from ryewing.units import JobId, Revision
-from ryewing.wire.codec import BODY_LIMIT, MalformedError
+from ryewing.wire.codec import MAX_BODY_BYTES, MalformedError
 from ryewing.wire.workers import read_heartbeat
 
 PATIENT_S = 10.0
@@ -79,7 +79,7 @@
 
 
 def test_bodies_above_the_limit_are_refused() -> None:
-    body = msgspec.json.encode({**submission(), "padding": "x" * BODY_LIMIT})
+    body = msgspec.json.encode({**submission(), "padding": "x" * MAX_BODY_BYTES})
     assert Client()("POST", "/v2/runs", body)[0] == 413
 
 
--- a/tests/test_version_0_2_2_records.py
+++ b/tests/test_version_0_2_2_records.py
@@ -42,7 +42,7 @@
     RentalRequest,
 )
 from ryewing.wire.jobs import JobStatus
-from ryewing.wire.store import Change, ChangeLog, Entry, EntryPage, TxnAnswer
+from ryewing.wire.store import Change, ChangeLog, Entry, EntryPage, TransactionResponse
 from ryewing.wire.workers import (
     Command,
     DirectCommands,
@@ -220,7 +220,9 @@
             11, [Change(10, "j/run-1", None, msgspec.Raw(b"{}")), Change(11, None, "j/run-2")]
         ),
     ),
-    case("txn-answer", b'{"epoch":11,"failed":["lead/term"]}', TxnAnswer(11, ["lead/term"])),
+    case(
+        "txn-answer", b'{"epoch":11,"failed":["lead/term"]}', TransactionResponse(11, ["lead/term"])
+    ),
     case("job-status-least", b'{"ref":"run-1","status":"waiting"}', JobStatus("run-1", "waiting")),
     case(
         "job-status-all",
