--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,14 +5,19 @@
 from collections.abc import Callable, Iterator
 
 import pytest
-from support.clocks import TERM_PARTS, clock_of_cluster, divided_clusters, moved_by_hand
+from support.clocks import (
+    TERM_MODULES,
+    divided_cluster_factory,
+    replace_cluster_clocks,
+    replace_monotonic_clock,
+)
 from support.harness import LeaderHarness
 from support.simulated_cluster import SimulatedCluster
 
 
 @pytest.fixture
 def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[LeaderHarness]:
-    clock = moved_by_hand(monkeypatch, *TERM_PARTS)
+    clock = replace_monotonic_clock(monkeypatch, *TERM_MODULES)
     for part in ("plan_applier", "scheduler"):
         monkeypatch.setattr(f"ryewing.leader.{part}.wall_now", lambda: 0.0)
     found = LeaderHarness(clock)
@@ -23,9 +28,9 @@
 
 @pytest.fixture
 def cluster(monkeypatch: pytest.MonkeyPatch) -> SimulatedCluster:
-    return SimulatedCluster(clock_of_cluster(monkeypatch))
+    return SimulatedCluster(replace_cluster_clocks(monkeypatch))
 
 
 @pytest.fixture
 def divided(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
-    return divided_clusters(monkeypatch)
+    return divided_cluster_factory(monkeypatch)
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -11,7 +11,7 @@
 import sys
 
 import pytest
-from support.clocks import divided_clusters
+from support.clocks import divided_cluster_factory
 from support.divided_fleet import (
     MakeCluster,
     add_machines,
@@ -69,7 +69,7 @@
     begun, seed, failures = 0, 1000, 0
     while begun < wanted:
         with pytest.MonkeyPatch.context() as monkeypatch:
-            make = divided_clusters(monkeypatch)
+            make = divided_cluster_factory(monkeypatch)
             cluster = make(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
             begun += simulate_moves(cluster, seed)
             found = verdict(cluster)
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -15,7 +15,7 @@
 from support.fakes import RAW_SETTINGS, Clock
 from support.simulated_cluster import SimulatedCluster
 
-TERM_PARTS = (
+TERM_MODULES = (
     "clients.machine_listing",
     "clients.token_bucket",
     "election.campaign",
@@ -36,7 +36,7 @@
     "leader.state_writer",
     "leader.term_context",
 )
-NODE_PARTS = (
+NODE_MODULES = (
     "api.submissions",
     "process.cancel_announcer",
     "process.image_locality_exchange",
@@ -44,7 +44,7 @@
     "process.leader_load",
     "process.node",
 )
-SHARDING_PARTS = (
+SHARDING_MODULES = (
     "sharding.coordinator",
     "sharding.health",
     "sharding.owner_choice",
@@ -53,7 +53,7 @@
     "sharding.team_demand",
     "sharding.team_limits",
 )
-WALL_CLOCK_PARTS = (
+WALL_CLOCK_MODULES = (
     "api.cancellation",
     "api.submissions",
     "leader.plan_applier",
@@ -62,7 +62,7 @@
 )
 
 
-def moved_by_hand(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
+def replace_monotonic_clock(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
     """Replace the monotonic clock of some modules by one that the test moves; return it."""
     clock = Clock()
     for part in parts:
@@ -70,19 +70,19 @@
     return clock
 
 
-def clock_of_cluster(monkeypatch: pytest.MonkeyPatch) -> Clock:
+def replace_cluster_clocks(monkeypatch: pytest.MonkeyPatch) -> Clock:
     """Replace all clocks of several controllers by one; no loop of a leader starts by itself."""
-    clock = moved_by_hand(monkeypatch, *TERM_PARTS, *NODE_PARTS, *SHARDING_PARTS)
-    for part in WALL_CLOCK_PARTS:
+    clock = replace_monotonic_clock(monkeypatch, *TERM_MODULES, *NODE_MODULES, *SHARDING_MODULES)
+    for part in WALL_CLOCK_MODULES:
         monkeypatch.setattr(f"ryewing.{part}.wall_now", clock)
     monkeypatch.setattr("ryewing.leader.leader.Leader.start", lambda leader: None)
     monkeypatch.setattr("gevent.sleep", lambda _seconds: None)
     return clock
 
 
-def divided_clusters(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
+def divided_cluster_factory(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
     """Return a function that makes a simulated cluster with a fleet divided by zones."""
-    clock = clock_of_cluster(monkeypatch)
+    clock = replace_cluster_clocks(monkeypatch)
 
     def make(count: int = 2, **settings: Any) -> SimulatedCluster:
         shards = divide_by_zones(count, RAW_SETTINGS["params"]["zones"])
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 import msgspec
-from support.clocks import TERM_PARTS
+from support.clocks import TERM_MODULES
 from support.fakes import Clock, FakeWorker, settings
 from support.harness import LeaderHarness
 
@@ -156,7 +156,7 @@
     parser.add_argument("machines", type=int, nargs="+")
     sizes: list[int] = parser.parse_args().machines
     clock = Clock()
-    clocks = [mock.patch(f"ryewing.{part}.monotonic_now", clock) for part in TERM_PARTS]
+    clocks = [mock.patch(f"ryewing.{part}.monotonic_now", clock) for part in TERM_MODULES]
     for patched in (
         *clocks,
         mock.patch("ryewing.leader.plan_applier.wall_now", return_value=WallTime(0.0)),
