--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -5,7 +5,14 @@
 import random
 
 import pytest
-from support.divided_fleet import EAST, WEST, MakeCluster, add_machines, request_move, verdict
+from support.divided_fleet import (
+    SHARD_1,
+    SHARD_2,
+    MakeCluster,
+    add_machines,
+    request_move,
+    verdict,
+)
 from support.fakes import GPU
 from support.harness import LeaderHarness
 from support.scenarios import Scenario
@@ -56,7 +63,7 @@
     cluster = divided(moves_allowed=False)
     add_machines(cluster, 0, with_gpus=12)
     cluster.run(12.0)
-    assert cluster.leader_of(EAST) == "n-0"
+    assert cluster.leader_of(SHARD_1) == "n-0"
     return cluster
 
 
@@ -148,7 +155,7 @@
     for number in range(4):
         cluster.cancel("n-1", f"run-{number}")
     gpu_jobs(cluster, "b", 4, first=20)
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     cluster.run(6.0)
     cluster.dead.add("n-2")
     cluster.run(30.0)
@@ -178,7 +185,7 @@
 ) -> None:
     """Without an answer the lower one counts, until a later write is confirmed."""
     cluster = limited
-    leader = cluster.leader("n-0", EAST)
+    leader = cluster.leader("n-0", SHARD_1)
     assert leader is not None
     limits = leader.term.team_limits
     assert isinstance(limits, ShardTeamLimits)
@@ -196,7 +203,7 @@
     assert low < LIMIT / 2
     cluster.links["n-0"].delays_transactions = False
     limits.read_records()
-    assert limits.records["red"].record.of(ShardName(EAST)).gpus > low  # as the store has it
+    assert limits.records["red"].record.of(ShardName(SHARD_1)).gpus > low  # as the store has it
     assert part() == low
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
@@ -205,20 +212,22 @@
 
 
 RED = limit_of(Team("red", gpus_max=LIMIT))
-SHARDS = [ShardName(EAST), ShardName(WEST)]
+SHARDS = [ShardName(SHARD_1), ShardName(SHARD_2)]
 
 
 @pytest.mark.parametrize(
     ("demand", "claims", "targets"),
     [
         pytest.param({}, {}, (4.0, 4.0), id="no_demand"),
-        pytest.param({EAST: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
-        pytest.param({EAST: 8.0, WEST: 8.0}, {}, (4.0, 4.0), id="equal_demand"),
-        pytest.param({EAST: 30.0, WEST: 2.0}, {}, (6.4, 1.6), id="unequal_demand"),
-        pytest.param({EAST: 8.0, WEST: 8.0}, {WEST: (7.0, 5.0)}, (8 / 9, 64 / 9), id="one_claim"),
+        pytest.param({SHARD_1: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
+        pytest.param({SHARD_1: 8.0, SHARD_2: 8.0}, {}, (4.0, 4.0), id="equal_demand"),
+        pytest.param({SHARD_1: 30.0, SHARD_2: 2.0}, {}, (6.4, 1.6), id="unequal_demand"),
+        pytest.param(
+            {SHARD_1: 8.0, SHARD_2: 8.0}, {SHARD_2: (7.0, 5.0)}, (8 / 9, 64 / 9), id="one_claim"
+        ),
         pytest.param(
-            {EAST: 8.0, WEST: 8.0},
-            {WEST: (8.0, 5.0), EAST: (8.0, 4.0)},
+            {SHARD_1: 8.0, SHARD_2: 8.0},
+            {SHARD_2: (8.0, 5.0), SHARD_1: (8.0, 4.0)},
             (8.0, 0.0),
             id="older_claim_first",
         ),
@@ -256,7 +265,7 @@
 def test_a_part_is_not_lowered_below_what_unheard_machines_may_hold(
     harness: LeaderHarness,
 ) -> None:
-    harness.scope = TermScope(ShardName(EAST), frozenset({Zone("a")}), 0.5)
+    harness.scope = TermScope(ShardName(SHARD_1), frozenset({Zone("a")}), 0.5)
     harness.new_leader(5)
     worker = harness.worker("i-000001", machine_type="g4", zone="a")
     harness.ready(worker)
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -7,13 +7,13 @@
 
 import pytest
 from support.divided_fleet import (
-    EAST,
-    WEST,
+    SHARD_1,
+    SHARD_2,
     MakeCluster,
     add_machines,
     all_shards_led,
     ownership_record,
-    read_registration,
+    read_registry,
     request_move,
     start_divided_fleet,
     submit_random_jobs,
@@ -32,7 +32,7 @@
 def test_two_shards_are_led_by_two_controllers(divided: MakeCluster) -> None:
     cluster = divided()
     start_divided_fleet(cluster)
-    assert {cluster.leader_of(EAST), cluster.leader_of(WEST)} == {"n-0", "n-1"}
+    assert {cluster.leader_of(SHARD_1), cluster.leader_of(SHARD_2)} == {"n-0", "n-1"}
     submit_random_jobs(cluster, random.Random(1), 0, 12)
     cluster.run(10.0)
     assert {worker.zone for worker in cluster.workers.values() if worker.tasks} == {"a", "b", "c"}
@@ -55,7 +55,7 @@
     for number in range(25):
         submit_random_jobs(cluster, rng, 10 * number, 2)
         cluster.run(rng.choice((0.25, 0.5, 1.0, 3.0)))
-        shard = rng.choice([str(name) for name in read_registration(cluster).shards])
+        shard = rng.choice([str(name) for name in read_registry(cluster).shards])
         moved += request_move(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 1.0, 2.0)))
         if number % 3 == 0:
@@ -85,17 +85,17 @@
         )
     cluster.run(10.0)
     assert sum(len(worker.tasks) for worker in cluster.workers.values()) == 16
-    assert (cluster.leader_of(EAST), cluster.leader_of(WEST)) == ("n-0", "n-1")
+    assert (cluster.leader_of(SHARD_1), cluster.leader_of(SHARD_2)) == ("n-0", "n-1")
 
 
 def move_until(cluster: SimulatedCluster, phase: Phase) -> None:
     """Request the move of a shard from n-0 to n-2, and run until it is in a phase."""
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     for _ in range(20):
-        if ownership_record(cluster, EAST).phase is phase:
+        if ownership_record(cluster, SHARD_1).phase is phase:
             return
         cluster.run(0.25)
-    raise AssertionError(ownership_record(cluster, EAST))
+    raise AssertionError(ownership_record(cluster, SHARD_1))
 
 
 def assert_all_done_at_first_attempt(cluster: SimulatedCluster) -> None:
@@ -119,7 +119,7 @@
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     if phase is Phase.OWNED:
-        assert request_move(cluster, EAST, "n-2")
+        assert request_move(cluster, SHARD_1, "n-2")
     else:
         move_until(cluster, phase)
     cluster.dead.add(lost)
@@ -128,7 +128,7 @@
     cluster.run(14.0)
     assert all_shards_led(cluster)
     if back == "later":
-        assert lost not in {ownership_record(cluster, shard).owner for shard in (EAST, WEST)}
+        assert lost not in {ownership_record(cluster, shard).owner for shard in (SHARD_1, SHARD_2)}
     assert_all_done_at_first_attempt(cluster)
 
 
@@ -139,7 +139,7 @@
 ) -> None:
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     link = cluster.links[who]
     setattr(link, fault, True)
     cluster.run(6.0)
@@ -167,7 +167,7 @@
     slow.heartbeats_lost = True
     cluster.run(3.0)
     assert 0 < len(task_statuses(cluster, "run-8")) < 4
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     cluster.run(1.0)
     slow.heartbeats_lost = False
     cluster.run(60.0)
@@ -190,7 +190,7 @@
 
 def a_spot_notice_comes(cluster: SimulatedCluster) -> None:
     """The owner of a sealed shard still stops tasks in time to save their progress."""
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     for worker in cluster.workers.values():
         worker.notice_s = 10.0 if worker.name == "i-000000" else None
     cluster.run(8.0)
@@ -205,7 +205,7 @@
     for name in ("n-0", "n-2", "n-0"):
         status, answer = cluster.send_heartbeat(name, worker.heartbeat())
         assert (status, answer.get("foreman")) == ((200, None) if name == "n-2" else (421, "n-2"))
-    assert cluster.leader("n-0", EAST) is None
+    assert cluster.leader("n-0", SHARD_1) is None
 
 
 def the_owner_of_a_sealed_shard_restarts(cluster: SimulatedCluster) -> None:
@@ -214,7 +214,7 @@
     cluster.dead.add("n-0")
     cluster.boot("n-0")
     cluster.run(8.0)
-    leader = cluster.leader("n-2", EAST)
+    leader = cluster.leader("n-2", SHARD_1)
     assert leader is not None
     assert leader.term.number == 2
 
@@ -227,11 +227,11 @@
     health.renew_if_due = lambda: None  # type: ignore[method-assign]
     cluster.store.txn({}, [Remove(NODE_PREFIX + "n-0")])
     cluster.run(1.0)
-    assert ownership_record(cluster, EAST).owner != "n-0"
-    assert cluster.leader("n-0", EAST) is None
+    assert ownership_record(cluster, SHARD_1).owner != "n-0"
+    assert cluster.leader("n-0", SHARD_1) is None
     health.renew_if_due = lambda: renew_if_due(health)  # type: ignore[method-assign]
     cluster.run(0.75)
-    assert "n-0" in read_registration(cluster).healthy
+    assert "n-0" in read_registry(cluster).healthy
 
 
 def cancelled_while_the_leader_hears_no_changes(cluster: SimulatedCluster) -> None:
@@ -263,17 +263,17 @@
     for worker in cluster.workers.values():
         worker.unreachable.add("n-0")
     cluster.run(16.0)
-    assert ownership_record(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, SHARD_1).owner != "n-0"
 
 
 def an_owner_freezes(cluster: SimulatedCluster) -> None:
     """Another controller takes its shard over; when it goes on, it has no lease and resigns."""
     cluster.frozen.add("n-0")
     cluster.run(9.0)
-    assert ownership_record(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, SHARD_1).owner != "n-0"
     cluster.frozen.clear()
     cluster.run(2.0)
-    assert cluster.leader("n-0", EAST) is None
+    assert cluster.leader("n-0", SHARD_1) is None
 
 
 @pytest.mark.parametrize(
@@ -309,7 +309,7 @@
     assert all_shards_led(cluster)
     cluster.boot("n-1")
     cluster.run(9.0)
-    assert ownership_record(cluster, WEST).owner != "n-1"
+    assert ownership_record(cluster, SHARD_2).owner != "n-1"
     cluster.run(40.0)
     owners = [ownership_record(cluster, shard) for shard in ("shard-1", "shard-2", "shard-3")]
     assert sorted(record.owner for record in owners) == list(CONTROLLERS)
@@ -351,7 +351,7 @@
     cluster.run(10.0)
     cluster.boot("n-2")
     cluster.run(0.25)
-    seen = read_registration(cluster)
+    seen = read_registry(cluster)
     assert seen.healthy == set(CONTROLLERS)
     for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -11,7 +11,7 @@
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS
 
-EAST, WEST = "shard-1", "shard-2"
+SHARD_1, SHARD_2 = "shard-1", "shard-2"
 """Zone a, and zones b and c."""
 
 PATIENCE_S = 90.0
@@ -33,7 +33,7 @@
         cluster.worker(f"i-{number:06d}", machine_type=kind, zone="abc"[number % 3])
 
 
-def read_registration(cluster: SimulatedCluster) -> RegistrySnapshot:
+def read_registry(cluster: SimulatedCluster) -> RegistrySnapshot:
     """Read the ownership records of all shards, as an operator does."""
     names = [shard for shard in cluster.nodes[CONTROLLERS[0]].electors if shard is not None]
     return ShardRegistry(cluster.store).read(names)  # type: ignore[arg-type]
@@ -41,14 +41,14 @@
 
 def ownership_record(cluster: SimulatedCluster, shard: str) -> Ownership:
     """Return the ownership record of one shard."""
-    record = read_registration(cluster).shards[ShardName(shard)].record
+    record = read_registry(cluster).shards[ShardName(shard)].record
     assert record is not None
     return record
 
 
 def request_move(cluster: SimulatedCluster, shard: str, target: str) -> bool:
     """Ask for the move of a shard; return False if it is refused."""
-    found = read_registration(cluster)
+    found = read_registry(cluster)
     registry = ShardRegistry(cluster.store)  # type: ignore[arg-type]
     try:
         taken = registry.apply_step(
@@ -67,7 +67,7 @@
         seen.record is not None
         and seen.record.phase is Phase.OWNED
         and cluster.leader(seen.record.owner, shard) is not None
-        for shard, seen in read_registration(cluster).shards.items()
+        for shard, seen in read_registry(cluster).shards.items()
     )
 
 
@@ -94,5 +94,5 @@
         del cluster.workers[name]  # the cloud takes what it has announced
     found = cluster.verdict(PATIENCE_S)
     if not all_shards_led(cluster):
-        found.append(f"not owned: {read_registration(cluster).shards}")
+        found.append(f"not owned: {read_registry(cluster).shards}")
     return found
