--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -11,7 +11,7 @@
     MakeCluster,
     add_machines,
     request_move,
-    verdict,
+    violations_after_settling,
 )
 from support.fakes import GPU
 from support.harness import LeaderHarness
@@ -104,7 +104,7 @@
                 if found.status == "running" and not key[0].startswith("run-50/"):
                     worker.end_task(key)
     assert cluster.rules.starts["run-50/0"] == 1
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
 
 
 def owner_gets_no_answers(cluster: SimulatedCluster) -> None:
@@ -176,7 +176,7 @@
     cluster.run(12.0)
     assert gpus_in_use(cluster) == LIMIT
     scenario(cluster)
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
     assert allowances(cluster).total().gpus <= LIMIT
 
 
@@ -208,7 +208,7 @@
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
     assert part() <= LIMIT
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
 
 
 RED = limit_of(Team("red", gpus_max=LIMIT))
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -17,7 +17,7 @@
     add_machines,
     request_move,
     submit_random_jobs,
-    verdict,
+    violations_after_settling,
 )
 from support.fault_injector import FaultInjector
 from support.simulated_cluster import SimulatedCluster
@@ -60,7 +60,7 @@
 def test_no_rule_is_broken_by_moves_under_faults(divided: MakeCluster, seed: int) -> None:
     cluster = divided(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
     assert simulate_moves(cluster, seed) > 0
-    assert verdict(cluster) == [], seed
+    assert violations_after_settling(cluster) == [], seed
 
 
 def main() -> int:
@@ -72,7 +72,7 @@
             make = divided_cluster_factory(monkeypatch)
             cluster = make(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
             begun += simulate_moves(cluster, seed)
-            found = verdict(cluster)
+            found = violations_after_settling(cluster)
         failures += bool(found)
         print(f"seed {seed}: {begun} moves so far{'; '.join(['', *found])}", flush=True)
         seed += 1
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -17,7 +17,7 @@
     request_move,
     start_divided_fleet,
     submit_random_jobs,
-    verdict,
+    violations_after_settling,
 )
 from support.scenarios import Scenario
 from support.simulated_cluster import SimulatedCluster
@@ -38,7 +38,7 @@
     assert {worker.zone for worker in cluster.workers.values() if worker.tasks} == {"a", "b", "c"}
     for worker in cluster.workers.values():
         cluster.end(worker)
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done"}
 
 
@@ -69,7 +69,7 @@
             for key, found in list(worker.tasks.items()):
                 if found.status == "running":
                     worker.end_task(key)
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
     assert not cluster.rules.stopped_tasks
@@ -103,7 +103,7 @@
     cluster.run(2.0)
     for worker in cluster.workers.values():
         cluster.end(worker)
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
     assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
     assert not cluster.rules.stopped_tasks
@@ -297,7 +297,7 @@
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     scenario(cluster)
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
 
 
 def test_the_shards_of_a_lost_controller_come_back_to_it(divided: MakeCluster) -> None:
--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -98,7 +98,7 @@
     return status
 
 
-def verdict(cluster: SimulatedCluster, patience_s: float = 0.0) -> list[str]:
+def violations_after_settling(cluster: SimulatedCluster, patience_s: float = 0.0) -> list[str]:
     """End all faults and return the rules that were broken.
 
     A job may wait beside room for no longer than `patience_s`.
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -88,11 +88,11 @@
         assert status in (0, 201, 503)
 
 
-def verdict(cluster: SimulatedCluster) -> list[str]:
-    """End all faults; return the rules that were verdict, and the ownerships if one is not led."""
+def violations_after_settling(cluster: SimulatedCluster) -> list[str]:
+    """End all faults; return the broken rules, and the ownerships if a shard is not led."""
     for name in [name for name, worker in cluster.workers.items() if worker.notice_s is not None]:
         del cluster.workers[name]  # the cloud takes what it has announced
-    found = cluster.verdict(PATIENCE_S)
+    found = cluster.violations_after_settling(PATIENCE_S)
     if not all_shards_led(cluster):
         found.append(f"not owned: {read_registry(cluster).shards}")
     return found
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -353,6 +353,6 @@
         }
         return len(there) == int(self.rules.job_specs[task.job].task_count)
 
-    def verdict(self, patience_s: float = 0.0) -> list[str]:
+    def violations_after_settling(self, patience_s: float = 0.0) -> list[str]:
         """End all faults, and return the rules that were broken (`cluster_verdict`)."""
-        return cluster_verdict.verdict(self, patience_s)
+        return cluster_verdict.violations_after_settling(self, patience_s)
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -307,4 +307,4 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_no_rule_is_broken(cluster: SimulatedCluster, scenario: Scenario) -> None:
     scenario(cluster)
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -33,7 +33,7 @@
     assert worker.tasks
     assert cluster.cancel("n-2", "run-2") == 200
     cluster.ask_all("run-2")
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert not worker.tasks
 
 
@@ -357,7 +357,7 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_no_rule_is_broken(cluster: SimulatedCluster, scenario: Scenario) -> None:
     scenario(cluster)
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
 
 
 @pytest.mark.parametrize("garbage", [b"null", b"[]", b"{", b'{"run":3}', b"\xff", b'{"1":[]}'])
@@ -382,7 +382,7 @@
     cluster.run(4.0)
     cluster.ask_all()
     assert cluster.rules.final_states == {"run-1": "done"}
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
 
 
 def test_an_invalid_job_record_is_ignored(cluster: SimulatedCluster) -> None:
@@ -452,7 +452,7 @@
     # Accepted: 1; ended: 2 (the live record goes, the final one comes); cancelled: 1 more.
     assert cluster.store.writes - before <= 240 * 3 + 60 + 8
     assert not [key for key in cluster.store.data if key.startswith("d/run")]
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done", "cancelled"}
 
 
@@ -478,4 +478,4 @@
     cluster: SimulatedCluster, before_s: float, outage_s: float, apart: bool, who: str, after: str
 ) -> None:
     refused_alone(before_s, outage_s, apart, who, after)(cluster)
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -65,7 +65,7 @@
     worker.apply_delayed()
     assert count_on_machines(cluster, "run-2") == 1
     cluster.ask_all("run-1")
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-2") == 1
 
 
@@ -90,7 +90,7 @@
     worker.delays_commands = False
     worker.apply_delayed()
     assert count_on_machines(cluster, "run-1") == 1
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-1") == 1
 
 
@@ -111,7 +111,7 @@
     for worker in workers:
         worker.delays_commands = False
         worker.apply_delayed()
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-2") == 3
 
 
@@ -199,4 +199,4 @@
     for worker in load.workers:
         worker.answer_delay_s = 0.0
     load.finish_all()
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
