--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -9,7 +9,7 @@
 from support.api_client import Client
 from support.fakes import CPU, job, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
-from support.placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
+from support.placement_world import MACHINE_TYPES, T0, TEAMS, World, queue_order, tasks_by_machine
 from support.services import SERVICE, replicas, serve
 
 from ryewing import scheduling
@@ -44,7 +44,7 @@
 def test_what_is_taken_and_what_can_never_run(changes: dict[str, Any], status: int) -> None:
     assert Client().submit(**{**SERVICE, **changes})[0] == status
     if status == 422:
-        assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), FLAVOURS, TEAMS)
+        assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), MACHINE_TYPES, TEAMS)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "killed"])
@@ -195,8 +195,8 @@
         job("run-3", priority="idle"),
     ]
     batches[1].guaranteed = True
-    alone = order_of(batches, 16.0, 60.0)
-    ordered = order_of([*batches, service, lesser], 16.0, 60.0)
+    alone = queue_order(batches, 16.0, 60.0)
+    ordered = queue_order([*batches, service, lesser], 16.0, 60.0)
     assert ordered[0] == "run-9"
     assert ordered.index("run-8") == len(ordered) - 2
     assert [name for name in ordered if name not in ("run-9", "run-8")] == alone
@@ -222,7 +222,7 @@
     batch = world.job("run-2", image_gb=40.0, task_count=40, estimated_s=10.0)
     warm = world.machine("i-9")
     warm.record_image("img-1", 40.0)
-    world.put(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
+    world.run_tasks(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     found = world.plan(service, batch)
     assert sum(n for b in found.batches if b.job is service for _machine, n in b.parts) == 3
     assert batch.shortfall == 40  # it waits for the image, by a sum that is finite
@@ -231,7 +231,7 @@
 def test_a_gang_is_not_promised_room_that_a_replica_holds_for_good() -> None:
     world = World()
     machine = world.machine("i-1", CPU)
-    world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
+    world.run_tasks(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
     gang = world.job("run-1", shape="group", task_count=1, cpus=32.0, priority="standard")
     plan = scheduling.run_cycle(
         scheduling.SchedulingSnapshot(
@@ -264,7 +264,7 @@
         [service],
         [service],
     )
-    assert spread_of(found) == {"i-1": 20}
+    assert tasks_by_machine(found) == {"i-1": 20}
 
 
 @pytest.mark.parametrize(
@@ -276,7 +276,7 @@
 ) -> None:
     """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
     short = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
-    found = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    found = plan_scale_out(short, [], MACHINE_TYPES, CapacityBackoff(), policy(), T0)
     assert sum(plan.machine_count for plan in found) == expected
     assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
 
@@ -285,7 +285,7 @@
     one = job(**{**SERVICE, "task_count": 4, "spread": True})
     one.tasks_by_zone[Zone("a")] = 2
     one.assigned_tasks = dict.fromkeys((0, 1), MachineId("i-1"))
-    [plan] = plan_scale_out([Unplaced(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    [plan] = plan_scale_out([Unplaced(one, 2)], [], MACHINE_TYPES, CapacityBackoff(), policy(), T0)
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
 
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -34,7 +34,7 @@
             job = self._job(f"run-1{number:04d}", 60)
             for machine in self.rng.sample(self.machines, size // 4):
                 room = MachineCapacity(machine).count_fitting(job.spec, self.rng.randrange(1, 9))
-                self.put(job, machine, min(room, job.shortfall))
+                self.run_tasks(job, machine, min(room, job.shortfall))
 
     def _machine(self, number: int) -> Machine:
         kind = self.rng.choice((CPU, CPU, GPU))
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 from support.fakes import GPU, job
-from support.placement_world import T0, TEAMS, World, spread_of
+from support.placement_world import T0, TEAMS, World, tasks_by_machine
 
 from ryewing.scheduling import preemption, queueing
 from ryewing.units import JobId, MonotonicTime, WallTime
@@ -16,8 +16,8 @@
 def test_fullest_fitting_machine_first() -> None:
     world = World()
     world.machine("i-1")
-    world.put(world.job("run-9", task_count=5), world.machine("i-2"), 5)
-    assert spread_of(world.plan(world.job("run-1", task_count=4))) == {"i-2": 3, "i-1": 1}
+    world.run_tasks(world.job("run-9", task_count=5), world.machine("i-2"), 5)
+    assert tasks_by_machine(world.plan(world.job("run-1", task_count=4))) == {"i-2": 3, "i-1": 1}
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
     world.machine("i-1", zone="a")
     world.machine("i-2", zone="b")
     world.machine("i-3", zone="c", spot=True)  # nobody here may use spot machines
-    placed = spread_of(world.plan(world.job("run-1", **changes)))
+    placed = tasks_by_machine(world.plan(world.job("run-1", **changes)))
     assert sum(placed.values()) == expected
     assert "i-3" not in placed
 
@@ -50,8 +50,8 @@
     world = World()
     a, b = world.machine("i-1", zone="a"), world.machine("i-2", zone="b")
     one = world.job("run-1", task_count=8, spread=True)
-    world.put(one, a, 4)
-    assert spread_of(world.plan(one)) == {b.id: 4}
+    world.run_tasks(one, a, 4)
+    assert tasks_by_machine(world.plan(one)) == {b.id: 4}
 
 
 def test_together_stays_where_an_old_attempt_still_is() -> None:
@@ -59,8 +59,8 @@
     a = world.machine("i-1", zone="a")
     world.machine("i-2", zone="b")
     one = world.job("run-1", task_count=12, same_zone=True)
-    world.put(one, a, 8)  # zone a is full
-    assert spread_of(world.plan(one)) == {}
+    world.run_tasks(one, a, 8)  # zone a is full
+    assert tasks_by_machine(world.plan(one)) == {}
 
 
 @pytest.mark.parametrize(("unseen", "expected"), [((0.0, 0.0), 8), ((0.0, 4.0), 4)])
@@ -70,10 +70,14 @@
     world = World()
     for n in range(3):
         world.machine(f"i-{n}", GPU)
-    placed = spread_of(world.plan(world.job("run-1", task_count=12, gpus=1.0), unseen=unseen))
+    placed = tasks_by_machine(
+        world.plan(world.job("run-1", task_count=12, gpus=1.0), unreconciled=unseen)
+    )
     assert sum(placed.values()) == expected
-    world.put(world.job("run-2", task_count=2, gpus=1.0), world.machine("i-9", GPU), 2)
-    placed = spread_of(world.plan(world.job("run-3", task_count=12, gpus=1.0), unseen=unseen))
+    world.run_tasks(world.job("run-2", task_count=2, gpus=1.0), world.machine("i-9", GPU), 2)
+    placed = tasks_by_machine(
+        world.plan(world.job("run-3", task_count=12, gpus=1.0), unreconciled=unseen)
+    )
     assert sum(placed.values()) == expected - 2
 
 
@@ -82,9 +86,9 @@
     world = World()
     world.machine("i-1", GPU)  # 24 processors, 4 GPUs
     world.job("run-9", gpus=1.0, cpus=5.0)
-    assert spread_of(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
+    assert tasks_by_machine(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1)
-    assert spread_of(world.plan(urgent)) == {"i-1": 1}  # more important work may
+    assert tasks_by_machine(world.plan(urgent)) == {"i-1": 1}  # more important work may
 
 
 @pytest.mark.parametrize(("kept", "expected"), [(0.0, 24), (2.0, 14), (5.0, 4), (99.0, 4)])
@@ -95,7 +99,7 @@
         world.machine(f"i-{n}", GPU)
     world.job("run-9", gpus=1.0, cpus=5.0)
     one = world.job("run-1", task_count=40, cpus=2.0, memory_gb=1.0)
-    assert sum(spread_of(world.plan(one, kept=kept)).values()) == expected
+    assert sum(tasks_by_machine(world.plan(one, gpus_kept=kept)).values()) == expected
 
 
 def test_urgent_work_preempts_less_important_work_rather_than_strand_gpus() -> None:
@@ -103,11 +107,11 @@
     world = World()
     world.machine("i-1", GPU)
     idle = world.job("run-9", task_count=8)
-    world.put(idle, world.machine("i-2"), 8)
+    world.run_tasks(idle, world.machine("i-2"), 8)
     world.job("run-8", gpus=1.0, cpus=5.0)
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1, shape="group")
     plan = world.plan(urgent)
-    assert spread_of(plan) == {}
+    assert tasks_by_machine(plan) == {}
     assert not plan.unplaced
     assert {assignment.machine.id for assignment in plan.preemptions} == {"i-2"}
 
@@ -119,7 +123,7 @@
     world.machine("i-2", GPU, zone="b")
     world.job("run-8", gpus=1.0)
     one = world.job("run-1", priority="urgent", task_count=12, same_zone=True)
-    assert spread_of(world.plan(one)) == {"i-1": 8}
+    assert tasks_by_machine(world.plan(one)) == {"i-1": 8}
 
 
 def test_preemption_tries_every_zone() -> None:
@@ -127,7 +131,7 @@
     world = World()
     idle = world.job("run-9", priority="idle", task_count=96, cpus=1.0, memory_gb=1.0)
     for n, zone in enumerate("abc"):
-        world.put(idle, world.machine(f"i-{n}", zone=zone), 32)
+        world.run_tasks(idle, world.machine(f"i-{n}", zone=zone), 32)
     jobs = [
         world.job(
             f"run-{n}", priority="urgent", task_count=1, cpus=30.0, shape="group", same_zone=True
@@ -164,7 +168,7 @@
     machine = world.machine("i-1")
     victim = world.job("run-9", priority=victim_priority, team="blue", task_count=1)
     victim.guaranteed = victim_guaranteed
-    world.put(victim, machine, 1)
+    world.run_tasks(victim, machine, 1)
     one = world.job("run-1", priority=priority, team=team)
     one.guaranteed = guaranteed
     assignment = next(iter(machine.assignments.values()))
@@ -175,7 +179,7 @@
     world = World()
     machine = world.machine("i-1")
     idle = world.job("run-9", priority="idle", task_count=8)
-    world.put(idle, machine, 8)
+    world.run_tasks(idle, machine, 8)
     plan = world.plan(
         world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
     )
@@ -188,36 +192,38 @@
     for n in range(300):
         world.machine(f"i-{n}")
     plan = world.plan(world.job("run-1", task_count=100_000, team="red"), sample=16)
-    assert len(spread_of(plan)) == 16
+    assert len(tasks_by_machine(plan)) == 16
 
 
 def test_arrays_wait_a_little_for_the_image_and_gangs_do_not() -> None:
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 1.0)
-    world.put(world.job("run-9", task_count=8, image="other"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, image="other"), warm, 8)
     array = world.job("run-1", task_count=1, image_gb=1.0)
     other = world.job("run-8", task_count=6, image_gb=1.0)  # with this one, room is not plenty
-    assert spread_of(world.plan(array, other)) == {}
-    assert spread_of(world.plan(array, other, now=102.6))[cold.id] >= 1  # half of the 5 s fetch
-    assert spread_of(world.plan(world.job("run-2", task_count=1, shape="group", image_gb=1.0))) == {
-        cold.id: 1
-    }
+    assert tasks_by_machine(world.plan(array, other)) == {}
+    assert (
+        tasks_by_machine(world.plan(array, other, now=102.6))[cold.id] >= 1
+    )  # half of the 5 s fetch
+    assert tasks_by_machine(
+        world.plan(world.job("run-2", task_count=1, shape="group", image_gb=1.0))
+    ) == {cold.id: 1}
 
 
 def test_nobody_waits_for_an_image_where_room_is_plenty() -> None:
     """Found on a quiet day: arrays of many tasks waited beside hundreds of free GPUs."""
     world = World()
     world.machine("i-1").record_image("img-1", 5.0)
-    world.put(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
+    world.run_tasks(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
     for n in range(2, 5):
         world.machine(f"i-{n}")
     array = world.job("run-1", task_count=12, image_gb=5.0)  # 25 s at 0.2 GB/s
     # Six are served by the warm machine in the time of a fetch; the others begin one at once.
-    assert sum(spread_of(world.plan(array)).values()) == 6
+    assert sum(tasks_by_machine(world.plan(array)).values()) == 6
     many = world.job("run-2", task_count=50, image_gb=5.0)
     # Where it is not, only what would lie idle otherwise begins a fetch, with one task each.
-    assert spread_of(world.plan(array, many)) == {"i-2": 1, "i-3": 1, "i-4": 1}
+    assert tasks_by_machine(world.plan(array, many)) == {"i-2": 1, "i-3": 1, "i-4": 1}
 
 
 @pytest.mark.parametrize(
@@ -236,28 +242,28 @@
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 10.0)
-    world.put(world.job("run-9", task_count=8, image="img-9"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, image="img-9"), warm, 8)
     if fetching is not None:
         other = world.job("run-8", task_count=1, image=fetching, image_gb=10.0)
-        world.put(other, cold, 1)
+        world.run_tasks(other, cold, 1)
     array = world.job("run-1", task_count=tasks, image_gb=10.0)  # 50 s at 0.2 GB/s
     filler = world.job(
         "run-7", task_count=90, image="img-0", machine_types=["g4"]
     )  # room isn't plenty
     plan = world.plan(array, filler)
-    assert spread_of(plan) == expected
+    assert tasks_by_machine(plan) == expected
     if not expected and tasks == 4:
         assert array not in [one for one, _count in plan.unplaced]  # and nothing is rented for it
         # Once it has waited for as long as a fetch takes, it may use what lies idle.
-        assert spread_of(world.plan(array, filler, now=140.0)) == {}
-        assert spread_of(world.plan(array, filler, now=151.0)) == {"i-2": 1}
+        assert tasks_by_machine(world.plan(array, filler, now=140.0)) == {}
+        assert tasks_by_machine(world.plan(array, filler, now=151.0)) == {"i-2": 1}
 
 
 def test_room_freed_for_one_job_serves_another_in_the_same_cycle() -> None:
     """Where a task might fit is remembered in a cycle, until something is stopped."""
     world = World()
     large = world.job("run-9", task_count=1, cpus=32.0, memory_gb=1.0)
-    world.put(large, world.machine("i-1"), 1)
+    world.run_tasks(large, world.machine("i-1"), 1)
     world.job(
         "run-8", priority="production", gpus=1.0
     )  # nobody is more important than work with GPUs
@@ -287,7 +293,7 @@
         machine = world.machine(f"i-{n}")
         for ref in images:
             one = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
-            world.put(one, machine, 1)
+            world.run_tasks(one, machine, 1)
         assert not world.cluster.is_fetch_rate_shared()
     for machine in world.cluster.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
@@ -313,8 +319,8 @@
     gang = world.job(
         "run-1", shape="group", priority="urgent", task_count=2, cpus=20.0, image_gb=5.0
     )
-    world.put(gang, other, 1)
-    assert spread_of(world.plan(gang)) == {"i-2": 1}
+    world.run_tasks(gang, other, 1)
+    assert tasks_by_machine(world.plan(gang)) == {"i-2": 1}
     none = queueing.Supply()
     jobs = [world.job("run-8", priority="production"), gang]
     assert queueing.order(jobs, [], none, none, WallTime(0.0))[0] is gang
@@ -326,7 +332,7 @@
         world.machine(f"i-{n}")
     failing = world.job("run-1", task_count=20, image_gb=10.0)
     failing.backoff_s = 2.0
-    assert sum(spread_of(world.plan(failing)).values()) == 1
+    assert sum(tasks_by_machine(world.plan(failing)).values()) == 1
 
 
 def test_a_gang_avoids_machines_that_are_fetching() -> None:
@@ -335,9 +341,9 @@
     for n in range(4):
         world.machine(f"i-{n}")
     other = world.job("run-9", task_count=1, image="img-9", image_gb=5.0)
-    world.put(other, world.machine("i-0"), 1)  # the fullest, so first by rights
+    world.run_tasks(other, world.machine("i-0"), 1)  # the fullest, so first by rights
     gang = world.job("run-1", shape="group", task_count=3, cpus=20.0, image_gb=2.0)
-    assert set(spread_of(world.plan(gang))) == {"i-1", "i-2", "i-3"}
+    assert set(tasks_by_machine(world.plan(gang))) == {"i-1", "i-2", "i-3"}
 
 
 def test_one_task_seeds_a_long_fetch_and_nothing_is_rented_for_the_rest() -> None:
@@ -346,9 +352,11 @@
     world.machine("i-1")
     array = world.job("run-1", task_count=8, image_gb=5.0)  # 25 s at 0.2 GB/s
     plan = world.plan(array)
-    assert spread_of(plan) == {"i-1": 1}
+    assert tasks_by_machine(plan) == {"i-1": 1}
     assert not plan.unplaced
-    assert spread_of(world.plan(world.job("run-2", task_count=8, image_gb=1.0))) == {"i-1": 8}
+    assert tasks_by_machine(world.plan(world.job("run-2", task_count=8, image_gb=1.0))) == {
+        "i-1": 8
+    }
 
 
 def test_a_machine_that_failed_a_task_gets_one_at_a_time() -> None:
@@ -357,17 +365,17 @@
     suspect = world.machine("i-1")
     suspect.failed_jobs.add(JobId("run-9"))
     one = world.job("run-1", task_count=8)
-    assert spread_of(world.plan(one)) == {"i-1": 1}
-    world.put(one, suspect, 1)
-    assert spread_of(world.plan(one)) == {}
+    assert tasks_by_machine(world.plan(one)) == {"i-1": 1}
+    world.run_tasks(one, suspect, 1)
+    assert tasks_by_machine(world.plan(one)) == {}
     suspect.failed_jobs.clear()  # as a finish does
-    assert spread_of(world.plan(one)) == {"i-1": 7}
+    assert tasks_by_machine(world.plan(one)) == {"i-1": 7}
 
 
 def test_a_machine_where_the_same_job_takes_longer_is_used_last() -> None:
     world = World()
     slow, other = world.machine("i-1"), world.machine("i-2")
-    world.put(world.job("run-9", task_count=1), slow, 1)  # the fuller one, so first by rights
+    world.run_tasks(world.job("run-9", task_count=1), slow, 1)  # the fuller one, so first by rights
     many = world.job("run-8", task_count=50)
     world.job_table.record_run_time(many, 20.0)
     for _ in range(2):
@@ -377,8 +385,8 @@
     other.record_relative_run_time(many, 24.0)
     assert slow.is_straggler()
     assert not other.is_straggler()
-    assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
-    assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
+    assert tasks_by_machine(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
+    assert tasks_by_machine(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
 
 
 def test_guarantee_counts_earlier_unfinished_jobs() -> None:
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -8,7 +8,7 @@
 import pytest
 from support.fakes import CPU, GPU, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
-from support.placement_world import T0, World, spread_of
+from support.placement_world import T0, World, tasks_by_machine
 from support.services import SERVICE, replicas, serve
 
 from ryewing.autoscaling.scale_in import machines_to_cordon
@@ -25,14 +25,14 @@
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
-    world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")  # ten seconds for the image
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert not found.batches
     assert len(found.preemptions) == 1
     quick = World()
     quick.machine("i-1").record_image("img-1", 2.0)
-    assert spread_of(quick.plan(quick.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
+    assert tasks_by_machine(quick.plan(quick.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
 
 
 def test_what_exits_at_once_is_stopped_for_a_replica_rather_than_what_saves_first() -> None:
@@ -41,17 +41,19 @@
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
     saves = world.job("run-8", task_count=4, image="img-9", checkpoint_s=10.0, save_s=5.0)
-    world.put(saves, warm, 4)
-    world.put(world.job("run-9", task_count=4, image="img-9"), warm, 4)
+    world.run_tasks(saves, warm, 4)
+    world.run_tasks(world.job("run-9", task_count=4, image="img-9"), warm, 4)
     found = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
     only = World()
     slow = only.machine("i-1")
     slow.record_image("img-1", 2.0)
-    only.put(only.job("run-8", task_count=8, checkpoint_s=10.0, save_s=9.0, image="img-9"), slow, 8)
+    only.run_tasks(
+        only.job("run-8", task_count=8, checkpoint_s=10.0, save_s=9.0, image="img-9"), slow, 8
+    )
     only.machine("i-2")  # ten seconds for the image: no later than the save
     small = only.job("run-1", **{**SERVICE, "image_gb": 1.0}, task_count=1)
-    assert list(spread_of(only.plan(small))) == ["i-2"]
+    assert list(tasks_by_machine(only.plan(small))) == ["i-2"]
 
 
 def test_replicas_are_not_all_on_one_machine() -> None:
@@ -60,20 +62,20 @@
     for name in ("i-1", "i-2", "i-3"):
         world.machine(name).record_image("img-1", 2.0)
     for n in range(3):
-        world.put(world.job(f"run-{n}", **SERVICE, task_count=2), world.machine("i-1"), 2)
+        world.run_tasks(world.job(f"run-{n}", **SERVICE, task_count=2), world.machine("i-1"), 2)
     found = world.plan(world.job("run-9", **SERVICE, task_count=2))
-    assert "i-1" not in spread_of(found)
+    assert "i-1" not in tasks_by_machine(found)
 
 
 def test_a_fetch_that_is_soon_over_is_not_worth_stopping_anything() -> None:
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
-    world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")
     tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SHORT_WAIT_S - 0.5)}, task_count=1)
     found = world.plan(tiny)
-    assert spread_of(found) == {"i-2": 1}
+    assert tasks_by_machine(found) == {"i-2": 1}
     assert not found.preemptions
 
 
@@ -82,12 +84,12 @@
     world = World()
     for n in range(6):
         world.machine(f"i-{n}")
-    assert spread_of(world.plan(world.job("run-1", **SERVICE, task_count=4))) == dict.fromkeys(
-        ("i-0", "i-1", "i-2", "i-3"), 1
-    )
+    assert tasks_by_machine(
+        world.plan(world.job("run-1", **SERVICE, task_count=4))
+    ) == dict.fromkeys(("i-0", "i-1", "i-2", "i-3"), 1)
     few = World()
     few.machine("i-0")
-    assert spread_of(few.plan(few.job("run-1", **SERVICE, task_count=4)))["i-0"] == 4
+    assert tasks_by_machine(few.plan(few.job("run-1", **SERVICE, task_count=4)))["i-0"] == 4
 
 
 def test_the_worker_that_reports_soonest_gets_the_start() -> None:
@@ -98,7 +100,7 @@
     found = world.plan(
         world.job("run-1", **SERVICE, task_count=1), next_heartbeat_in_s=lambda m: waits[str(m.id)]
     )
-    assert spread_of(found) == {"i-2": 1}
+    assert tasks_by_machine(found) == {"i-2": 1}
 
 
 def test_replicas_keep_out_of_the_way_of_large_tasks() -> None:
@@ -108,19 +110,19 @@
         world.machine(name).record_image("img-1", 2.0)
     large = job_spec("run-7", cpus=30.0, memory_gb=8.0)
     found = world.plan(world.job("run-1", **SERVICE, task_count=4), recent_specs=(large,))
-    assert spread_of(found) == {"i-1": 2, "i-2": 2}
+    assert tasks_by_machine(found) == {"i-1": 2, "i-2": 2}
     more = world.plan(world.job("run-2", **SERVICE, task_count=6), recent_specs=(large,))
-    assert sum(spread_of(more).values()) == 6  # where there is no other room, they go
+    assert sum(tasks_by_machine(more).values()) == 6  # where there is no other room, they go
 
 
 def test_where_a_replica_has_to_fetch_the_next_ones_find_room() -> None:
     """Fullest first chose machines of gangs, which don't give way: half of all fetched anew."""
     world = World()
     gangs, arrays = world.machine("i-1"), world.machine("i-2")
-    world.put(world.job("run-8", shape="group", task_count=7), gangs, 7)
-    world.put(world.job("run-9", task_count=6), arrays, 6)
+    world.run_tasks(world.job("run-8", shape="group", task_count=7), gangs, 7)
+    world.run_tasks(world.job("run-9", task_count=6), arrays, 6)
     found = world.plan(world.job("run-1", **{**SERVICE, "image": "img-s"}, task_count=1))
-    assert spread_of(found) == {"i-2": 1}
+    assert tasks_by_machine(found) == {"i-2": 1}
 
 
 @pytest.mark.parametrize(("large_vcpus", "expected"), [(16.0, "i-1"), (32.0, "i-2")])
@@ -131,11 +133,11 @@
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 2.0)
-    world.put(world.job("run-9", **{**SERVICE, "image": "img-9"}, task_count=1), cold, 1)
+    world.run_tasks(world.job("run-9", **{**SERVICE, "image": "img-9"}, task_count=1), cold, 1)
     large = job_spec("run-7", cpus=large_vcpus, memory_gb=8.0)
     assert cold.warmth("img-1") != warm.warmth("img-1")
     found = world.plan(world.job("run-1", **SERVICE, task_count=1), recent_specs=(large,))
-    assert list(spread_of(found)) == [expected]
+    assert list(tasks_by_machine(found)) == [expected]
 
 
 @pytest.mark.parametrize("tasks", [1, 2, 3, 5, 8])
@@ -162,15 +164,15 @@
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
-    world.put(service, machine, 1)
-    world.put(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
+    world.run_tasks(service, machine, 1)
+    world.run_tasks(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
     found = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
     assert [assignment.task.job for assignment in found.preemptions] == ["run-9"]
     better = World()
     there = better.machine("i-1")
     lowest = better.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
-    better.put(lowest, there, 1)
-    better.put(better.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
+    better.run_tasks(lowest, there, 1)
+    better.run_tasks(better.job("run-9", priority="standard", cpus=16.0, task_count=1), there, 1)
     found = better.plan(better.job("run-1", priority="production", cpus=16.0, task_count=1))
     assert [assignment.task.job for assignment in found.preemptions] == [
         "run-9"
@@ -183,7 +185,7 @@
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-9", **{**SERVICE, "cpus": 32.0}, task_count=1)
-    world.put(service, machine, 1)
+    world.run_tasks(service, machine, 1)
     guaranteed = world.job("run-1", team="blue", priority="urgent", cpus=32.0)
     guaranteed.guaranteed = True
     assert not world.plan(guaranteed).preemptions
@@ -195,7 +197,7 @@
 def going(world: World, reason: str) -> tuple[Machine, Assignment]:
     machine = world.machine("i-1", GPU if reason == "unwanted" else CPU)
     machine.record_image("img-1", 2.0)
-    world.put(world.job("run-1", **SERVICE, task_count=1), machine, 1)
+    world.run_tasks(world.job("run-1", **SERVICE, task_count=1), machine, 1)
     if reason == "notice":
         machine.notice_s = 10.0
     elif reason == "faulty":
@@ -231,7 +233,7 @@
         if elsewhere != "cold":
             there.record_image("img-1", 2.0)
         if elsewhere == "full":
-            world.put(world.job("run-9", task_count=8, image="img-9"), there, 8)
+            world.run_tasks(world.job("run-9", task_count=8, image="img-9"), there, 8)
     found = world.plan(moving=[assignment])
     assert (found.moves == [assignment]) is moved
     assert len(found.preemptions) == stops
@@ -242,8 +244,8 @@
     world = World()
     here = world.machine("i-1", zone="a")
     service = world.job("run-1", **SERVICE, task_count=2, spread=True)
-    world.put(service, here, 1)
-    world.put(service, world.machine("i-2", zone="b"), 1)
+    world.run_tasks(service, here, 1)
+    world.run_tasks(service, world.machine("i-2", zone="b"), 1)
     here.notice_s = 10.0
     assignment = next(iter(here.assignments.values()))
     assert not world.plan(moving=[assignment]).moves  # only zone b has room, and it has its half
@@ -304,5 +306,5 @@
 def test_machines_with_replicas_are_the_last_of_their_type_to_be_unwanted() -> None:
     world = World()
     machines = [world.machine(f"i-{n}", GPU) for n in range(4)]
-    world.put(world.job("run-1", **SERVICE, task_count=1), machines[3], 1)
+    world.run_tasks(world.job("run-1", **SERVICE, task_count=1), machines[3], 1)
     assert machines_to_cordon(machines, 3.0, 0.0, policy()) == {"i-0", "i-1", "i-2"}
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -38,7 +38,7 @@
 
 T0 = MonotonicTime(1000.0)
 
-FLAVOURS = {"c32": CPU, "g4": GPU}
+MACHINE_TYPES = {"c32": CPU, "g4": GPU}
 TEAMS = {team.name: team for team in settings().params.teams}
 
 
@@ -47,8 +47,8 @@
 
     def __init__(self) -> None:
         self.job_table = JobTable()
-        self.stops = PendingTerminations()
-        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, self.stops)
+        self.terminations = PendingTerminations()
+        self.cluster = ClusterState(TermNumber(5), 20.0, self.job_table, self.terminations)
 
     def machine(
         self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
@@ -60,7 +60,7 @@
     def job(self, ref: str, **changes: Any) -> Job:
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
-    def put(self, one: Job, machine: Machine, count: int) -> None:
+    def run_tasks(self, one: Job, machine: Machine, count: int) -> None:
         for index in one.dequeue(count):
             self.cluster.assign(machine, TaskId(one.id, index), Attempt(1), TaskPhase.RUNNING, T0)
 
@@ -69,15 +69,15 @@
         *jobs: Job,
         now: float = 100.0,
         sample: int = 64,
-        unseen: tuple[float, float] = (0.0, 0.0),
-        kept: float = 99.0,
+        unreconciled: tuple[float, float] = (0.0, 0.0),
+        gpus_kept: float = 99.0,
         moving: Sequence[Assignment] = (),
-        **ways: Any,
+        **snapshot_fields: Any,
     ) -> scheduling.Plan:
         gpu_reserve = NO_RESERVE
         for one in self.job_table:
             gpu_reserve = gpu_reserve.including(one)
-        quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
+        quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unreconciled)
         capacities = [
             MachineCapacity(m) for m in self.cluster.machines.values() if m.is_schedulable()
         ]
@@ -88,13 +88,13 @@
             random.Random(1),
             sample,
             gpu_reserve,
-            kept,
-            **ways,
+            gpus_kept,
+            **snapshot_fields,
         )
         return scheduling.run_cycle(snapshot, jobs, (), moving)
 
 
-def spread_of(plan: scheduling.Plan) -> Counter[str]:
+def tasks_by_machine(plan: scheduling.Plan) -> Counter[str]:
     counts: Counter[str] = Counter()
     for batch in plan.batches:
         for machine, count in batch.parts:
@@ -102,7 +102,7 @@
     return counts
 
 
-def order_of(jobs: list[Job], total: float, now: float) -> list[str]:
+def queue_order(jobs: list[Job], total: float, now: float) -> list[str]:
     supply = queueing.Supply(total, 0.0)
     ordered = queueing.order(jobs, settings().params.objectives, supply, supply, WallTime(now))
     return [one.id for one in ordered]
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from support.fakes import job_spec, submission
-from support.placement_world import FLAVOURS, TEAMS
+from support.placement_world import MACHINE_TYPES, TEAMS
 
 from ryewing.state.resources import infeasibility_reason
 from ryewing.units import JobId, TaskId, TermNumber, attempt_number, is_job_id, parse_task_id
@@ -106,4 +106,4 @@
     ],
 )
 def test_what_can_never_run(changes: dict[str, Any], possible: bool) -> None:
-    assert (infeasibility_reason(job_spec(**changes), FLAVOURS, TEAMS) is None) is possible
+    assert (infeasibility_reason(job_spec(**changes), MACHINE_TYPES, TEAMS) is None) is possible
