--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -267,9 +267,9 @@
     silent_fleet(harness, monkeypatch)
     longest_s = PROBE_AFTER_INTERVALS * harness.settings.params.workers.report_s + PROBE_ANSWER_S
     tend(harness, longest_s)
-    assert harness.lost == []
+    assert harness.end_reasons == []
     tend(harness, 0.5)
-    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
+    assert harness.end_reasons[:1] == [TermEndReason.WORKERS_UNREACHABLE]
     assert longest_s < policy().silence_s
 
 
@@ -280,6 +280,6 @@
     silent_fleet(harness, monkeypatch)
     tend(harness, 9.0, step_s=9.0)
     tend(harness, 2.0)
-    assert harness.lost == []
+    assert harness.end_reasons == []
     tend(harness, 9.0)
-    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
+    assert harness.end_reasons[:1] == [TermEndReason.WORKERS_UNREACHABLE]
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -226,9 +226,9 @@
     harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
-    assert not harness.lost
+    assert not harness.end_reasons
     harness.place()
-    assert harness.lost == ["attempts-used-up"]
+    assert harness.end_reasons == ["attempts-used-up"]
     assert attempt_number(TermNumber(5), MAX_ATTEMPTS) < attempt_number(TermNumber(6), 0)
     with pytest.raises(ValueError, match="another term"):
         attempt_number(TermNumber(5), MAX_ATTEMPTS + 1)
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -37,7 +37,7 @@
     harness.write()
     assert harness.store.get(live_key(job)) is None
     assert harness.store.get(final_key(job)) is not None
-    assert harness.finals == {job: "done"}
+    assert harness.final_states == {job: "done"}
     assert verbs(harness.exchange(worker)) == ["clear"] * 4
     assert not worker.tasks
 
@@ -88,7 +88,7 @@
     worker = harness.worker()
     worker.token = fencing_token(TermNumber(6))
     assert harness.leader.on_heartbeat(worker.heartbeat()) is None
-    assert harness.lost == ["overruled"]
+    assert harness.end_reasons == ["overruled"]
 
 
 def test_only_a_later_report_settles_an_assumed_start(harness: LeaderHarness) -> None:
@@ -259,7 +259,7 @@
     harness.new_leader(6)
     old.writer.write_once()
     assert harness.store.get(final_key(job)) is None
-    assert harness.lost == ["fenced"]
+    assert harness.end_reasons == ["fenced"]
 
 
 @pytest.mark.parametrize("cancel_first", [True, False])
@@ -278,11 +278,11 @@
     if cancel_first:
         assert harness.store.txn(*cancel).ok  # written by another node, not seen here yet
         harness.write()
-        assert harness.finals == {job: "cancelled"}
+        assert harness.final_states == {job: "cancelled"}
     else:
         harness.write()
         assert not harness.store.txn(*cancel).ok
-        assert harness.finals == {job: "done"}
+        assert harness.final_states == {job: "done"}
 
 
 def test_a_lost_answer_to_the_final_write_is_found_out(harness: LeaderHarness) -> None:
@@ -296,7 +296,7 @@
     assert harness.leader.job_status(job) is None
     harness.store.lose_answers = False
     harness.write()
-    assert harness.finals == {job: "done"}
+    assert harness.final_states == {job: "done"}
 
 
 def test_no_state_is_told_without_the_lease(harness: LeaderHarness) -> None:
@@ -324,7 +324,7 @@
     assert not starts(harness.exchange(worker))
     assert harness.assignments() == {}
     harness.write()
-    assert harness.finals == {job: "cancelled"}
+    assert harness.final_states == {job: "cancelled"}
 
 
 def test_a_task_of_no_live_job_is_halted(harness: LeaderHarness) -> None:
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -248,9 +248,9 @@
     for worker in workers[:60]:
         harness.end(worker)
     harness.write()
-    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(*workers)
     for worker in workers:
         harness.end(worker)
@@ -261,7 +261,7 @@
             harness.exchange(worker)
             harness.end(worker)
     harness.write()
-    assert harness.finals == dict.fromkeys(jobs, "done")
+    assert harness.final_states == dict.fromkeys(jobs, "done")
     assert (
         max(len(value) for key, (value, *_) in harness.store.data.items() if key[1] == "/") < 2048
     )
@@ -277,7 +277,7 @@
     large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
     if not culprit_first:
         large, small = small, large
-    harness.narrow(value_kb=1.0)
+    harness.lower_store_limits(value_kb=1.0)
     for name in (large, small):
         harness.leader.term.job_table.jobs[name].finish(1)
         harness.leader.term.job_table.reindex(harness.leader.term.job_table.jobs[name])
@@ -290,7 +290,7 @@
         harness.leader.writer.write_once()
     assert len(harness.store.rejected) == refused  # left alone for a while
     harness.later(REJECTED_WRITE_RETRY_S + 1)
-    harness.narrow(value_kb=8.0)
+    harness.lower_store_limits(value_kb=8.0)
     harness.write()
     assert not harness.leader.term.job_table.jobs[large].unwritten
 
@@ -299,7 +299,7 @@
 def test_limits_that_fell_unannounced_are_found_out(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
     workers = harness.ready_workers(40)
-    harness.narrow(**limits)
+    harness.lower_store_limits(**limits)
     jobs = [harness.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
     harness.place()
     for worker in workers:
@@ -310,7 +310,7 @@
         harness.leader.writer.record_machine(MachineId(worker.name))
         harness.end(worker)
     harness.write()
-    assert harness.finals == dict.fromkeys(jobs, "done")
+    assert harness.final_states == dict.fromkeys(jobs, "done")
 
 
 # -- records of jobs ----------------------------------------------------------------------------
@@ -394,9 +394,9 @@
 def test_a_final_state_is_written_for_a_job_with_a_wide_record(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.accept("run-1", image="img-" + "x" * 3000)
-    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(worker)
     harness.place()
     harness.exchange(worker)
@@ -485,9 +485,9 @@
 def test_a_start_at_the_announced_limits_takes_writes_in_proportion(
     harness: LeaderHarness, machines: int
 ) -> None:
-    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
     before = harness.store.writes
     harness.ready(*workers)
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -71,7 +71,7 @@
     assert state is not None
     assert (state.status, state.done, state.running) == ("running", 0, 2)
     assert harness.store.get(final_key(name)) is None
-    assert not harness.finals
+    assert not harness.final_states
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     again = {key[1] for worker in (one, other) for key in worker.tasks}
     assert not before & again  # a new attempt each time
@@ -99,7 +99,7 @@
     assert leader.term.job_table.jobs[name].shortfall == 2
     harness.write()
     assert harness.store.get(final_key(name)) is None
-    assert not harness.finals
+    assert not harness.final_states
 
 
 def test_a_replica_cannot_finish() -> None:
@@ -346,7 +346,7 @@
         harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
     harness.write()
-    assert harness.finals == {name: "cancelled"}
+    assert harness.final_states == {name: "cancelled"}
     harness.place()
     for worker in workers:
         assert not starts(harness.exchange(worker))
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -392,7 +392,7 @@
     harness.exchange(worker)
     assert worker.token >= fencing_token(TermNumber(6))
     assert old.on_heartbeat(worker.heartbeat()) is None
-    assert "overruled" in harness.lost
+    assert "overruled" in harness.end_reasons
 
 
 def test_a_controller_back_in_the_middle_of_an_election(harness: LeaderHarness) -> None:
@@ -461,7 +461,7 @@
         harness.end(runs)
     harness.exchange(runs)
     harness.write()
-    assert harness.finals == {name: "cancelled" if cancelled else "done"}
+    assert harness.final_states == {name: "cancelled" if cancelled else "done"}
 
 
 def test_a_heartbeat_after_the_final_state_leaves_nothing_to_write(harness: LeaderHarness) -> None:
@@ -475,12 +475,12 @@
         harness.exchange(worker)
     harness.end(runs)
     harness.write()
-    assert harness.finals == {name: "done"}
+    assert harness.final_states == {name: "done"}
     was.tasks.clear()
     harness.exchange(was)
     harness.write()
     assert not harness.leader.term.job_table.dirty
-    assert not harness.lost
+    assert not harness.end_reasons
 
 
 def test_halts_are_not_crowded_out_by_what_has_ended(harness: LeaderHarness) -> None:
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -65,7 +65,7 @@
     harness.exchange(worker)
     harness.end(worker)
     harness.write()
-    assert harness.finals == {JobId("run-1"): "done"}
-    assert not harness.lost
+    assert harness.final_states == {JobId("run-1"): "done"}
+    assert not harness.end_reasons
     assert whole.get(live_key(job)) is None
     harness.store = whole
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -72,8 +72,8 @@
         """Whether the store may refuse a request as too large: else that fails the test."""
         self.cloud = FakeCloud()
         self.workers: dict[str, FakeWorker] = {}
-        self.lost: list[str] = []
-        self.finals: dict[JobId, str] = {}
+        self.end_reasons: list[str] = []
+        self.final_states: dict[JobId, str] = {}
         self.scope = WHOLE_FLEET
         self.leader = self.new_leader(5)
 
@@ -86,7 +86,9 @@
         term_context = TermContext(
             TermEnvironment(self.settings, policy(), self.store, self.scope),  # type: ignore[arg-type]
             won,
-            TermCallbacks(self.lost.append, lambda _types: None, self.finals.__setitem__),
+            TermCallbacks(
+                self.end_reasons.append, lambda _types: None, self.final_states.__setitem__
+            ),
         )
         leader = Leader(term_context, image_locality)
         use_cloud(leader, self.cloud)
@@ -98,7 +100,7 @@
         self.leader = leader
         return leader
 
-    def announce(self, **limits: Any) -> None:
+    def announce_store_limits(self, **limits: Any) -> None:
         """Announce the store's next limits to leaders that start from now on."""
         params = self.settings.params
         state = msgspec.structs.replace(params.state, next=NextLimits(**limits))
@@ -106,7 +108,7 @@
             self.settings, params=msgspec.structs.replace(params, state=state)
         )
 
-    def narrow(self, **limits: Any) -> None:
+    def lower_store_limits(self, **limits: Any) -> None:
         """Lower the store's limits."""
         self.store.limits = msgspec.structs.replace(self.store.limits, **limits)
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -275,9 +275,9 @@
     before = old_reading(harness)
     assert len(before[0]) == 100
     assert len(before[1]) == 40
-    harness.announce(value_kb=1.0, txn_ops=2)
+    harness.announce_store_limits(value_kb=1.0, txn_ops=2)
     harness.new_leader(6)
-    harness.narrow(value_kb=1.0, txn_ops=2)
+    harness.lower_store_limits(value_kb=1.0, txn_ops=2)
     steps = 0
     while harness.leader.writer.write_once():
         steps += 1
@@ -288,7 +288,7 @@
 
 def test_an_old_and_a_new_leader_by_turns_lose_nothing(harness: LeaderHarness) -> None:
     """The old one fills values up under the old limits; the new one parts them again."""
-    harness.announce(value_kb=1.0, txn_ops=2)
+    harness.announce_store_limits(value_kb=1.0, txn_ops=2)
     for term in range(6, 14):
         wide = PagedRecords(MACHINE_PREFIX, 8.0)
         wide.load(
