--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -10,7 +10,7 @@
 from support.fakes import CPU, job, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
 from support.placement_world import MACHINE_TYPES, T0, TEAMS, World, queue_order, tasks_by_machine
-from support.services import SERVICE, replicas, serve
+from support.services import SERVICE, replicas, start_service
 
 from ryewing import scheduling
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
@@ -53,7 +53,7 @@
 ) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one, other)
-    name = serve(harness, one, other, task_count=2)
+    name = start_service(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
     assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -81,7 +81,7 @@
     """Its worker keeps the result: started there again it would exit at once."""
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one, other)
-    name = serve(harness, one, other, task_count=1)
+    name = start_service(harness, one, other, task_count=1)
     [at] = replicas(harness, name).values()
     here, there = (one, other) if at == one.name else (other, one)
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -151,7 +151,7 @@
 def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
     """It has finished nothing, ever: judged by that, three bad machines backed it off."""
     workers = harness.ready_workers(6)
-    name = serve(harness, *workers, task_count=32, cpus=8.0)
+    name = start_service(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
     assert len(set(service.assigned_tasks.values())) == 6
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -171,7 +171,7 @@
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = serve(harness, worker, task_count=1)
+    name = start_service(harness, worker, task_count=1)
     worker.finish("error")
     harness.exchange(worker)
     harness.place()
@@ -296,7 +296,7 @@
 def test_replicas_run_on_through_a_take_over(harness: LeaderHarness) -> None:
     workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
     harness.ready(*workers)
-    name = serve(harness, *workers, task_count=4, spread=True)
+    name = start_service(harness, *workers, task_count=4, spread=True)
     before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
@@ -321,7 +321,7 @@
 def test_a_lost_machine_is_replaced_once_it_is_surely_gone(harness: LeaderHarness) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one, other)
-    name = serve(harness, one, other, task_count=2)
+    name = start_service(harness, one, other, task_count=2)
     lost = MachineId(next(iter(replicas(harness, name).values())))
     rest = other if lost == one.name else one
     for _ in range(3):
@@ -340,7 +340,7 @@
 
 def test_a_cancelled_service_ends_everywhere(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
-    name = serve(harness, *workers, task_count=3)
+    name = start_service(harness, *workers, task_count=3)
     assert harness.leader.apply_cancel(name)
     for worker in workers * 2:
         harness.exchange(worker)
@@ -386,7 +386,7 @@
 
 def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = serve(harness, worker, task_count=1)
+    name = start_service(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -9,7 +9,7 @@
 from support.fakes import CPU, GPU, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
 from support.placement_world import T0, World, tasks_by_machine
-from support.services import SERVICE, replicas, serve
+from support.services import SERVICE, replicas, start_service
 
 from ryewing.autoscaling.scale_in import machines_to_cordon
 from ryewing.leader.replica_moves import MOVE_AFTER_CORDON_S, MOVE_DOWNTIME_S, MOVE_DOWNTIME_SHARE
@@ -256,7 +256,7 @@
 def test_a_machine_about_to_go_hands_its_replica_on(harness: LeaderHarness) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one)
-    name = serve(harness, one, task_count=1)
+    name = start_service(harness, one, task_count=1)
     one.notice_s = 10.0
     assert "halt" not in verbs(harness.exchange(one))  # no room elsewhere: it serves on
     harness.place()
@@ -277,7 +277,7 @@
     down: each move is a gap."""
     dear = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
     harness.ready(*dear)
-    serve(harness, *dear, task_count=8)
+    start_service(harness, *dear, task_count=8)
     harness.leader.term.began_at = MonotonicTime(harness.clock() - 10_000.0)
     plain = harness.worker("i-000009")
     harness.ready(plain)
--- a/tests/support/services.py
+++ b/tests/support/services.py
@@ -21,7 +21,7 @@
 }
 
 
-def serve(harness: LeaderHarness, *workers: FakeWorker, **changes: Any) -> JobId:
+def start_service(harness: LeaderHarness, *workers: FakeWorker, **changes: Any) -> JobId:
     """Start a service, and let the workers report its replicas as running."""
     name = harness.accept(**{**SERVICE, "image": "img-s", **changes})
     harness.place()
