--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -112,10 +112,10 @@
     client: Client, state: str, changes: dict[str, Any], full: bool
 ) -> None:
     if state == "done":
-        client.final("run-1", "done")
+        client.add_final_record("run-1", "done")
     else:
-        client.live(cancelled=state == "cancelled")
-    client.node.is_full = full
+        client.add_live_job(cancelled=state == "cancelled")
+    client.node.is_job_memory_full = full
     assert client.submit(**changes) == (200, {"ref": "run-1", "status": state})
 
 
@@ -150,7 +150,7 @@
 
 
 def test_more_jobs_than_memory_allows_are_refused(client: Client) -> None:
-    client.node.is_full = True
+    client.node.is_job_memory_full = True
     assert client.submit()[0] == 503
     assert client.headers["Retry-After"] == "30"
 
@@ -183,9 +183,9 @@
 
 
 def test_polls_prefer_the_leader_and_fall_back_to_the_store(client: Client) -> None:
-    client.live()
+    client.add_live_job()
     assert client("GET", "/v2/runs/run-1")[1]["status"] == "queued"
-    client.node.remote["run-1"] = JobStatus("run-1", "running", 1, 3)
+    client.node.remote_statuses["run-1"] = JobStatus("run-1", "running", 1, 3)
     assert client("GET", "/v2/runs/run-1")[1] == {
         "ref": "run-1",
         "status": "running",
@@ -213,15 +213,15 @@
     """
     node = client.node
     if stored[0] == "live":
-        client.live("run-1", cancelled=stored[1])
+        client.add_live_job("run-1", cancelled=stored[1])
     else:
-        client.final("run-1", stored[1])
+        client.add_final_record("run-1", stored[1])
     if who == "leader":
         node.leader = FakeLeader()  # its lease is gone, or the final write is under way
     if who == "follower" and told == "queued":
-        node.remote[JobId("run-1")] = JobStatus("run-1", "queued")
+        node.remote_statuses[JobId("run-1")] = JobStatus("run-1", "queued")
     if who == "nobody":
-        node.follows = None
+        node.remote_leader_name = None
     node.store.down = True
     for _ in range(3):
         status, answer = client("GET", "/v2/runs/run-1")
@@ -236,7 +236,7 @@
 
 def test_final_states_are_remembered_in_a_bounded_way(client: Client) -> None:
     for n in range(1, 6):
-        client.final(f"run-{n}", "done")
+        client.add_final_record(f"run-{n}", "done")
         assert client("GET", f"/v2/runs/run-{n}")[0] == 200
     client.node.store.down = True
     seen = [client("GET", f"/v2/runs/run-{n}")[0] for n in range(1, 6)]
@@ -249,9 +249,9 @@
 )
 def test_cancels(client: Client, state: str, answer: str) -> None:
     if state == "done":
-        client.final("run-1", "done")
+        client.add_final_record("run-1", "done")
     else:
-        client.live(cancelled=state == "cancelled")
+        client.add_live_job(cancelled=state == "cancelled")
     expected = (200, {"ref": "run-1", "status": answer})
     assert client("POST", "/v2/runs/run-1/cancel") == expected
     assert client("GET", "/v2/runs/run-1") == expected
@@ -259,10 +259,10 @@
 
 def test_no_user_is_told_of_a_cancel_before_the_leader_knows(client: Client) -> None:
     """The leader answers polls from memory: it could go on telling an older state."""
-    client.live()
-    client.node.leader_knows = False
+    client.add_live_job()
+    client.node.cancel_acknowledged = False
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 503
-    client.node.leader_knows = True
+    client.node.cancel_acknowledged = True
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 200
 
 
@@ -278,6 +278,6 @@
     client: Client, leads: bool, follows: str | None, status: int, body: dict[str, str]
 ) -> None:
     client.node.leader = FakeLeader() if leads else None
-    client.node.follows = follows
+    client.node.remote_leader_name = follows
     heartbeat = {"host": "i-1", "tenure": 1, "tick": 1, "mandate": 0, "flavour": "c32", "site": "a"}
     assert client("POST", "/v1/report", msgspec.json.encode(heartbeat)) == (status, body)
--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -25,10 +25,10 @@
     """A leader that knows the status of some jobs."""
 
     def __init__(self) -> None:
-        self.states: dict[str, JobStatus] = {}
+        self.statuses: dict[str, JobStatus] = {}
 
     def job_status(self, job: JobId) -> JobStatus | None:
-        return self.states.get(job)
+        return self.statuses.get(job)
 
     def on_heartbeat(self, _heartbeat: Any) -> HeartbeatResponse | None:
         return None
@@ -45,10 +45,10 @@
         self.leader: FakeLeader | None = None
         self.teams = {team.name: team for team in settings().params.teams}
         self.machine_types = {"c32": CPU, "g4": GPU}
-        self.leader_knows = True
-        self.is_full = False
-        self.follows: str | None = "n-1"
-        self.remote: dict[str, JobStatus] = {}
+        self.cancel_acknowledged = True
+        self.is_job_memory_full = False
+        self.remote_leader_name: str | None = "n-1"
+        self.remote_statuses: dict[str, JobStatus] = {}
 
     def healthy(self) -> bool:
         return True
@@ -57,16 +57,16 @@
         return self.machine_types
 
     def query_leader(self, job: JobId) -> JobStatus | None:
-        return self.remote.get(job)
+        return self.remote_statuses.get(job)
 
     def announce_cancel(self, _job: JobId, _shard: ShardName | None) -> bool:
-        return self.leader_knows
+        return self.cancel_acknowledged
 
     def remote_leader(self, _zone: Zone) -> str | None:
-        return self.follows
+        return self.remote_leader_name
 
     def job_memory_full(self, _shard: ShardName | None) -> bool:
-        return self.is_full
+        return self.is_job_memory_full
 
     def choose_shard(self, _spec: JobSpec) -> ShardName | None:
         return None
@@ -89,7 +89,7 @@
     def __call__(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
         seen: list[str] = []
 
-        def start(status: str, headers: list[tuple[str, str]]) -> None:
+        def start_response(status: str, headers: list[tuple[str, str]]) -> None:
             seen.append(status)
             self.headers = dict(headers)
 
@@ -98,16 +98,16 @@
             "PATH_INFO": path,
             "wsgi.input": io.BytesIO(body),
         }
-        answer = b"".join(self.api(environ, start))
+        answer = b"".join(self.api(environ, start_response))
         return int(seen[0].split()[0]), msgspec.json.decode(answer)
 
     def submit(self, **changes: Any) -> tuple[int, Any]:
         body = {**submission(), **protocol_keys(changes)}
         return self("POST", "/v2/runs", msgspec.json.encode(body))
 
-    def live(self, ref: str = "run-1", cancelled: bool = False) -> None:
+    def add_live_job(self, ref: str = "run-1", cancelled: bool = False) -> None:
         record = JobRecord(job_spec(ref), 0.0, cancelled)
         self.node.store.txn({}, [Put(live_key(JobId(ref)), record)])
 
-    def final(self, ref: str, status: str) -> None:
+    def add_final_record(self, ref: str, status: str) -> None:
         self.node.store.txn({}, [Put(final_key(JobId(ref)), {"status": status})])
