--- a/tests/sharding/test_sharded_loopback.py
+++ b/tests/sharding/test_sharded_loopback.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from support.fakes import submission
-from support.processes import LOOPBACK, PATIENCE_S, ROOT, ask, free_base, until
+from support.processes import LOOPBACK, ROOT, TIMEOUT_S, fetch, find_free_ports, wait_for_status
 
 TASKS = 6
 
@@ -45,7 +45,7 @@
 
     def owners(self) -> dict[str, str]:
         """Wait until all shards are owned; return the owner of each."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             rows = [line.split() for line in self.shards().stdout.splitlines()[1:]]
             if len(rows) == 2 and all(row[2:4] == ["yes", "owned"] for row in rows):
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def processes(tmp_path: Path) -> Iterator[LoopbackProcesses]:
-    found = LoopbackProcesses(tmp_path, free_base())
+    found = LoopbackProcesses(tmp_path, find_free_ports())
     try:
         yield found
     finally:
@@ -87,9 +87,9 @@
         jobs[ref] = msgspec.json.encode(
             submission(ref, shape=shape, zone=zone, task_count=TASKS, estimated_s=12.0)
         )
-        until(processes.url(number % 3), "queued", jobs[ref])
+        wait_for_status(processes.url(number % 3), "queued", jobs[ref])
     for ref in jobs:
-        until(f"{processes.url(0)}/{ref}", "running")
+        wait_for_status(f"{processes.url(0)}/{ref}", "running")
     target = next(node for node in ("n-0", "n-1", "n-2") if node not in owners.values())
     moved = processes.shards("--move", "shard-1", "--to", target)
     assert moved.returncode == 0, moved
@@ -98,10 +98,10 @@
     processes.kill(victim)
     alive = next(n for n in range(3) if f"n-{n}" != victim)
     for ref, body in jobs.items():
-        until(f"{processes.url(alive)}/{ref}", "done")
-        assert ask(processes.url(alive), body) == (200, {"ref": ref, "status": "done"})
+        wait_for_status(f"{processes.url(alive)}/{ref}", "done")
+        assert fetch(processes.url(alive), body) == (200, {"ref": ref, "status": "done"})
     assert victim not in processes.owners().values()
-    _, starts = ask(f"http://127.0.0.1:{processes.port + 1}/trouble/starts")
+    _, starts = fetch(f"http://127.0.0.1:{processes.port + 1}/trouble/starts")
     assert starts == {f"{ref}/{number}": 1 for ref in jobs for number in range(TASKS)}
     for arguments, code, message in (
         (("--move", "west", "--to", target), 3, "unknown shard 'west'"),
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -14,11 +14,11 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 LOOPBACK = ROOT / "tests" / "support" / "loopback.py"
 """The program that simulates store, cloud and workers, and starts controllers."""
-PATIENCE_S = 90.0
+TIMEOUT_S = 90.0
 """Far above what is needed: a slow machine must not fail a test."""
 
 
-def free_base() -> int:
+def find_free_ports() -> int:
     """Return the first port of a range whose ports are free."""
     for base in range(21000, 60000, 500):
         try:
@@ -31,7 +31,7 @@
     raise RuntimeError("no free ports")
 
 
-def ask(url: str, body: bytes | None = None) -> tuple[int, Any]:
+def fetch(url: str, body: bytes | None = None) -> tuple[int, Any]:
     """Do one request; return status and decoded answer, or status 0 without an answer."""
     request = urllib.request.Request(url, body, method="POST" if body is not None else "GET")
     try:
@@ -43,12 +43,12 @@
         return 0, None
 
 
-def until(url: str, wanted: str, body: bytes | None = None) -> Any:
+def wait_for_status(url: str, wanted: str, body: bytes | None = None) -> Any:
     """Repeat a request until the job has the wanted status; return the answer."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + TIMEOUT_S
     answer: Any = None
     while time.monotonic() < end:
-        status, answer = ask(url, body)
+        status, answer = fetch(url, body)
         if status in (200, 201) and answer["status"] == wanted:
             return answer
         time.sleep(0.2)
--- a/tests/system/test_whole.py
+++ b/tests/system/test_whole.py
@@ -12,13 +12,13 @@
 import msgspec
 import pytest
 from support.fakes import RAW_SETTINGS, submission
-from support.processes import LOOPBACK, PATIENCE_S, ROOT, ask, free_base, until
+from support.processes import LOOPBACK, ROOT, TIMEOUT_S, fetch, find_free_ports, wait_for_status
 
 
 @pytest.fixture(scope="module")
 def base() -> Iterator[int]:
     """Run the quick start; the base of its ports."""
-    port = free_base()
+    port = find_free_ports()
     process = subprocess.Popen(
         [sys.executable, str(LOOPBACK), "--port", str(port)],
         stdout=subprocess.DEVNULL,
@@ -34,32 +34,32 @@
 def test_any_controller_takes_answers_for_and_cancels_any_job(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
     body = msgspec.json.encode(submission("run-000001", estimated_s=0.5, task_count=5, spot=True))
-    until(first, "queued", body)
-    until(f"{last}/run-000001", "done")
-    assert ask(first, body) == (200, {"ref": "run-000001", "status": "done"})
+    wait_for_status(first, "queued", body)
+    wait_for_status(f"{last}/run-000001", "done")
+    assert fetch(first, body) == (200, {"ref": "run-000001", "status": "done"})
     long = msgspec.json.encode(
         submission("run-000002", estimated_s=500.0, shape="group", task_count=2)
     )
-    until(last, "queued", long)
-    until(f"{first}/run-000002", "running")
-    until(f"{last}/run-000002/cancel", "cancelled", b"")
-    assert until(f"{first}/run-000002", "cancelled") == {
+    wait_for_status(last, "queued", long)
+    wait_for_status(f"{first}/run-000002", "running")
+    wait_for_status(f"{last}/run-000002/cancel", "cancelled", b"")
+    assert wait_for_status(f"{first}/run-000002", "cancelled") == {
         "ref": "run-000002",
         "status": "cancelled",
     }
-    assert ask(f"{first}/run-000099")[0] == 404
-    assert ask(f"{first}/run-000099/cancel", b"")[0] == 404
-    assert ask(first, b"[1]")[0] == 400
-    assert ask(first, b"x" * 70_000)[0] in (413, 0)  # the connection is closed on the sender
-    assert ask(first, msgspec.json.encode(submission("run-000003", team="nobody")))[0] == 422
+    assert fetch(f"{first}/run-000099")[0] == 404
+    assert fetch(f"{first}/run-000099/cancel", b"")[0] == 404
+    assert fetch(first, b"[1]")[0] == 400
+    assert fetch(first, b"x" * 70_000)[0] in (413, 0)  # the connection is closed on the sender
+    assert fetch(first, msgspec.json.encode(submission("run-000003", team="nobody")))[0] == 422
 
 
 def until_serving(url: str, count: int) -> None:
     """Ask until the service runs with this count of replicas."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + TIMEOUT_S
     answer: Any = None
     while time.monotonic() < end:
-        status, answer = ask(url)
+        status, answer = fetch(url)
         if status == 200 and (answer["status"], answer.get("running")) == ("running", count):
             return
         time.sleep(0.2)
@@ -72,17 +72,17 @@
     service = submission(
         "run-000004", shape="daemon", priority="production", estimated_s=0.0, cpus=1.0, spread=True
     )
-    until(first, "queued", msgspec.json.encode(service))
+    wait_for_status(first, "queued", msgspec.json.encode(service))
     until_serving(f"{last}/run-000004", 4)
     for cause in ("error", "done"):
-        assert ask(f"{faults}/end?piece=run-000004/1&cause={cause}", b"")[0] == 200
+        assert fetch(f"{faults}/end?piece=run-000004/1&cause={cause}", b"")[0] == 200
         time.sleep(1.5)  # until the worker's next heartbeat
         until_serving(f"{last}/run-000004", 4)
-    _, machines = ask(f"http://127.0.0.1:{base + 1}/machines")
-    assert ask(f"{faults}/lose?host={machines['hosts'][0]['ref']}", b"")[1] == {"lost": True}
+    _, machines = fetch(f"http://127.0.0.1:{base + 1}/machines")
+    assert fetch(f"{faults}/lose?host={machines['hosts'][0]['ref']}", b"")[1] == {"lost": True}
     until_serving(f"{last}/run-000004", 4)
-    until(f"{last}/run-000004/cancel", "cancelled", b"")
-    assert until(f"{first}/run-000004", "cancelled")["status"] == "cancelled"
+    wait_for_status(f"{last}/run-000004/cancel", "cancelled", b"")
+    assert wait_for_status(f"{first}/run-000004", "cancelled")["status"] == "cancelled"
 
 
 @pytest.mark.parametrize(
--- a/tools/measure_shards.py
+++ b/tools/measure_shards.py
@@ -26,7 +26,7 @@
 
 import msgspec
 from support.fakes import submission
-from support.processes import LOOPBACK, ROOT, ask, free_base
+from support.processes import LOOPBACK, ROOT, fetch, find_free_ports
 
 ZONES = "abc"
 PACE_S = 1.0
@@ -44,7 +44,7 @@
     """Three controllers, and a steady stream of jobs."""
 
     def __init__(self, folder: Path, division: str | None) -> None:
-        self.port = free_base()
+        self.port = find_free_ports()
         self.settings = folder / "n-0.json"
         self._lines = folder / "world.txt"
         options = ["--shards", division] if division else []
@@ -94,7 +94,7 @@
 
     def observe(self) -> Observation:
         """Read what the stand-ins have counted."""
-        _, found = ask(f"http://127.0.0.1:{self.port + 1}/trouble/observed")
+        _, found = fetch(f"http://127.0.0.1:{self.port + 1}/trouble/observed")
         return msgspec.convert(found, Observation)
 
     def shards(self, *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -107,7 +107,7 @@
         for line in self.shards().stdout.splitlines()[1:]:
             if line.split()[0] == shard:
                 return line.split()[1]
-        _, found = ask(f"http://127.0.0.1:{self.port}/store/lead/holder")
+        _, found = fetch(f"http://127.0.0.1:{self.port}/store/lead/holder")
         return str(found["data"]["node"])
 
     def pid(self, node: str) -> int:
