--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -53,7 +53,7 @@
 def ask_about_some_jobs(cluster: SimulatedCluster, rng: random.Random) -> None:
     """Let users ask every controller about some jobs."""
     for job in rng.sample(sorted(cluster.rules.accepted), min(3, len(cluster.rules.accepted))):
-        cluster.ask_all(job)
+        cluster.poll_and_resubmit_everywhere(job)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS_IN_CI))
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -183,7 +183,7 @@
     assert cluster.cancel("n-2", "run-0") == 200
     cluster.run(1.0)
     for job in ("run-0", "run-1"):
-        cluster.ask_all(job)
+        cluster.poll_and_resubmit_everywhere(job)
     cluster.run(8.0)
     assert not any(worker.tasks for worker in cluster.workers.values() if worker.zone == "a")
 
@@ -238,9 +238,9 @@
     """The leader of the job's shard learns of the cancel before the user gets an answer."""
     cluster.links["n-0"].watch_hangs = True
     assert cluster.cancel("n-2", "run-0") == 200
-    cluster.ask_all("run-0")
+    cluster.poll_and_resubmit_everywhere("run-0")
     cluster.run(3.0)
-    cluster.ask_all("run-0")
+    cluster.poll_and_resubmit_everywhere("run-0")
 
 
 def a_shard_has_no_owner_for_a_minute(cluster: SimulatedCluster) -> None:
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -302,7 +302,7 @@
         """Cancel a job as a user; return the HTTP status."""
         return self._with_final_state(node, ref, "POST", f"/v2/runs/{ref}/cancel")
 
-    def ask_all(self, ref: str = "run-1") -> None:
+    def poll_and_resubmit_everywhere(self, ref: str = "run-1") -> None:
         """Ask every controller for a job's status, and repeat its submission there."""
         for name in CONTROLLERS:
             self.poll(name, ref)
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -30,8 +30,8 @@
     cluster.links["n-1"].before_answer = cancels
 
     def asked() -> None:
-        cluster.ask_all("run-1")
-        cluster.ask_all("run-2")
+        cluster.poll_and_resubmit_everywhere("run-1")
+        cluster.poll_and_resubmit_everywhere("run-2")
 
     cluster.after_load = asked
     cluster.links["n-2"].refused = True  # so that the other one takes over
@@ -40,8 +40,8 @@
     while cluster.leader("n-1") is None:
         cluster.run(0.25)
     cluster.links["n-1"].before_answer = None
-    cluster.ask_all("run-1")
-    cluster.ask_all("run-2")
+    cluster.poll_and_resubmit_everywhere("run-1")
+    cluster.poll_and_resubmit_everywhere("run-2")
 
 
 def cancelled_before_the_leader_knows_the_job(cluster: SimulatedCluster) -> None:
@@ -54,7 +54,7 @@
     cluster.cancel("n-2")
     link.stale_watch = accepted  # an answer that was made between the two
     cluster.run(1.0)
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
     cluster.run(5.0)
 
 
@@ -70,7 +70,7 @@
     leader = cluster.leader("n-0")
     assert leader is not None
     leader.job_watcher.watch_once()
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
 
 
 def cancelled_before_its_acceptance_is_told(cluster: SimulatedCluster) -> None:
@@ -83,7 +83,7 @@
 
     cluster.links["n-1"].after_txn = cancelled
     cluster.submit("n-1")
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
 
 
 def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
@@ -97,7 +97,7 @@
         cluster.run(1.0)
     assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
     assert worker.tasks
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
 
 
 def _write_a_cancel_unnoticed(cluster: SimulatedCluster) -> None:
@@ -210,9 +210,9 @@
             link.before_answer = lambda _key, write=write: write() and None
         cluster.cancel("n-2", ref)
         link.before_answer = None
-        cluster.ask_all(ref)
+        cluster.poll_and_resubmit_everywhere(ref)
         cluster.run(1.0)
-        cluster.ask_all(ref)
+        cluster.poll_and_resubmit_everywhere(ref)
     assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
@@ -231,7 +231,7 @@
     cluster.links["n-2"].before_answer = ends
     cluster.poll("n-2")
     cluster.links["n-2"].before_answer = None
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
 
 
 def ended_by_a_write_that_comes_late(cluster: SimulatedCluster) -> None:
@@ -255,7 +255,7 @@
     for conditions, writes in late:
         cluster.store.txn(conditions, writes)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
     cluster.poll("n-2")
     cluster.poll("n-0")
 
@@ -269,18 +269,18 @@
         assert cluster.submit("n-1", ref) == 503
         link.loses_answers = link.delays_transactions = False
         cluster.submit("n-2", ref)
-        cluster.ask_all(ref)
+        cluster.poll_and_resubmit_everywhere(ref)
         if lost:
             cluster.cancel("n-2", ref)
         else:
             cluster.run(6.0)
             cluster.end(cluster.workers["i-000001"])
             cluster.run(2.0)
-        cluster.ask_all(ref)
+        cluster.poll_and_resubmit_everywhere(ref)
         link.apply_delayed()
         cluster.boot("n-1")  # one that remembers nothing
         link = cluster.links["n-1"]
-        cluster.ask_all(ref)
+        cluster.poll_and_resubmit_everywhere(ref)
     assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -23,16 +23,16 @@
 def test_a_job_runs_to_its_end_without_faults(cluster: SimulatedCluster) -> None:
     """Every controller answers for a job from its start to its end."""
     worker = start_job(cluster)
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
     cluster.end(worker)
     cluster.run(3.0)
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
     assert cluster.rules.final_states == {"run-1": "done"}
     cluster.submit("n-1", "run-2")
     cluster.run(4.0)
     assert worker.tasks
     assert cluster.cancel("n-2", "run-2") == 200
-    cluster.ask_all("run-2")
+    cluster.poll_and_resubmit_everywhere("run-2")
     assert cluster.violations_after_settling() == []
     assert not worker.tasks
 
@@ -179,7 +179,7 @@
     cluster.run(1.0)
     assert cluster.leader("n-1") is not None, "its own failover is not known to it"
     cluster.cancel("n-2")
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
 
 
 def leaders_change_ten_times(cluster: SimulatedCluster) -> None:
@@ -373,14 +373,14 @@
     cluster.run(2.0)
     cluster.dead.add("n-0")
     cluster.run(8.0)
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
     for name in ("n-1", "n-2"):
         if key in ("j/run-9", "f/run-9"):
             assert cluster.poll(name, "run-9") == 503
             assert cluster.cancel(name, "run-9") == 503
     cluster.end(worker)
     cluster.run(4.0)
-    cluster.ask_all()
+    cluster.poll_and_resubmit_everywhere()
     assert cluster.rules.final_states == {"run-1": "done"}
     assert cluster.violations_after_settling() == []
 
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -56,7 +56,7 @@
     worker.delays_commands = True
     assert cluster.cancel(CONTROLLERS[1], "run-1") == 200
     assert cluster.submit(CONTROLLERS[1], "run-2", cpus=30.0) == 201
-    cluster.ask_all("run-1")
+    cluster.poll_and_resubmit_everywhere("run-1")
     if leader_changes:
         replace_leader(cluster)
     cluster.run(12.0)
@@ -64,7 +64,7 @@
     assert (count_on_machines(cluster, "run-1"), count_on_machines(cluster, "run-2")) == (0, 1)
     worker.apply_delayed()
     assert count_on_machines(cluster, "run-2") == 1
-    cluster.ask_all("run-1")
+    cluster.poll_and_resubmit_everywhere("run-1")
     assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-2") == 1
 
