--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -16,7 +16,7 @@
 LIST_EVERY_S = 4.0
 """The interval from the begin of one reading of the whole list to the begin of the next. A reading
 that takes longer is finished first."""
-LIST_SHARE = 0.3
+LIST_RATE_SHARE = 0.3
 """The share of the cloud's rate that pages of the list may take."""
 
 
@@ -33,7 +33,9 @@
 
     def __init__(self, cloud: Cloud, cloud_rps: float) -> None:
         self.cloud = cloud
-        self.bucket = TokenBucket(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
+        self.bucket = TokenBucket(
+            LIST_RATE_SHARE * cloud_rps, LIST_RATE_SHARE * cloud_rps, monotonic_now
+        )
         self._began_at = MonotonicTime(-1e9)
         self._since = ""
         self._names: set[MachineId] = set()
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -15,7 +15,7 @@
     MAX_MACHINES_PER_RELEASE,
     MAX_MACHINES_PER_RENTAL,
 )
-from ryewing.clients.machine_listing import LIST_SHARE
+from ryewing.clients.machine_listing import LIST_RATE_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.direct_messages import BASE_SENDS_IN_FLIGHT, max_sends_in_flight
@@ -215,7 +215,7 @@
             autoscaler.inventory.read_page()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
-    assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
+    assert pages <= LIST_RATE_SHARE * rps * (seconds + 1) + 1
     assert pages >= -(-machines // MAX_MACHINES_PER_PAGE)
 
 
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -11,7 +11,7 @@
 from support.harness import LeaderHarness, starts
 
 from ryewing.autoscaling.releases import Release, ReleaseReason
-from ryewing.clients.machine_listing import LIST_SHARE
+from ryewing.clients.machine_listing import LIST_RATE_SHARE
 from ryewing.clients.peers import ShardLoadAnswer
 from ryewing.clients.store import Put, TxnResult
 from ryewing.leader.autoscaler import Autoscaler
@@ -120,7 +120,10 @@
     rates = {
         "writes": (leader.writer.bucket.rate, 0.65 * params.state.write_rps),
         "cloud": (autoscaler.rentals.cloud.bucket.rate, 0.8 * params.cloud.rps),
-        "list": (leader.autoscaler.inventory.listing.bucket.rate, LIST_SHARE * params.cloud.rps),
+        "list": (
+            leader.autoscaler.inventory.listing.bucket.rate,
+            LIST_RATE_SHARE * params.cloud.rps,
+        ),
         "early heartbeats": (
             leader.early_heartbeats.bucket.rate,
             60.0 * params.resources.core_share,
