--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -69,7 +69,7 @@
 ) -> None:
     refs = jobs(cluster)
     for worker in cluster.workers.values():
-        cluster.end(worker)
+        cluster.finish_tasks(worker)
     cluster.run(4.0)
     costs = Costs(monkeypatch)
     poll_all(cluster, refs)
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -157,7 +157,7 @@
 
 def test_a_new_session_has_forgotten_everything(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     harness.exchange(worker)
     assert list(harness.assignments().values()) == [TaskPhase.RUNNING]
     worker.incarnation += 1
@@ -169,7 +169,7 @@
 
 def test_attempts_are_never_repeated_after_a_takeover(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     [(_, first)] = worker.tasks
     harness.new_leader(6)
     worker.tasks.clear()
@@ -182,7 +182,7 @@
 
 def test_a_successor_rebuilds_from_reports(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=3)
+    job = harness.start_job(worker, task_count=3)
     harness.exchange(worker)
     harness.new_leader(6)
     assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
@@ -253,9 +253,9 @@
 
 def test_a_late_transaction_of_an_earlier_term_dies(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     old = harness.leader
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.new_leader(6)
     old.writer.write_once()
     assert harness.store.get(final_key(job)) is None
@@ -265,8 +265,8 @@
 @pytest.mark.parametrize("cancel_first", [True, False])
 def test_cancel_and_done_cannot_both_win(harness: LeaderHarness, cancel_first: bool) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=1)
+    harness.finish_tasks(worker)
     entry = harness.store.get(live_key(job))
     assert entry is not None
     record = msgspec.json.decode(entry.data, type=JobRecord)
@@ -287,8 +287,8 @@
 
 def test_a_lost_answer_to_the_final_write_is_found_out(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=1)
+    harness.finish_tasks(worker)
     harness.store.lose_answers = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
@@ -308,7 +308,7 @@
 
 def test_a_cancel_halts_and_never_starts_again(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=12)
+    job = harness.start_job(worker, task_count=12)
     assert harness.leader.apply_cancel(job)
     entry = harness.store.get(live_key(job))
     assert entry is not None
@@ -410,9 +410,9 @@
 
 def test_a_job_is_refilled_only_after_its_finishes_are_written(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=12)
+    harness.start_job(worker, task_count=12)
     harness.exchange(worker)
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.place()
     assert harness.assignments() == {}
     harness.write()
@@ -422,8 +422,8 @@
 
 def test_finished_tasks_are_not_run_again_by_a_successor(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=12)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=12)
+    harness.finish_tasks(worker)
     harness.write()
     harness.new_leader(6)
     found = harness.leader.term.job_table.get(job)
@@ -434,7 +434,7 @@
 def test_a_successor_is_told_which_machines_have_which_images(harness: LeaderHarness) -> None:
     """Found with rolling restarts: each leader fetched anew, or waited for the few it knew warm."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1, image="img-7", image_gb=2.0)
+    harness.start_job(worker, task_count=1, image="img-7", image_gb=2.0)
     harness.exchange(worker)
     told = harness.leader.image_locality()
     told.machines["i-000999"] = [0]  # gone meanwhile
--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -246,20 +246,20 @@
     for worker in workers * 2:
         harness.exchange(worker)
     for worker in workers[:60]:
-        harness.end(worker)
+        harness.finish_tasks(worker)
     harness.write()
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
     harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(*workers)
     for worker in workers:
-        harness.end(worker)
+        harness.finish_tasks(worker)
     for _ in range(40):
         harness.write()
         harness.place()
         for worker in workers:
             harness.exchange(worker)
-            harness.end(worker)
+            harness.finish_tasks(worker)
     harness.write()
     assert harness.final_states == dict.fromkeys(jobs, "done")
     assert (
@@ -308,7 +308,7 @@
         worker.machine_type = worker.machine_type
         harness.leader.term.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
         harness.leader.writer.record_machine(MachineId(worker.name))
-        harness.end(worker)
+        harness.finish_tasks(worker)
     harness.write()
     assert harness.final_states == dict.fromkeys(jobs, "done")
 
@@ -400,7 +400,7 @@
     harness.ready(worker)
     harness.place()
     harness.exchange(worker)
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.write()
     assert harness.store.get(final_key(job)) is not None
     assert harness.store.get(live_key(job)) is None
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -374,7 +374,7 @@
     early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     assert early_heartbeats.next_heartbeat_in_s(machine, harness.clock()) == 0.5
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     machine.token_bumped_at = None
     assert early_heartbeats.next_heartbeat_in_s(machine, harness.clock()) == 3.0
     harness.exchange(worker)
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -292,7 +292,7 @@
     sent: list[MachineId] = []
     harness.leader.direct_messages.schedule = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
     for worker in workers:
-        harness.end(worker)
+        harness.finish_tasks(worker)
     harness.write()
     assert not sent
     harness.place()
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -94,11 +94,11 @@
     """No start of which it isn't known whether it arrived, and no write without its answer."""
     worker = east.ready_worker()
     assert east.leader.is_quiesced()
-    east.begin(worker, task_count=1)
+    east.start_job(worker, task_count=1)
     assert not east.leader.is_quiesced()
     east.exchange(worker)
     assert east.leader.is_quiesced()
-    east.end(worker)
+    east.finish_tasks(worker)
     txn, drained = east.store.txn, []
 
     def watched_txn(*args: Any) -> TxnResult:
--- a/tests/leader/test_troubles.py
+++ b/tests/leader/test_troubles.py
@@ -121,7 +121,7 @@
     worker = harness.ready_worker()
     older = worker.heartbeat()
     harness.leader.on_heartbeat(older)
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     newest = worker.heartbeat()
     harness.leader.on_heartbeat(newest)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
@@ -153,7 +153,7 @@
 ) -> None:
     """The last heartbeat of a machine that is gone, delivered well after its lease."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     harness.exchange(worker)
     held_back = worker.heartbeat()
     harness.later(LEASE_S + 1.0)
@@ -186,7 +186,7 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     late = worker.heartbeat()
     harness.new_leader(6)
     assert harness.leader.on_heartbeat(late) is not None  # it might be the worker itself
@@ -213,7 +213,7 @@
     Only the worker itself can show our token; then it is taken up with all that it has.
     """
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     late = worker.heartbeat()
     harness.leader.writer.machine_records.pages.drop(MachineId(worker.name))
     harness.write()
@@ -238,7 +238,7 @@
 def test_a_restarted_worker_is_told_by_its_direct_answer(harness: LeaderHarness) -> None:
     """Back within a fraction of a second it counts anew: its heartbeats looked like old copies."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     for _ in range(5):
         harness.exchange(worker)
     old = worker.heartbeat()
@@ -261,7 +261,7 @@
 
 def test_a_direct_answer_overtaken_by_a_heartbeat_is_no_restart(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     harness.exchange(worker)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
@@ -458,7 +458,7 @@
     assert found.shortfall == 0
     assert len(runs.tasks) == (0 if cancelled else 1)
     if not cancelled:
-        harness.end(runs)
+        harness.finish_tasks(runs)
     harness.exchange(runs)
     harness.write()
     assert harness.final_states == {name: "cancelled" if cancelled else "done"}
@@ -473,7 +473,7 @@
     runs.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
     for worker in (was, runs):
         harness.exchange(worker)
-    harness.end(runs)
+    harness.finish_tasks(runs)
     harness.write()
     assert harness.final_states == {name: "done"}
     was.tasks.clear()
@@ -486,7 +486,7 @@
 def test_halts_are_not_crowded_out_by_what_has_ended(harness: LeaderHarness) -> None:
     """One answer holds so many commands; a cancelled task goes first."""
     worker = harness.ready_worker()
-    harness.begin(worker, "run-1", task_count=1)
+    harness.start_job(worker, "run-1", task_count=1)
     for number in range(MAX_COMMANDS + 50):
         key = f"run-9/{number}"
         worker.tasks[key, 1] = ReportedTask(key, 1, "ended", "stopped")
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -113,7 +113,7 @@
     gpu_jobs(cluster, "b", 4, first=20)
     for _ in range(10):
         cluster.run(1.0)
-        cluster.end(random.Random(1).choice(list(cluster.workers.values())))
+        cluster.finish_tasks(random.Random(1).choice(list(cluster.workers.values())))
     cluster.links["n-0"].loses_answers = False
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(20.0)
@@ -126,7 +126,7 @@
     link.delays_transactions = True
     for worker in cluster.workers.values():
         if worker.zone == "a":
-            cluster.end(worker)
+            cluster.finish_tasks(worker)
     cluster.run(2.5)
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(1.0)
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -63,7 +63,7 @@
     harness.place()
     assert starts(harness.exchange(worker)) == [f"{job}/0"]
     harness.exchange(worker)
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.write()
     assert harness.final_states == {JobId("run-1"): "done"}
     assert not harness.end_reasons
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -37,7 +37,7 @@
     cluster.run(10.0)
     assert {worker.zone for worker in cluster.workers.values() if worker.tasks} == {"a", "b", "c"}
     for worker in cluster.workers.values():
-        cluster.end(worker)
+        cluster.finish_tasks(worker)
     assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done"}
 
@@ -59,7 +59,7 @@
         moved += request_move(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 1.0, 2.0)))
         if number % 3 == 0:
-            cluster.end(rng.choice(list(cluster.workers.values())))
+            cluster.finish_tasks(rng.choice(list(cluster.workers.values())))
         while not all_shards_led(cluster):
             cluster.run(0.25)
     assert moved > 12
@@ -102,7 +102,7 @@
     """Finish all tasks: each was started once and never stopped."""
     cluster.run(2.0)
     for worker in cluster.workers.values():
-        cluster.end(worker)
+        cluster.finish_tasks(worker)
     assert violations_after_settling(cluster) == []
     assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -224,7 +224,7 @@
 def test_a_machine_that_fails_several_jobs_is_quarantined(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     for n in (1, 2):
-        harness.begin(worker, f"run-{n}", task_count=1)
+        harness.start_job(worker, f"run-{n}", task_count=1)
     harness.exchange(worker)
     worker.finish("error")
     harness.exchange(worker)
--- a/tests/support/fault_injector.py
+++ b/tests/support/fault_injector.py
@@ -123,7 +123,7 @@
 
     def end_tasks(self) -> None:
         """Let all tasks of a machine finish."""
-        self._cluster.end(self._worker())
+        self._cluster.finish_tasks(self._worker())
 
     def cancel_job(self) -> None:
         """Let a user cancel a job."""
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -163,14 +163,14 @@
         self.ready(*workers)
         return workers
 
-    def begin(self, worker: FakeWorker, *names: str, **changes: Any) -> JobId:
+    def start_job(self, worker: FakeWorker, *names: str, **changes: Any) -> JobId:
         """Accept a job, run a scheduling cycle and let the worker fetch its starts."""
         job = self.accept(*names, **changes)
         self.place()
         self.exchange(worker)
         return job
 
-    def end(self, worker: FakeWorker) -> None:
+    def finish_tasks(self, worker: FakeWorker) -> None:
         """Finish all tasks of a worker, and let it send a heartbeat."""
         worker.finish()
         self.exchange(worker)
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -308,7 +308,7 @@
             self.poll(name, ref)
             self.submit(name, ref)
 
-    def end(self, worker: TimedWorker) -> None:
+    def finish_tasks(self, worker: TimedWorker) -> None:
         """Finish all tasks of a worker, and let it send a heartbeat in the next step."""
         worker.finish()
         self.rules.check()
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -198,7 +198,7 @@
     for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
         ref = f"run-{number}"
         worker = start_job(cluster, ref)
-        cluster.end(worker)
+        cluster.finish_tasks(worker)
         worker.send_heartbeat()
         leader = cluster.leader("n-0")
         assert leader is not None
@@ -219,7 +219,7 @@
 def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
     """The end is written while another controller looks for the job in the store."""
     worker = start_job(cluster)
-    cluster.end(worker)
+    cluster.finish_tasks(worker)
     worker.send_heartbeat()
     leader = cluster.leader("n-0")
     assert leader is not None
@@ -241,7 +241,7 @@
     assert leader is not None
     link = cluster.links["n-0"]
     link.delays_transactions = True
-    cluster.end(worker)
+    cluster.finish_tasks(worker)
     cluster.run(1.0)
     late, link.delayed_transactions = link.delayed_transactions[:1], []
     link.delays_transactions = False
@@ -274,7 +274,7 @@
             cluster.cancel("n-2", ref)
         else:
             cluster.run(6.0)
-            cluster.end(cluster.workers["i-000001"])
+            cluster.finish_tasks(cluster.workers["i-000001"])
             cluster.run(2.0)
         cluster.poll_and_resubmit_everywhere(ref)
         link.apply_delayed()
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -24,7 +24,7 @@
     """Every controller answers for a job from its start to its end."""
     worker = start_job(cluster)
     cluster.poll_and_resubmit_everywhere()
-    cluster.end(worker)
+    cluster.finish_tasks(worker)
     cluster.run(3.0)
     cluster.poll_and_resubmit_everywhere()
     assert cluster.rules.final_states == {"run-1": "done"}
@@ -283,12 +283,12 @@
     cluster.run(6.0)
     assert first.tasks
     assert second.tasks
-    cluster.end(first)
+    cluster.finish_tasks(first)
     cluster.run(3.0)
     cluster.dead.add("n-0")
     cluster.run(8.0)
     cluster.poll("n-1")
-    cluster.end(second)
+    cluster.finish_tasks(second)
     cluster.run(4.0)
     assert cluster.poll("n-1") == 200
     assert cluster.rules.final_states == {"run-1": "done"}
@@ -378,7 +378,7 @@
         if key in ("j/run-9", "f/run-9"):
             assert cluster.poll(name, "run-9") == 503
             assert cluster.cancel(name, "run-9") == 503
-    cluster.end(worker)
+    cluster.finish_tasks(worker)
     cluster.run(4.0)
     cluster.poll_and_resubmit_everywhere()
     assert cluster.rules.final_states == {"run-1": "done"}
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -82,7 +82,7 @@
     assert cluster.submit(CONTROLLERS[0], "run-2", cpus=30.0, priority="urgent") == 201
     cluster.run(8.0)
     assert (count_on_machines(cluster, "run-1"), count_on_machines(cluster, "run-2")) == (0, 1)
-    cluster.end(worker)
+    cluster.finish_tasks(worker)
     if leader_changes:
         replace_leader(cluster)
     cluster.run(12.0)
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -282,10 +282,10 @@
 
 def test_a_leader_leaves_in_the_store_what_was_recorded(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, "run-1", task_count=1)
-    harness.end(worker)
+    harness.start_job(worker, "run-1", task_count=1)
+    harness.finish_tasks(worker)
     harness.write()
-    harness.begin(worker, "run-2", task_count=8)
+    harness.start_job(worker, "run-2", task_count=8)
     for task in sorted(worker.tasks)[:3]:
         worker.end_task(task)
     harness.exchange(worker)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -310,8 +310,8 @@
 
 def test_a_final_state_keeps_its_form(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = harness.begin(worker)
-    harness.end(worker)
+    name = harness.start_job(worker)
+    harness.finish_tasks(worker)
     harness.write()
     entry = harness.store.get(final_key(name))
     assert entry is not None
