--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -250,7 +250,7 @@
     harness.write()
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
+    harness.set_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(*workers)
     for worker in workers:
         harness.finish_tasks(worker)
@@ -277,7 +277,7 @@
     large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
     if not culprit_first:
         large, small = small, large
-    harness.lower_store_limits(value_kb=1.0)
+    harness.set_store_limits(value_kb=1.0)
     for name in (large, small):
         harness.leader.term.job_table.jobs[name].finish(1)
         harness.leader.term.job_table.reindex(harness.leader.term.job_table.jobs[name])
@@ -290,7 +290,7 @@
         harness.leader.writer.write_once()
     assert len(harness.store.rejected) == refused  # left alone for a while
     harness.later(REJECTED_WRITE_RETRY_S + 1)
-    harness.lower_store_limits(value_kb=8.0)
+    harness.set_store_limits(value_kb=8.0)
     harness.write()
     assert not harness.leader.term.job_table.jobs[large].unwritten
 
@@ -299,7 +299,7 @@
 def test_limits_that_fell_unannounced_are_found_out(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
     workers = harness.ready_workers(40)
-    harness.lower_store_limits(**limits)
+    harness.set_store_limits(**limits)
     jobs = [harness.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
     harness.place()
     for worker in workers:
@@ -396,7 +396,7 @@
     job = harness.accept("run-1", image="img-" + "x" * 3000)
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
+    harness.set_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(worker)
     harness.place()
     harness.exchange(worker)
@@ -487,7 +487,7 @@
 ) -> None:
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
+    harness.set_store_limits(value_kb=2.0, txn_ops=4)
     workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
     before = harness.store.writes
     harness.ready(*workers)
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -108,7 +108,7 @@
             self.settings, params=msgspec.structs.replace(params, state=state)
         )
 
-    def lower_store_limits(self, **limits: Any) -> None:
+    def set_store_limits(self, **limits: Any) -> None:
         """Lower the store's limits."""
         self.store.limits = msgspec.structs.replace(self.store.limits, **limits)
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -277,7 +277,7 @@
     assert len(before[1]) == 40
     harness.announce_store_limits(value_kb=1.0, txn_ops=2)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=1.0, txn_ops=2)
+    harness.set_store_limits(value_kb=1.0, txn_ops=2)
     steps = 0
     while harness.leader.writer.write_once():
         steps += 1
