--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -16,7 +16,7 @@
 LIST_EVERY_S = 4.0
 """The interval from the begin of one reading of the whole list to the begin of the next. A reading
 that takes longer is finished first."""
-LIST_SHARE = 0.3
+LIST_RATE_SHARE = 0.3
 """The share of the cloud's rate that pages of the list may take."""
 
 
@@ -24,7 +24,7 @@
     """One page of the list; the last page has the names of all machines that were listed."""
 
     machines: list[ListedMachine]
-    all_names: frozenset[MachineId] | None
+    all_machine_ids: frozenset[MachineId] | None
     """None before the last page."""
 
 
@@ -33,19 +33,21 @@
 
     def __init__(self, cloud: Cloud, cloud_rps: float) -> None:
         self.cloud = cloud
-        self.bucket = TokenBucket(LIST_SHARE * cloud_rps, LIST_SHARE * cloud_rps, monotonic_now)
+        self.bucket = TokenBucket(
+            LIST_RATE_SHARE * cloud_rps, LIST_RATE_SHARE * cloud_rps, monotonic_now
+        )
         self._began_at = MonotonicTime(-1e9)
         self._since = ""
         self._names: set[MachineId] = set()
 
-    def due(self, now: MonotonicTime) -> bool:
+    def try_acquire_page(self, now: MonotonicTime) -> bool:
         """Return whether a page should be read now.
 
         The caller must then read it: its share of the rate has been taken.
         """
         if not self._since and now - self._began_at < LIST_EVERY_S:
             return False
-        return self.bucket.take()
+        return self.bucket.try_acquire()
 
     def read_page(self, now: MonotonicTime) -> ListPage:
         """Read the next page, or the first one if the last has been read.
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -71,7 +71,7 @@
         has_clears = bool(machine.ended_attempts) and bool(clear_commands(self._term, machine))
         if not has_clears and not self._may_bump_token(machine, now):
             return
-        if not self.bucket.take() and not urgent:
+        if not self.bucket.try_acquire() and not urgent:
             return
         if not has_clears:
             machine.token_bumped_at = now
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from ryewing.autoscaling.releases import Release
-from ryewing.clients.cloud import RELEASE_MAX, Cloud, CloudUnavailableError
+from ryewing.clients.cloud import MAX_MACHINES_PER_RELEASE, Cloud, CloudUnavailableError
 from ryewing.leader.direct_messages import DirectMessages
 from ryewing.leader.state_writer import StateWriter
 from ryewing.leader.term_context import TermContext
@@ -40,7 +40,7 @@
         CloudUnavailableError if the cloud did not confirm the request. The cloud may still execute
         it later; until then the machines are used as before.
         """
-        releases = releases[:RELEASE_MAX]
+        releases = releases[:MAX_MACHINES_PER_RELEASE]
         if not self._term.may_start_operations():
             # Other requests or a pause of the process may have taken time since the decision, so
             # a successor may already use these machines.
@@ -72,7 +72,7 @@
         )
         self._term.cluster.remove(machine, now)
         if machine.address:
-            self._direct_messages.workers.forget(machine.address)
+            self._direct_messages.workers.disconnect(machine.address)
         self._writer.forget_machine(machine.id)
         self._term.released_machines[machine.id] = None
         if len(self._term.released_machines) > RELEASED_MACHINES_KEPT:
--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -21,7 +21,7 @@
     MachineId,
     MonotonicTime,
     TaskId,
-    attempt_of,
+    attempt_number,
     wall_now,
 )
 
@@ -109,7 +109,7 @@
 
     def _next_attempt(self) -> Attempt:
         self.attempts_used += 1
-        return attempt_of(self._term.number, self.attempts_used)
+        return attempt_number(self._term.number, self.attempts_used)
 
     def _request_early_heartbeats(self, batches: Sequence[Batch], now: MonotonicTime) -> None:
         """Request early heartbeats of the machines with new tasks, those with replicas first."""
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -20,7 +20,15 @@
 from ryewing.state.failure_detector import BACKOFF_MAX_S, BACKOFF_MIN_S
 from ryewing.state.job_records import FINISHED_PREFIX, LIVE_PREFIX, read_record
 from ryewing.state.jobs import Job
-from ryewing.units import DRIFT, JobId, KeyVersion, MachineId, MonotonicTime, Zone, monotonic_now
+from ryewing.units import (
+    CLOCK_DRIFT_MARGIN,
+    JobId,
+    KeyVersion,
+    MachineId,
+    MonotonicTime,
+    Zone,
+    monotonic_now,
+)
 from ryewing.wire.cloud import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
@@ -116,7 +124,9 @@
         # An earlier leader may have answered workers until its hold ended, and its last answer
         # allows a worker to keep its tasks for one more lease.
         lease_s = self._term.settings.params.workers.lease_s
-        may_hold_s = (self._term.policy.hold_s + lease_s) * (1 + 2 * DRIFT) + HANDOVER_MARGIN_S
+        may_hold_s = (self._term.policy.hold_s + lease_s) * (
+            1 + 2 * CLOCK_DRIFT_MARGIN
+        ) + HANDOVER_MARGIN_S
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
         records, duplicated = self._writer.machine_records.pages.load(entries)
         for name, raw in records:
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -83,7 +83,7 @@
 
     def try_acquire_writes(self, changes: int) -> bool:
         """Take a number of changes from the term's write rate; return False if it is used up."""
-        return self.bucket.take(changes)
+        return self.bucket.try_acquire(changes)
 
     def has_transaction_in_flight(self) -> bool:
         """Return whether a transaction was sent and its response is still awaited."""
@@ -125,7 +125,7 @@
             return False
         selected = select_writes(pending, self._ops_max)
         ops = [op for write in selected for op in write.ops]
-        if not self.bucket.take(len(ops)):
+        if not self.bucket.try_acquire(len(ops)):
             gevent.sleep(min(RATE_WAIT_MAX_S, self.bucket.wait_s(len(ops))))
             return True
         finals = {write.job.id for write in selected if isinstance(write, FinalWrite)}
@@ -181,7 +181,7 @@
             if result.ok:
                 write.on_applied(result.revision)
                 continue
-            for key in write.conditions.keys() & result.failed:
+            for key in write.conditions.keys() & result.failed_keys:
                 write.on_conflict(key)
 
     def _on_rejected(
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -58,7 +58,7 @@
             {self._full_key(key): version for key, version in conditions.items()},
             [self._with_prefix(write) for write in writes],
         )
-        failed = frozenset(key.removeprefix(self._prefix) for key in result.failed)
+        failed = frozenset(key.removeprefix(self._prefix) for key in result.failed_keys)
         return TxnResult(result.ok, result.revision, failed)
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
@@ -76,9 +76,9 @@
         """Renew a lease; raise LeaseLostError if it no longer exists."""
         self._store.renew(lease, deadline_s)
 
-    def resign(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         """End a lease immediately."""
-        self._store.resign(lease)
+        self._store.revoke(lease)
 
     def _full_key(self, key: str) -> str:
         return key if key.startswith(SHARED_PREFIXES) else self._prefix + key
--- a/src/ryewing/state/cluster_state.py
+++ b/src/ryewing/state/cluster_state.py
@@ -20,7 +20,7 @@
 from ryewing.state.machine import Machine
 from ryewing.state.pending_terminations import PendingTerminations
 from ryewing.units import (
-    DRIFT,
+    CLOCK_DRIFT_MARGIN,
     FencingToken,
     MachineId,
     MonotonicTime,
@@ -66,7 +66,7 @@
         self.apply_heartbeat = self._heartbeats.apply
         """Applies a worker's message; see `HeartbeatApplier.apply`. It is bound directly, without a
         wrapper method, because it is called for every heartbeat of every machine."""
-        self._hold_s = lease_s * (1 + DRIFT) + LEASE_MARGIN_S
+        self._hold_s = lease_s * (1 + CLOCK_DRIFT_MARGIN) + LEASE_MARGIN_S
         """How long after a 200 response a worker may still keep its tasks, in seconds."""
 
     def token(self, machine: Machine) -> FencingToken:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -10,8 +10,12 @@
 from support.fakes import FakeWorker, policy, settings
 from support.harness import LeaderHarness
 
-from ryewing.clients.cloud import PAGE_MAX, RELEASE_MAX, RENT_MAX
-from ryewing.clients.machine_listing import LIST_SHARE
+from ryewing.clients.cloud import (
+    MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_RELEASE,
+    MAX_MACHINES_PER_RENTAL,
+)
+from ryewing.clients.machine_listing import LIST_RATE_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.direct_messages import BASE_SENDS_IN_FLIGHT, max_sends_in_flight
@@ -19,7 +23,7 @@
 from ryewing.leader.plan_applier import MIN_ATTEMPTS_LEFT
 from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.state.attempts import TaskPhase
-from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
+from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_number
 from ryewing.wire.cloud import ListedMachine
 from ryewing.wire.workers import Command
 
@@ -123,7 +127,7 @@
     harness.accept(task_count=TASKS, cpus=8.0, estimated_s=300.0, spot=True, spread=True)
     found = Fleet(harness)
     requests, writes = found.rent()
-    assert requests <= MACHINES // RENT_MAX + 2
+    assert requests <= MACHINES // MAX_MACHINES_PER_RENTAL + 2
     # A value holds some fifty machines; one write each would take minutes of the write rate.
     assert writes <= MACHINES // 40
     assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
@@ -182,7 +186,7 @@
     while gone := leader.autoscaler.unhealthy_machines(harness.clock()):
         leader.autoscaler.releaser.release(gone)
         requests += 1
-    assert requests == -(-len(lost) // RELEASE_MAX)
+    assert requests == -(-len(lost) // MAX_MACHINES_PER_RELEASE)
     assert set(map(str, harness.cloud.released)) == lost
 
     # Its work runs again on new machines, and nothing else is touched.
@@ -207,12 +211,12 @@
     seconds = 60.0
     for _ in range(round(seconds / 0.5)):
         harness.clock.now += 0.5
-        if autoscaler.inventory.listing.due(harness.clock()):
+        if autoscaler.inventory.listing.try_acquire_page(harness.clock()):
             autoscaler.inventory.read_page()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
-    assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
-    assert pages >= -(-machines // PAGE_MAX)
+    assert pages <= LIST_RATE_SHARE * rps * (seconds + 1) + 1
+    assert pages >= -(-machines // MAX_MACHINES_PER_PAGE)
 
 
 def test_a_term_that_has_used_up_its_attempts_ends(harness: LeaderHarness) -> None:
@@ -222,12 +226,12 @@
     harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
-    assert not harness.lost
+    assert not harness.end_reasons
     harness.place()
-    assert harness.lost == ["attempts-used-up"]
-    assert attempt_of(TermNumber(5), MAX_ATTEMPTS) < attempt_of(TermNumber(6), 0)
+    assert harness.end_reasons == ["attempts-used-up"]
+    assert attempt_number(TermNumber(5), MAX_ATTEMPTS) < attempt_number(TermNumber(6), 0)
     with pytest.raises(ValueError, match="another term"):
-        attempt_of(TermNumber(5), MAX_ATTEMPTS + 1)
+        attempt_number(TermNumber(5), MAX_ATTEMPTS + 1)
 
 
 def test_fixed_limits_stand_above_the_fleet() -> None:
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -37,7 +37,7 @@
     harness.write()
     assert harness.store.get(live_key(job)) is None
     assert harness.store.get(final_key(job)) is not None
-    assert harness.finals == {job: "done"}
+    assert harness.final_states == {job: "done"}
     assert verbs(harness.exchange(worker)) == ["clear"] * 4
     assert not worker.tasks
 
@@ -88,7 +88,7 @@
     worker = harness.worker()
     worker.token = fencing_token(TermNumber(6))
     assert harness.leader.on_heartbeat(worker.heartbeat()) is None
-    assert harness.lost == ["overruled"]
+    assert harness.end_reasons == ["overruled"]
 
 
 def test_only_a_later_report_settles_an_assumed_start(harness: LeaderHarness) -> None:
@@ -157,7 +157,7 @@
 
 def test_a_new_session_has_forgotten_everything(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     harness.exchange(worker)
     assert list(harness.assignments().values()) == [TaskPhase.RUNNING]
     worker.incarnation += 1
@@ -169,7 +169,7 @@
 
 def test_attempts_are_never_repeated_after_a_takeover(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     [(_, first)] = worker.tasks
     harness.new_leader(6)
     worker.tasks.clear()
@@ -182,7 +182,7 @@
 
 def test_a_successor_rebuilds_from_reports(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=3)
+    job = harness.start_job(worker, task_count=3)
     harness.exchange(worker)
     harness.new_leader(6)
     assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
@@ -253,20 +253,20 @@
 
 def test_a_late_transaction_of_an_earlier_term_dies(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     old = harness.leader
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.new_leader(6)
     old.writer.write_once()
     assert harness.store.get(final_key(job)) is None
-    assert harness.lost == ["fenced"]
+    assert harness.end_reasons == ["fenced"]
 
 
 @pytest.mark.parametrize("cancel_first", [True, False])
 def test_cancel_and_done_cannot_both_win(harness: LeaderHarness, cancel_first: bool) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=1)
+    harness.finish_tasks(worker)
     entry = harness.store.get(live_key(job))
     assert entry is not None
     record = msgspec.json.decode(entry.data, type=JobRecord)
@@ -278,17 +278,17 @@
     if cancel_first:
         assert harness.store.txn(*cancel).ok  # written by another node, not seen here yet
         harness.write()
-        assert harness.finals == {job: "cancelled"}
+        assert harness.final_states == {job: "cancelled"}
     else:
         harness.write()
         assert not harness.store.txn(*cancel).ok
-        assert harness.finals == {job: "done"}
+        assert harness.final_states == {job: "done"}
 
 
 def test_a_lost_answer_to_the_final_write_is_found_out(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=1)
+    harness.finish_tasks(worker)
     harness.store.lose_answers = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
@@ -296,7 +296,7 @@
     assert harness.leader.job_status(job) is None
     harness.store.lose_answers = False
     harness.write()
-    assert harness.finals == {job: "done"}
+    assert harness.final_states == {job: "done"}
 
 
 def test_no_state_is_told_without_the_lease(harness: LeaderHarness) -> None:
@@ -308,7 +308,7 @@
 
 def test_a_cancel_halts_and_never_starts_again(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=12)
+    job = harness.start_job(worker, task_count=12)
     assert harness.leader.apply_cancel(job)
     entry = harness.store.get(live_key(job))
     assert entry is not None
@@ -324,7 +324,7 @@
     assert not starts(harness.exchange(worker))
     assert harness.assignments() == {}
     harness.write()
-    assert harness.finals == {job: "cancelled"}
+    assert harness.final_states == {job: "cancelled"}
 
 
 def test_a_task_of_no_live_job_is_halted(harness: LeaderHarness) -> None:
@@ -410,9 +410,9 @@
 
 def test_a_job_is_refilled_only_after_its_finishes_are_written(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=12)
+    harness.start_job(worker, task_count=12)
     harness.exchange(worker)
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.place()
     assert harness.assignments() == {}
     harness.write()
@@ -422,8 +422,8 @@
 
 def test_finished_tasks_are_not_run_again_by_a_successor(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=12)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=12)
+    harness.finish_tasks(worker)
     harness.write()
     harness.new_leader(6)
     found = harness.leader.term.job_table.get(job)
@@ -434,7 +434,7 @@
 def test_a_successor_is_told_which_machines_have_which_images(harness: LeaderHarness) -> None:
     """Found with rolling restarts: each leader fetched anew, or waited for the few it knew warm."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1, image="img-7", image_gb=2.0)
+    harness.start_job(worker, task_count=1, image="img-7", image_gb=2.0)
     harness.exchange(worker)
     told = harness.leader.image_locality()
     told.machines["i-000999"] = [0]  # gone meanwhile
--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -14,13 +14,13 @@
 from ryewing.api.store_access import MAX_STORE_READS_IN_FLIGHT
 from ryewing.api.submissions import MAX_SUBMISSIONS_IN_FLIGHT
 from ryewing.autoscaling.releases import Release, ReleaseReason
-from ryewing.clients.cloud import RELEASE_MAX
+from ryewing.clients.cloud import MAX_MACHINES_PER_RELEASE
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
 from ryewing.leader.direct_messages import max_sends_in_flight
 from ryewing.leader.machine_records import MACHINE_PREFIX
-from ryewing.process.node import API_SHARE, PEER_SHARE
+from ryewing.process.node import API_SOCKET_SHARE, PEER_SOCKET_SHARE
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.attempts import TaskPhase
@@ -40,7 +40,7 @@
     TaskId,
     TermNumber,
     Zone,
-    parse_task,
+    parse_task_id,
 )
 from ryewing.wire.store import Entry
 from ryewing.wire.workers import ReportedTask
@@ -202,9 +202,9 @@
         workers.client_for(f"10.0.{n // 250}.{n % 250 + 1}:9000")
     kept = len(workers.clients)
     store = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
-    others = int(PEER_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
-    assert int(API_SHARE * sockets) >= 1.2 * 1100
-    assert int(API_SHARE * sockets) + others <= sockets
+    others = int(PEER_SOCKET_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
+    assert int(API_SOCKET_SHARE * sockets) >= 1.2 * 1100
+    assert int(API_SOCKET_SHARE * sockets) + others <= sockets
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -266,9 +266,9 @@
 
     def counted(text: str) -> TaskId | None:
         parsed.append(text)
-        return parse_task(text)
+        return parse_task_id(text)
 
-    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task", counted)
+    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task_id", counted)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
@@ -292,7 +292,7 @@
     sent: list[MachineId] = []
     harness.leader.direct_messages.schedule = lambda machine: sent.append(machine.id)  # type: ignore[method-assign]
     for worker in workers:
-        harness.end(worker)
+        harness.finish_tasks(worker)
     harness.write()
     assert not sent
     harness.place()
@@ -306,8 +306,8 @@
     harness.leader.autoscaler.releaser.release(
         [Release(machine, ReleaseReason.SILENT) for machine in machines]
     )
-    assert len(harness.cloud.released) == RELEASE_MAX
-    assert len(harness.leader.term.cluster.machines) == 250 - RELEASE_MAX
+    assert len(harness.cloud.released) == MAX_MACHINES_PER_RELEASE
+    assert len(harness.leader.term.cluster.machines) == 250 - MAX_MACHINES_PER_RELEASE
     assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
 
 
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 from support.fakes import GPU, job
-from support.placement_world import T0, TEAMS, World, spread_of
+from support.placement_world import T0, TEAMS, World, tasks_by_machine
 
 from ryewing.scheduling import preemption, queueing
 from ryewing.units import JobId, MonotonicTime, WallTime
@@ -16,8 +16,8 @@
 def test_the_fullest_fitting_machine_is_used_first() -> None:
     world = World()
     world.machine("i-1")
-    world.put(world.job("run-9", task_count=5), world.machine("i-2"), 5)
-    assert spread_of(world.plan(world.job("run-1", task_count=4))) == {"i-2": 3, "i-1": 1}
+    world.run_tasks(world.job("run-9", task_count=5), world.machine("i-2"), 5)
+    assert tasks_by_machine(world.plan(world.job("run-1", task_count=4))) == {"i-2": 3, "i-1": 1}
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
     world.machine("i-1", zone="a")
     world.machine("i-2", zone="b")
     world.machine("i-3", zone="c", spot=True)  # these jobs may not use spot machines
-    placed = spread_of(world.plan(world.job("run-1", **changes)))
+    placed = tasks_by_machine(world.plan(world.job("run-1", **changes)))
     assert sum(placed.values()) == expected
     assert "i-3" not in placed
 
@@ -52,8 +52,8 @@
     world = World()
     a, b = world.machine("i-1", zone="a"), world.machine("i-2", zone="b")
     waiting_job = world.job("run-1", task_count=8, spread=True)
-    world.put(waiting_job, a, 4)
-    assert spread_of(world.plan(waiting_job)) == {b.id: 4}
+    world.run_tasks(waiting_job, a, 4)
+    assert tasks_by_machine(world.plan(waiting_job)) == {b.id: 4}
 
 
 def test_a_same_zone_job_stays_in_the_zone_of_its_running_tasks() -> None:
@@ -61,8 +61,8 @@
     a = world.machine("i-1", zone="a")
     world.machine("i-2", zone="b")
     waiting_job = world.job("run-1", task_count=12, same_zone=True)
-    world.put(waiting_job, a, 8)  # zone a is full
-    assert spread_of(world.plan(waiting_job)) == {}
+    world.run_tasks(waiting_job, a, 8)  # zone a is full
+    assert tasks_by_machine(world.plan(waiting_job)) == {}
 
 
 @pytest.mark.parametrize(("unseen", "expected"), [((0.0, 0.0), 8), ((0.0, 4.0), 4)])
@@ -72,10 +72,14 @@
     world = World()
     for n in range(3):
         world.machine(f"i-{n}", GPU)
-    placed = spread_of(world.plan(world.job("run-1", task_count=12, gpus=1.0), unseen=unseen))
+    placed = tasks_by_machine(
+        world.plan(world.job("run-1", task_count=12, gpus=1.0), unreconciled=unseen)
+    )
     assert sum(placed.values()) == expected
-    world.put(world.job("run-2", task_count=2, gpus=1.0), world.machine("i-9", GPU), 2)
-    placed = spread_of(world.plan(world.job("run-3", task_count=12, gpus=1.0), unseen=unseen))
+    world.run_tasks(world.job("run-2", task_count=2, gpus=1.0), world.machine("i-9", GPU), 2)
+    placed = tasks_by_machine(
+        world.plan(world.job("run-3", task_count=12, gpus=1.0), unreconciled=unseen)
+    )
     assert sum(placed.values()) == expected - 2
 
 
@@ -84,9 +88,9 @@
     world = World()
     world.machine("i-1", GPU)  # 24 CPUs, 4 GPUs
     world.job("run-9", gpus=1.0, cpus=5.0)
-    assert spread_of(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
+    assert tasks_by_machine(world.plan(world.job("run-1", task_count=9, cpus=2.0))) == {"i-1": 2}
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1)
-    assert spread_of(world.plan(urgent)) == {"i-1": 1}  # a higher priority is exempt
+    assert tasks_by_machine(world.plan(urgent)) == {"i-1": 1}  # a higher priority is exempt
 
 
 @pytest.mark.parametrize(("kept", "expected"), [(0.0, 24), (2.0, 14), (5.0, 4), (99.0, 4)])
@@ -97,7 +101,7 @@
         world.machine(f"i-{n}", GPU)
     world.job("run-9", gpus=1.0, cpus=5.0)
     waiting_job = world.job("run-1", task_count=40, cpus=2.0, memory_gb=1.0)
-    assert sum(spread_of(world.plan(waiting_job, kept=kept)).values()) == expected
+    assert sum(tasks_by_machine(world.plan(waiting_job, gpus_kept=kept)).values()) == expected
 
 
 def test_an_urgent_gang_preempts_rather_than_strand_gpus() -> None:
@@ -105,11 +109,11 @@
     world = World()
     world.machine("i-1", GPU)
     idle = world.job("run-9", task_count=8)
-    world.put(idle, world.machine("i-2"), 8)
+    world.run_tasks(idle, world.machine("i-2"), 8)
     world.job("run-8", gpus=1.0, cpus=5.0)
     urgent = world.job("run-2", priority="urgent", cpus=15.0, task_count=1, shape="group")
     plan = world.plan(urgent)
-    assert spread_of(plan) == {}
+    assert tasks_by_machine(plan) == {}
     assert not plan.unplaced
     assert {assignment.machine.id for assignment in plan.preemptions} == {"i-2"}
 
@@ -124,7 +128,7 @@
     world.machine("i-2", GPU, zone="b")
     world.job("run-8", gpus=1.0)
     waiting_job = world.job("run-1", priority="urgent", task_count=12, same_zone=True)
-    assert spread_of(world.plan(waiting_job)) == {"i-1": 8}
+    assert tasks_by_machine(world.plan(waiting_job)) == {"i-1": 8}
 
 
 def test_preemption_tries_every_zone() -> None:
@@ -135,7 +139,7 @@
     world = World()
     idle = world.job("run-9", priority="idle", task_count=96, cpus=1.0, memory_gb=1.0)
     for n, zone in enumerate("abc"):
-        world.put(idle, world.machine(f"i-{n}", zone=zone), 32)
+        world.run_tasks(idle, world.machine(f"i-{n}", zone=zone), 32)
     jobs = [
         world.job(
             f"run-{n}", priority="urgent", task_count=1, cpus=30.0, shape="group", same_zone=True
@@ -172,7 +176,7 @@
     machine = world.machine("i-1")
     victim = world.job("run-9", priority=victim_priority, team="blue", task_count=1)
     victim.guaranteed = victim_guaranteed
-    world.put(victim, machine, 1)
+    world.run_tasks(victim, machine, 1)
     waiting_job = world.job("run-1", priority=priority, team=team)
     waiting_job.guaranteed = guaranteed
     assignment = next(iter(machine.assignments.values()))
@@ -183,7 +187,7 @@
     world = World()
     machine = world.machine("i-1")
     idle = world.job("run-9", priority="idle", task_count=8)
-    world.put(idle, machine, 8)
+    world.run_tasks(idle, machine, 8)
     plan = world.plan(
         world.job("run-1", priority="urgent", task_count=2), world.job("run-2", task_count=8)
     )
@@ -196,36 +200,38 @@
     for n in range(300):
         world.machine(f"i-{n}")
     plan = world.plan(world.job("run-1", task_count=100_000, team="red"), sample=16)
-    assert len(spread_of(plan)) == 16
+    assert len(tasks_by_machine(plan)) == 16
 
 
 def test_arrays_wait_briefly_for_warm_machines_and_gangs_do_not() -> None:
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 1.0)
-    world.put(world.job("run-9", task_count=8, image="other"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, image="other"), warm, 8)
     array = world.job("run-1", task_count=1, image_gb=1.0)
     other = world.job("run-8", task_count=6, image_gb=1.0)  # so that CPUs are not plentiful
-    assert spread_of(world.plan(array, other)) == {}
-    assert spread_of(world.plan(array, other, now=102.6))[cold.id] >= 1  # half of the 5 s fetch
-    assert spread_of(world.plan(world.job("run-2", task_count=1, shape="group", image_gb=1.0))) == {
-        cold.id: 1
-    }
+    assert tasks_by_machine(world.plan(array, other)) == {}
+    assert (
+        tasks_by_machine(world.plan(array, other, now=102.6))[cold.id] >= 1
+    )  # half of the 5 s fetch
+    assert tasks_by_machine(
+        world.plan(world.job("run-2", task_count=1, shape="group", image_gb=1.0))
+    ) == {cold.id: 1}
 
 
 def test_arrays_do_not_wait_for_an_image_while_resources_are_plentiful() -> None:
     """On a lightly loaded day, arrays of many tasks waited although hundreds of GPUs were free."""
     world = World()
     world.machine("i-1").record_image("img-1", 5.0)
-    world.put(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
+    world.run_tasks(world.job("run-9", task_count=8, image="other"), world.machine("i-1"), 8)
     for n in range(2, 5):
         world.machine(f"i-{n}")
     array = world.job("run-1", task_count=12, image_gb=5.0)  # 25 s at 0.2 GB/s
     # The warm machine runs six tasks within the time of a fetch; the others fetch at once.
-    assert sum(spread_of(world.plan(array)).values()) == 6
+    assert sum(tasks_by_machine(world.plan(array)).values()) == 6
     many = world.job("run-2", task_count=50, image_gb=5.0)
     # Without plentiful resources, only machines that would stay idle begin a fetch, for one task.
-    assert spread_of(world.plan(array, many)) == {"i-2": 1, "i-3": 1, "i-4": 1}
+    assert tasks_by_machine(world.plan(array, many)) == {"i-2": 1, "i-3": 1, "i-4": 1}
 
 
 @pytest.mark.parametrize(
@@ -244,28 +250,28 @@
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 10.0)
-    world.put(world.job("run-9", task_count=8, image="img-9"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, image="img-9"), warm, 8)
     if fetching is not None:
         other = world.job("run-8", task_count=1, image=fetching, image_gb=10.0)
-        world.put(other, cold, 1)
+        world.run_tasks(other, cold, 1)
     array = world.job("run-1", task_count=tasks, image_gb=10.0)  # 50 s at 0.2 GB/s
     # The filler keeps CPUs from being plentiful.
     filler = world.job("run-7", task_count=90, image="img-0", machine_types=["g4"])
     plan = world.plan(array, filler)
-    assert spread_of(plan) == expected
+    assert tasks_by_machine(plan) == expected
     if not expected and tasks == 4:
         # Nothing is rented for it.
         assert array not in [unplaced for unplaced, _count in plan.unplaced]
         # Once it has waited for as long as a fetch takes, it may fetch on idle machines.
-        assert spread_of(world.plan(array, filler, now=140.0)) == {}
-        assert spread_of(world.plan(array, filler, now=151.0)) == {"i-2": 1}
+        assert tasks_by_machine(world.plan(array, filler, now=140.0)) == {}
+        assert tasks_by_machine(world.plan(array, filler, now=151.0)) == {"i-2": 1}
 
 
 def test_resources_freed_for_one_job_are_available_to_another_in_the_same_cycle() -> None:
     """A cycle caches where a task might fit, and updates the cache when it stops a task."""
     world = World()
     large = world.job("run-9", task_count=1, cpus=32.0, memory_gb=1.0)
-    world.put(large, world.machine("i-1"), 1)
+    world.run_tasks(large, world.machine("i-1"), 1)
     # No job has a higher priority than the job with GPUs.
     world.job("run-8", priority="production", gpus=1.0)
     before = world.job("run-1", priority="idle", task_count=1, cpus=8.0)
@@ -297,7 +303,7 @@
         machine = world.machine(f"i-{n}")
         for ref in images:
             fetching = world.job(ref, image=ref, image_gb=2.0, task_count=100)  # 10 s at 0.2 GB/s
-            world.put(fetching, machine, 1)
+            world.run_tasks(fetching, machine, 1)
         assert not world.cluster.is_fetch_rate_shared()
     for machine in world.cluster.machines.values():
         for status, at in (("fetching", now), ("running", now + took_s)):
@@ -326,8 +332,8 @@
     gang = world.job(
         "run-1", shape="group", priority="urgent", task_count=2, cpus=20.0, image_gb=5.0
     )
-    world.put(gang, other, 1)
-    assert spread_of(world.plan(gang)) == {"i-2": 1}
+    world.run_tasks(gang, other, 1)
+    assert tasks_by_machine(world.plan(gang)) == {"i-2": 1}
     none = queueing.Supply()
     jobs = [world.job("run-8", priority="production"), gang]
     assert queueing.order(jobs, [], none, none, WallTime(0.0))[0] is gang
@@ -339,7 +345,7 @@
         world.machine(f"i-{n}")
     failing = world.job("run-1", task_count=20, image_gb=10.0)
     failing.backoff_s = 2.0
-    assert sum(spread_of(world.plan(failing)).values()) == 1
+    assert sum(tasks_by_machine(world.plan(failing)).values()) == 1
 
 
 def test_a_gang_avoids_machines_that_are_fetching() -> None:
@@ -348,9 +354,11 @@
     for n in range(4):
         world.machine(f"i-{n}")
     other = world.job("run-9", task_count=1, image="img-9", image_gb=5.0)
-    world.put(other, world.machine("i-0"), 1)  # the fullest, so it would otherwise be chosen first
+    world.run_tasks(
+        other, world.machine("i-0"), 1
+    )  # the fullest, so it would otherwise be chosen first
     gang = world.job("run-1", shape="group", task_count=3, cpus=20.0, image_gb=2.0)
-    assert set(spread_of(world.plan(gang))) == {"i-1", "i-2", "i-3"}
+    assert set(tasks_by_machine(world.plan(gang))) == {"i-1", "i-2", "i-3"}
 
 
 def test_one_task_begins_a_long_fetch_and_nothing_is_rented_for_the_others() -> None:
@@ -359,9 +367,11 @@
     world.machine("i-1")
     array = world.job("run-1", task_count=8, image_gb=5.0)  # 25 s at 0.2 GB/s
     plan = world.plan(array)
-    assert spread_of(plan) == {"i-1": 1}
+    assert tasks_by_machine(plan) == {"i-1": 1}
     assert not plan.unplaced
-    assert spread_of(world.plan(world.job("run-2", task_count=8, image_gb=1.0))) == {"i-1": 8}
+    assert tasks_by_machine(world.plan(world.job("run-2", task_count=8, image_gb=1.0))) == {
+        "i-1": 8
+    }
 
 
 def test_a_machine_that_failed_a_task_gets_one_at_a_time() -> None:
@@ -370,17 +380,17 @@
     suspect = world.machine("i-1")
     suspect.failed_jobs.add(JobId("run-9"))
     waiting_job = world.job("run-1", task_count=8)
-    assert spread_of(world.plan(waiting_job)) == {"i-1": 1}
-    world.put(waiting_job, suspect, 1)
-    assert spread_of(world.plan(waiting_job)) == {}
+    assert tasks_by_machine(world.plan(waiting_job)) == {"i-1": 1}
+    world.run_tasks(waiting_job, suspect, 1)
+    assert tasks_by_machine(world.plan(waiting_job)) == {}
     suspect.failed_jobs.clear()  # as when a task finishes
-    assert spread_of(world.plan(waiting_job)) == {"i-1": 7}
+    assert tasks_by_machine(world.plan(waiting_job)) == {"i-1": 7}
 
 
 def test_a_machine_where_jobs_take_longer_than_elsewhere_is_used_last() -> None:
     world = World()
     slow, other = world.machine("i-1"), world.machine("i-2")
-    world.put(
+    world.run_tasks(
         world.job("run-9", task_count=1), slow, 1
     )  # the fuller one, so it would otherwise be chosen first
     many = world.job("run-8", task_count=50)
@@ -392,8 +402,8 @@
     other.record_relative_run_time(many, 24.0)
     assert slow.is_straggler()
     assert not other.is_straggler()
-    assert spread_of(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
-    assert spread_of(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
+    assert tasks_by_machine(world.plan(world.job("run-1", task_count=1))) == {"i-2": 1}
+    assert tasks_by_machine(world.plan(world.job("run-2", task_count=12)))["i-1"] == 4
 
 
 def test_guarantee_counts_earlier_unfinished_jobs() -> None:
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -8,8 +8,8 @@
 import pytest
 from support.fakes import CPU, GPU, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
-from support.placement_world import T0, World, spread_of
-from support.services import SERVICE, replicas, serve
+from support.placement_world import T0, World, tasks_by_machine
+from support.services import SERVICE, replicas, start_service
 
 from ryewing.autoscaling.scale_in import machines_to_cordon
 from ryewing.leader.replica_moves import MOVE_AFTER_CORDON_S, MOVE_DOWNTIME_S, MOVE_DOWNTIME_SHARE
@@ -25,14 +25,14 @@
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
-    world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")  # it needs ten seconds for the image
     plan = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert not plan.batches
     assert len(plan.preemptions) == 1
     idle = World()
     idle.machine("i-1").record_image("img-1", 2.0)
-    assert spread_of(idle.plan(idle.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
+    assert tasks_by_machine(idle.plan(idle.job("run-1", **SERVICE, task_count=1))) == {"i-1": 1}
 
 
 def test_a_replica_preempts_tasks_that_exit_at_once_before_tasks_that_save() -> None:
@@ -44,19 +44,19 @@
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
     saves = world.job("run-8", task_count=4, image="img-9", checkpoint_s=10.0, save_s=5.0)
-    world.put(saves, warm, 4)
-    world.put(world.job("run-9", task_count=4, image="img-9"), warm, 4)
+    world.run_tasks(saves, warm, 4)
+    world.run_tasks(world.job("run-9", task_count=4, image="img-9"), warm, 4)
     plan = world.plan(world.job("run-1", **SERVICE, task_count=1))
     assert [assignment.task.job for assignment in plan.preemptions] == ["run-9"]
     single = World()
     slow = single.machine("i-1")
     slow.record_image("img-1", 2.0)
-    single.put(
+    single.run_tasks(
         single.job("run-8", task_count=8, checkpoint_s=10.0, save_s=9.0, image="img-9"), slow, 8
     )
     single.machine("i-2")  # ten seconds for the image, no longer than the save
     small = single.job("run-1", **{**SERVICE, "image_gb": 1.0}, task_count=1)
-    assert list(spread_of(single.plan(small))) == ["i-2"]
+    assert list(tasks_by_machine(single.plan(small))) == ["i-2"]
 
 
 def test_replicas_are_not_all_packed_onto_one_machine() -> None:
@@ -65,20 +65,20 @@
     for name in ("i-1", "i-2", "i-3"):
         world.machine(name).record_image("img-1", 2.0)
     for n in range(3):
-        world.put(world.job(f"run-{n}", **SERVICE, task_count=2), world.machine("i-1"), 2)
+        world.run_tasks(world.job(f"run-{n}", **SERVICE, task_count=2), world.machine("i-1"), 2)
     plan = world.plan(world.job("run-9", **SERVICE, task_count=2))
-    assert "i-1" not in spread_of(plan)
+    assert "i-1" not in tasks_by_machine(plan)
 
 
 def test_a_replica_preempts_nothing_to_avoid_a_short_fetch() -> None:
     world = World()
     warm = world.machine("i-1")
     warm.record_image("img-1", 2.0)
-    world.put(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
+    world.run_tasks(world.job("run-9", task_count=8, cpus=4.0, image="img-9"), warm, 8)
     world.machine("i-2")
     tiny = world.job("run-1", **{**SERVICE, "image_gb": 0.2 * (SHORT_WAIT_S - 0.5)}, task_count=1)
     plan = world.plan(tiny)
-    assert spread_of(plan) == {"i-2": 1}
+    assert tasks_by_machine(plan) == {"i-2": 1}
     assert not plan.preemptions
 
 
@@ -90,13 +90,15 @@
     world = World()
     for n in range(6):
         world.machine(f"i-{n}")
-    assert spread_of(world.plan(world.job("run-1", **SERVICE, task_count=4))) == dict.fromkeys(
-        ("i-0", "i-1", "i-2", "i-3"), 1
-    )
+    assert tasks_by_machine(
+        world.plan(world.job("run-1", **SERVICE, task_count=4))
+    ) == dict.fromkeys(("i-0", "i-1", "i-2", "i-3"), 1)
     single_machine = World()
     single_machine.machine("i-0")
     assert (
-        spread_of(single_machine.plan(single_machine.job("run-1", **SERVICE, task_count=4)))["i-0"]
+        tasks_by_machine(single_machine.plan(single_machine.job("run-1", **SERVICE, task_count=4)))[
+            "i-0"
+        ]
         == 4
     )
 
@@ -109,7 +111,7 @@
     plan = world.plan(
         world.job("run-1", **SERVICE, task_count=1), next_heartbeat_in_s=lambda m: waits[str(m.id)]
     )
-    assert spread_of(plan) == {"i-2": 1}
+    assert tasks_by_machine(plan) == {"i-2": 1}
 
 
 def test_replicas_do_not_displace_large_tasks() -> None:
@@ -122,9 +124,9 @@
         world.machine(name).record_image("img-1", 2.0)
     large = job_spec("run-7", cpus=30.0, memory_gb=8.0)
     plan = world.plan(world.job("run-1", **SERVICE, task_count=4), recent_specs=(large,))
-    assert spread_of(plan) == {"i-1": 2, "i-2": 2}
+    assert tasks_by_machine(plan) == {"i-1": 2, "i-2": 2}
     more = world.plan(world.job("run-2", **SERVICE, task_count=6), recent_specs=(large,))
-    assert sum(spread_of(more).values()) == 6  # they are placed if no other machine fits
+    assert sum(tasks_by_machine(more).values()) == 6  # they are placed if no other machine fits
 
 
 def test_a_replica_fetches_on_a_machine_where_later_replicas_will_fit() -> None:
@@ -134,10 +136,10 @@
     """
     world = World()
     gangs, arrays = world.machine("i-1"), world.machine("i-2")
-    world.put(world.job("run-8", shape="group", task_count=7), gangs, 7)
-    world.put(world.job("run-9", task_count=6), arrays, 6)
+    world.run_tasks(world.job("run-8", shape="group", task_count=7), gangs, 7)
+    world.run_tasks(world.job("run-9", task_count=6), arrays, 6)
     plan = world.plan(world.job("run-1", **{**SERVICE, "image": "img-s"}, task_count=1))
-    assert spread_of(plan) == {"i-2": 1}
+    assert tasks_by_machine(plan) == {"i-2": 1}
 
 
 @pytest.mark.parametrize(("large_vcpus", "expected"), [(16.0, "i-1"), (32.0, "i-2")])
@@ -148,11 +150,11 @@
     world = World()
     warm, cold = world.machine("i-1"), world.machine("i-2")
     warm.record_image("img-1", 2.0)
-    world.put(world.job("run-9", **{**SERVICE, "image": "img-9"}, task_count=1), cold, 1)
+    world.run_tasks(world.job("run-9", **{**SERVICE, "image": "img-9"}, task_count=1), cold, 1)
     large = job_spec("run-7", cpus=large_vcpus, memory_gb=8.0)
     assert cold.warmth("img-1") != warm.warmth("img-1")
     plan = world.plan(world.job("run-1", **SERVICE, task_count=1), recent_specs=(large,))
-    assert list(spread_of(plan)) == [expected]
+    assert list(tasks_by_machine(plan)) == [expected]
 
 
 @pytest.mark.parametrize("tasks", [1, 2, 3, 5, 8])
@@ -179,15 +181,15 @@
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
-    world.put(service, machine, 1)
-    world.put(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
+    world.run_tasks(service, machine, 1)
+    world.run_tasks(world.job("run-9", priority="idle", cpus=16.0, task_count=1), machine, 1)
     plan = world.plan(world.job("run-1", priority=priority, cpus=16.0, task_count=1))
     assert [assignment.task.job for assignment in plan.preemptions] == ["run-9"]
     second = World()
     target = second.machine("i-1")
     lowest = second.job("run-8", **{**SERVICE, "priority": "idle", "cpus": 16.0}, task_count=1)
-    second.put(lowest, target, 1)
-    second.put(second.job("run-9", priority="standard", cpus=16.0, task_count=1), target, 1)
+    second.run_tasks(lowest, target, 1)
+    second.run_tasks(second.job("run-9", priority="standard", cpus=16.0, task_count=1), target, 1)
     plan = second.plan(second.job("run-1", priority="production", cpus=16.0, task_count=1))
     # The task is preempted although the replica has a lower priority.
     assert [assignment.task.job for assignment in plan.preemptions] == ["run-9"]
@@ -199,7 +201,7 @@
     world = World()
     machine = world.machine("i-1")
     service = world.job("run-9", **{**SERVICE, "cpus": 32.0}, task_count=1)
-    world.put(service, machine, 1)
+    world.run_tasks(service, machine, 1)
     guaranteed = world.job("run-1", team="blue", priority="urgent", cpus=32.0)
     guaranteed.guaranteed = True
     assert not world.plan(guaranteed).preemptions
@@ -211,7 +213,7 @@
 def add_replica_to_move(world: World, reason: str) -> tuple[Machine, Assignment]:
     machine = world.machine("i-1", GPU if reason == "cordoned" else CPU)
     machine.record_image("img-1", 2.0)
-    world.put(world.job("run-1", **SERVICE, task_count=1), machine, 1)
+    world.run_tasks(world.job("run-1", **SERVICE, task_count=1), machine, 1)
     if reason == "notice":
         machine.notice_s = 10.0
     elif reason == "faulty":
@@ -247,7 +249,7 @@
         if elsewhere != "cold":
             target.record_image("img-1", 2.0)
         if elsewhere == "full":
-            world.put(world.job("run-9", task_count=8, image="img-9"), target, 8)
+            world.run_tasks(world.job("run-9", task_count=8, image="img-9"), target, 8)
     plan = world.plan(moving=[assignment])
     assert (plan.moves == [assignment]) is moved
     assert len(plan.preemptions) == preemptions
@@ -258,8 +260,8 @@
     world = World()
     source = world.machine("i-1", zone="a")
     service = world.job("run-1", **SERVICE, task_count=2, spread=True)
-    world.put(service, source, 1)
-    world.put(service, world.machine("i-2", zone="b"), 1)
+    world.run_tasks(service, source, 1)
+    world.run_tasks(service, world.machine("i-2", zone="b"), 1)
     source.notice_s = 10.0
     assignment = next(iter(source.assignments.values()))
     # Only zone b has free resources, and half of the replicas run there already.
@@ -271,7 +273,7 @@
 def test_a_replica_moves_off_a_machine_with_a_termination_notice(harness: LeaderHarness) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one)
-    name = serve(harness, one, task_count=1)
+    name = start_service(harness, one, task_count=1)
     one.notice_s = 10.0
     assert "halt" not in verbs(harness.exchange(one))  # no other machine is free
     harness.place()
@@ -295,7 +297,7 @@
     """
     gpu_workers = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
     harness.ready(*gpu_workers)
-    serve(harness, *gpu_workers, task_count=8)
+    start_service(harness, *gpu_workers, task_count=8)
     harness.leader.term.began_at = MonotonicTime(harness.clock() - 10_000.0)
     cpu_worker = harness.worker("i-000009")
     harness.ready(cpu_worker)
@@ -324,5 +326,5 @@
 def test_machines_with_replicas_are_the_last_of_their_type_to_be_cordoned() -> None:
     world = World()
     machines = [world.machine(f"i-{n}", GPU) for n in range(4)]
-    world.put(world.job("run-1", **SERVICE, task_count=1), machines[3], 1)
+    world.run_tasks(world.job("run-1", **SERVICE, task_count=1), machines[3], 1)
     assert machines_to_cordon(machines, 3.0, 0.0, policy()) == {"i-0", "i-1", "i-2"}
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -5,7 +5,14 @@
 import random
 
 import pytest
-from support.divided_fleet import EAST, WEST, MakeCluster, add_machines, request_move, verdict
+from support.divided_fleet import (
+    SHARD_1,
+    SHARD_2,
+    MakeCluster,
+    add_machines,
+    request_move,
+    violations_after_settling,
+)
 from support.fakes import GPU
 from support.harness import LeaderHarness
 from support.scenarios import Scenario
@@ -56,7 +63,7 @@
     cluster = divided(moves_allowed=False)
     add_machines(cluster, 0, with_gpus=12)
     cluster.run(12.0)
-    assert cluster.leader_of(EAST) == "n-0"
+    assert cluster.leader_of(SHARD_1) == "n-0"
     return cluster
 
 
@@ -100,7 +107,7 @@
                 if found.status == "running" and not key[0].startswith("run-50/"):
                     worker.end_task(key)
     assert cluster.rules.starts["run-50/0"] == 1
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
 
 
 def answers_to_owner_are_lost(cluster: SimulatedCluster) -> None:
@@ -109,7 +116,7 @@
     gpu_jobs(cluster, "b", 4, first=20)
     for _ in range(10):
         cluster.run(1.0)
-        cluster.end(random.Random(1).choice(list(cluster.workers.values())))
+        cluster.finish_tasks(random.Random(1).choice(list(cluster.workers.values())))
     cluster.links["n-0"].loses_answers = False
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(20.0)
@@ -122,7 +129,7 @@
     link.delays_transactions = True
     for worker in cluster.workers.values():
         if worker.zone == "a":
-            cluster.end(worker)
+            cluster.finish_tasks(worker)
     cluster.run(2.5)
     gpu_jobs(cluster, "a", 4, first=30)
     cluster.run(1.0)
@@ -151,7 +158,7 @@
     for number in range(4):
         cluster.cancel("n-1", f"run-{number}")
     gpu_jobs(cluster, "b", 4, first=20)
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     cluster.run(6.0)
     cluster.dead.add("n-2")
     cluster.run(30.0)
@@ -174,7 +181,7 @@
     cluster.run(12.0)
     assert gpus_in_use(cluster) == LIMIT
     scenario(cluster)
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
     assert allowances(cluster).total().gpus <= LIMIT
 
 
@@ -183,7 +190,7 @@
 ) -> None:
     """Without an answer the lower part applies until a later write is confirmed."""
     cluster = cluster_with_limit
-    leader = cluster.leader("n-0", EAST)
+    leader = cluster.leader("n-0", SHARD_1)
     assert leader is not None
     limits = leader.term.team_limits
     assert isinstance(limits, ShardTeamLimits)
@@ -200,29 +207,31 @@
     cluster.links["n-0"].delays_transactions = False
     limits.read_records()
     # The store still has the higher part.
-    assert limits.records["red"].record.part_of(ShardName(EAST)).gpus > low
+    assert limits.records["red"].record.part_of(ShardName(SHARD_1)).gpus > low
     assert part() == low
     gpu_jobs(cluster, "a", 3, first=10)
     cluster.run(4.0)
     assert part() <= LIMIT
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
 
 
 RED = team_limit(Team("red", gpus_max=LIMIT))
-SHARDS = [ShardName(EAST), ShardName(WEST)]
+SHARDS = [ShardName(SHARD_1), ShardName(SHARD_2)]
 
 
 @pytest.mark.parametrize(
     ("demand", "claims", "shares"),
     [
         pytest.param({}, {}, (4.0, 4.0), id="no_demand"),
-        pytest.param({EAST: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
-        pytest.param({EAST: 8.0, WEST: 8.0}, {}, (4.0, 4.0), id="equal_demand"),
-        pytest.param({EAST: 30.0, WEST: 2.0}, {}, (6.4, 1.6), id="unequal_demand"),
-        pytest.param({EAST: 8.0, WEST: 8.0}, {WEST: (7.0, 5.0)}, (8 / 9, 64 / 9), id="one_claim"),
+        pytest.param({SHARD_1: 6.0}, {}, (7.0, 1.0), id="demand_in_one"),
+        pytest.param({SHARD_1: 8.0, SHARD_2: 8.0}, {}, (4.0, 4.0), id="equal_demand"),
+        pytest.param({SHARD_1: 30.0, SHARD_2: 2.0}, {}, (6.4, 1.6), id="unequal_demand"),
+        pytest.param(
+            {SHARD_1: 8.0, SHARD_2: 8.0}, {SHARD_2: (7.0, 5.0)}, (8 / 9, 64 / 9), id="one_claim"
+        ),
         pytest.param(
-            {EAST: 8.0, WEST: 8.0},
-            {WEST: (8.0, 5.0), EAST: (8.0, 4.0)},
+            {SHARD_1: 8.0, SHARD_2: 8.0},
+            {SHARD_2: (8.0, 5.0), SHARD_1: (8.0, 4.0)},
             (8.0, 0.0),
             id="older_claim_first",
         ),
@@ -263,7 +272,7 @@
 def test_part_is_not_lowered_below_what_unreconciled_machines_may_hold(
     harness: LeaderHarness,
 ) -> None:
-    harness.scope = TermScope(ShardName(EAST), frozenset({Zone("a")}), 0.5)
+    harness.scope = TermScope(ShardName(SHARD_1), frozenset({Zone("a")}), 0.5)
     harness.new_leader(5)
     worker = harness.worker("i-000001", machine_type="g4", zone="a")
     harness.ready(worker)
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -11,13 +11,13 @@
 import sys
 
 import pytest
-from support.clocks import divided_clusters
+from support.clocks import divided_cluster_factory
 from support.divided_fleet import (
     MakeCluster,
     add_machines,
     request_move,
     submit_random_jobs,
-    verdict,
+    violations_after_settling,
 )
 from support.fault_injector import FaultInjector
 from support.simulated_cluster import SimulatedCluster
@@ -53,14 +53,14 @@
 def query_random_jobs(cluster: SimulatedCluster, rng: random.Random) -> None:
     """Query every controller for the status of some jobs, as users do."""
     for job in rng.sample(sorted(cluster.rules.accepted), min(3, len(cluster.rules.accepted))):
-        cluster.ask_all(job)
+        cluster.poll_and_resubmit_everywhere(job)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS_IN_CI))
 def test_moves_under_faults_break_no_rule(divided: MakeCluster, seed: int) -> None:
     cluster = divided(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
     assert simulate_moves(cluster, seed) > 0
-    assert verdict(cluster) == [], seed
+    assert violations_after_settling(cluster) == [], seed
 
 
 def main() -> int:
@@ -69,10 +69,10 @@
     started, seed, failures = 0, 1000, 0
     while started < wanted:
         with pytest.MonkeyPatch.context() as monkeypatch:
-            make = divided_clusters(monkeypatch)
+            make = divided_cluster_factory(monkeypatch)
             cluster = make(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
             started += simulate_moves(cluster, seed)
-            found = verdict(cluster)
+            found = violations_after_settling(cluster)
         failures += bool(found)
         print(f"seed {seed}: {started} moves so far{'; '.join(['', *found])}", flush=True)
         seed += 1
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -7,17 +7,17 @@
 
 import pytest
 from support.divided_fleet import (
-    EAST,
-    WEST,
+    SHARD_1,
+    SHARD_2,
     MakeCluster,
     add_machines,
     all_shards_led,
     ownership_record,
-    read_registration,
+    read_registry,
     request_move,
     start_divided_fleet,
     submit_random_jobs,
-    verdict,
+    violations_after_settling,
 )
 from support.scenarios import Scenario
 from support.simulated_cluster import SimulatedCluster
@@ -32,13 +32,13 @@
 def test_two_shards_are_led_by_two_controllers(divided: MakeCluster) -> None:
     cluster = divided()
     start_divided_fleet(cluster)
-    assert {cluster.leader_of(EAST), cluster.leader_of(WEST)} == {"n-0", "n-1"}
+    assert {cluster.leader_of(SHARD_1), cluster.leader_of(SHARD_2)} == {"n-0", "n-1"}
     submit_random_jobs(cluster, random.Random(1), 0, 12)
     cluster.run(10.0)
     assert {worker.zone for worker in cluster.workers.values() if worker.tasks} == {"a", "b", "c"}
     for worker in cluster.workers.values():
-        cluster.end(worker)
-    assert cluster.verdict() == []
+        cluster.finish_tasks(worker)
+    assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done"}
 
 
@@ -55,11 +55,11 @@
     for number in range(25):
         submit_random_jobs(cluster, rng, 10 * number, 2)
         cluster.run(rng.choice((0.25, 0.5, 1.0, 3.0)))
-        shard = rng.choice([str(name) for name in read_registration(cluster).shards])
+        shard = rng.choice([str(name) for name in read_registry(cluster).shards])
         moved += request_move(cluster, shard, rng.choice(CONTROLLERS))
         cluster.run(rng.choice((0.25, 1.0, 2.0)))
         if number % 3 == 0:
-            cluster.end(rng.choice(list(cluster.workers.values())))
+            cluster.finish_tasks(rng.choice(list(cluster.workers.values())))
         while not all_shards_led(cluster):
             cluster.run(0.25)
     assert moved > 12
@@ -69,7 +69,7 @@
             for key, found in list(worker.tasks.items()):
                 if found.status == "running":
                     worker.end_task(key)
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
     assert not cluster.rules.stopped_tasks
@@ -85,25 +85,25 @@
         )
     cluster.run(10.0)
     assert sum(len(worker.tasks) for worker in cluster.workers.values()) == 16
-    assert (cluster.leader_of(EAST), cluster.leader_of(WEST)) == ("n-0", "n-1")
+    assert (cluster.leader_of(SHARD_1), cluster.leader_of(SHARD_2)) == ("n-0", "n-1")
 
 
 def move_until(cluster: SimulatedCluster, phase: Phase) -> None:
     """Request the move of a shard from n-0 to n-2, and run until it has reached a phase."""
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     for _ in range(20):
-        if ownership_record(cluster, EAST).phase is phase:
+        if ownership_record(cluster, SHARD_1).phase is phase:
             return
         cluster.run(0.25)
-    raise AssertionError(ownership_record(cluster, EAST))
+    raise AssertionError(ownership_record(cluster, SHARD_1))
 
 
 def assert_all_done_at_first_attempt(cluster: SimulatedCluster) -> None:
     """End all tasks and check that each was started once and never stopped."""
     cluster.run(2.0)
     for worker in cluster.workers.values():
-        cluster.end(worker)
-    assert verdict(cluster) == []
+        cluster.finish_tasks(worker)
+    assert violations_after_settling(cluster) == []
     assert set(cluster.rules.final_states.values()) == {"done"}
     assert set(cluster.rules.starts.values()) == {1}
     assert not cluster.rules.stopped_tasks
@@ -119,7 +119,7 @@
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     if phase is Phase.OWNED:
-        assert request_move(cluster, EAST, "n-2")
+        assert request_move(cluster, SHARD_1, "n-2")
     else:
         move_until(cluster, phase)
     cluster.dead.add(failed)
@@ -128,7 +128,9 @@
     cluster.run(14.0)
     assert all_shards_led(cluster)
     if restart == "later":
-        assert failed not in {ownership_record(cluster, shard).owner for shard in (EAST, WEST)}
+        assert failed not in {
+            ownership_record(cluster, shard).owner for shard in (SHARD_1, SHARD_2)
+        }
     assert_all_done_at_first_attempt(cluster)
 
 
@@ -139,7 +141,7 @@
 ) -> None:
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     link = cluster.links[controller]
     setattr(link, fault, True)
     cluster.run(6.0)
@@ -167,7 +169,7 @@
     slow.heartbeats_lost = True
     cluster.run(3.0)
     assert 0 < len(task_statuses(cluster, "run-8")) < 4
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     cluster.run(1.0)
     slow.heartbeats_lost = False
     cluster.run(60.0)
@@ -183,14 +185,14 @@
     assert cluster.cancel("n-2", "run-0") == 200
     cluster.run(1.0)
     for job in ("run-0", "run-1"):
-        cluster.ask_all(job)
+        cluster.poll_and_resubmit_everywhere(job)
     cluster.run(8.0)
     assert not any(worker.tasks for worker in cluster.workers.values() if worker.zone == "a")
 
 
 def spot_notice_arrives(cluster: SimulatedCluster) -> None:
     """The owner of a sealed shard still stops tasks in time to save their progress."""
-    assert request_move(cluster, EAST, "n-2")
+    assert request_move(cluster, SHARD_1, "n-2")
     for worker in cluster.workers.values():
         worker.notice_s = 10.0 if worker.name == "i-000000" else None
     cluster.run(8.0)
@@ -205,7 +207,7 @@
     for name in ("n-0", "n-2", "n-0"):
         status, answer = cluster.send_heartbeat(name, worker.heartbeat())
         assert (status, answer.get("foreman")) == ((200, None) if name == "n-2" else (421, "n-2"))
-    assert cluster.leader("n-0", EAST) is None
+    assert cluster.leader("n-0", SHARD_1) is None
 
 
 def owner_of_sealed_shard_restarts(cluster: SimulatedCluster) -> None:
@@ -214,7 +216,7 @@
     cluster.dead.add("n-0")
     cluster.boot("n-0")
     cluster.run(8.0)
-    leader = cluster.leader("n-2", EAST)
+    leader = cluster.leader("n-2", SHARD_1)
     assert leader is not None
     assert leader.term.number == 2
 
@@ -230,20 +232,20 @@
     health.renew_if_due = lambda: None  # type: ignore[method-assign]
     cluster.store.txn({}, [Remove(NODE_PREFIX + "n-0")])
     cluster.run(1.0)
-    assert ownership_record(cluster, EAST).owner != "n-0"
-    assert cluster.leader("n-0", EAST) is None
+    assert ownership_record(cluster, SHARD_1).owner != "n-0"
+    assert cluster.leader("n-0", SHARD_1) is None
     health.renew_if_due = lambda: renew_if_due(health)  # type: ignore[method-assign]
     cluster.run(0.75)
-    assert "n-0" in read_registration(cluster).healthy
+    assert "n-0" in read_registry(cluster).healthy
 
 
 def job_is_cancelled_while_the_leader_sees_no_changes(cluster: SimulatedCluster) -> None:
     """The leader of the job's shard learns of the cancel before the user gets an answer."""
     cluster.links["n-0"].watch_hangs = True
     assert cluster.cancel("n-2", "run-0") == 200
-    cluster.ask_all("run-0")
+    cluster.poll_and_resubmit_everywhere("run-0")
     cluster.run(3.0)
-    cluster.ask_all("run-0")
+    cluster.poll_and_resubmit_everywhere("run-0")
 
 
 def shard_has_no_owner_for_a_minute(cluster: SimulatedCluster) -> None:
@@ -266,17 +268,17 @@
     for worker in cluster.workers.values():
         worker.unreachable.add("n-0")
     cluster.run(16.0)
-    assert ownership_record(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, SHARD_1).owner != "n-0"
 
 
 def owner_freezes(cluster: SimulatedCluster) -> None:
     """Another controller takes over the shard; the owner resumes without a lease and resigns."""
     cluster.frozen.add("n-0")
     cluster.run(9.0)
-    assert ownership_record(cluster, EAST).owner != "n-0"
+    assert ownership_record(cluster, SHARD_1).owner != "n-0"
     cluster.frozen.clear()
     cluster.run(2.0)
-    assert cluster.leader("n-0", EAST) is None
+    assert cluster.leader("n-0", SHARD_1) is None
 
 
 @pytest.mark.parametrize(
@@ -298,7 +300,7 @@
     cluster = divided(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     scenario(cluster)
-    assert verdict(cluster) == []
+    assert violations_after_settling(cluster) == []
 
 
 def test_shards_of_a_failed_controller_return_after_its_restart(divided: MakeCluster) -> None:
@@ -310,7 +312,7 @@
     assert all_shards_led(cluster)
     cluster.boot("n-1")
     cluster.run(9.0)
-    assert ownership_record(cluster, WEST).owner != "n-1"
+    assert ownership_record(cluster, SHARD_2).owner != "n-1"
     cluster.run(40.0)
     owners = [ownership_record(cluster, shard) for shard in ("shard-1", "shard-2", "shard-3")]
     assert sorted(record.owner for record in owners) == list(CONTROLLERS)
@@ -352,7 +354,7 @@
     cluster.run(10.0)
     cluster.boot("n-2")
     cluster.run(0.25)
-    seen = read_registration(cluster)
+    seen = read_registry(cluster)
     assert seen.healthy == set(CONTROLLERS)
     for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -34,7 +34,7 @@
 from ryewing.sharding.serve import build_coordinator
 from ryewing.sharding.settings import ShardSettings
 from ryewing.sharding.team_limits import ShardTeamLimits
-from ryewing.units import MachineId, ShardName, is_job_id, parse_task
+from ryewing.units import MachineId, ShardName, is_job_id, parse_task_id
 from ryewing.wire.cloud import MachineTypeList
 from ryewing.wire.jobs import GANG
 from ryewing.wire.workers import Heartbeat
@@ -302,13 +302,13 @@
         """Cancel a job as a user; return the HTTP status."""
         return self._with_final_state(node, ref, "POST", f"/v2/runs/{ref}/cancel")
 
-    def ask_all(self, ref: str = "run-1") -> None:
+    def poll_and_resubmit_everywhere(self, ref: str = "run-1") -> None:
         """Ask every controller for a job's status, and repeat its submission there."""
         for name in CONTROLLERS:
             self.poll(name, ref)
             self.submit(name, ref)
 
-    def end(self, worker: TimedWorker) -> None:
+    def finish_tasks(self, worker: TimedWorker) -> None:
         """Finish all tasks of a worker, and let it send a heartbeat in the next step."""
         worker.finish()
         self.rules.check()
@@ -333,7 +333,7 @@
 
     def is_gang(self, reported: str) -> bool:
         """Return whether a task is one of a gang, and starts only with the others."""
-        task = parse_task(reported)
+        task = parse_task_id(reported)
         wanted = self.rules.job_specs.get(task.job) if task is not None else None
         if wanted is None:
             return False
@@ -341,7 +341,7 @@
 
     def is_complete(self, key: tuple[str, int]) -> bool:
         """Return whether all tasks of a gang's attempt are on machines, or were."""
-        task = parse_task(key[0])
+        task = parse_task_id(key[0])
         assert task is not None
         there = {
             other[0]
@@ -353,6 +353,6 @@
         }
         return len(there) == int(self.rules.job_specs[task.job].task_count)
 
-    def verdict(self, patience_s: float = 0.0) -> list[str]:
+    def violations_after_settling(self, patience_s: float = 0.0) -> list[str]:
         """End all faults, and return the rules that were broken (`cluster_verdict`)."""
-        return cluster_verdict.verdict(self, patience_s)
+        return cluster_verdict.violations_after_settling(self, patience_s)
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -9,7 +9,7 @@
 from support.simulated_cluster import SimulatedCluster
 from support.timed_workers import CONTROLLERS, TimedWorker
 
-from ryewing.units import parse_task
+from ryewing.units import parse_task_id
 
 DRAIN_ROUNDS = 60
 START_MAX_S = 240.0
@@ -56,7 +56,7 @@
     worker.delays_commands = True
     assert cluster.cancel(CONTROLLERS[1], "run-1") == 200
     assert cluster.submit(CONTROLLERS[1], "run-2", cpus=30.0) == 201
-    cluster.ask_all("run-1")
+    cluster.poll_and_resubmit_everywhere("run-1")
     if leader_changes:
         replace_leader(cluster)
     cluster.run(12.0)
@@ -64,8 +64,8 @@
     assert (count_on_machines(cluster, "run-1"), count_on_machines(cluster, "run-2")) == (0, 1)
     worker.apply_delayed()
     assert count_on_machines(cluster, "run-2") == 1
-    cluster.ask_all("run-1")
-    assert cluster.verdict() == []
+    cluster.poll_and_resubmit_everywhere("run-1")
+    assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-2") == 1
 
 
@@ -82,7 +82,7 @@
     assert cluster.submit(CONTROLLERS[0], "run-2", cpus=30.0, priority="urgent") == 201
     cluster.run(8.0)
     assert (count_on_machines(cluster, "run-1"), count_on_machines(cluster, "run-2")) == (0, 1)
-    cluster.end(worker)
+    cluster.finish_tasks(worker)
     if leader_changes:
         replace_leader(cluster)
     cluster.run(12.0)
@@ -90,7 +90,7 @@
     worker.delays_commands = False
     worker.apply_delayed()
     assert count_on_machines(cluster, "run-1") == 1
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-1") == 1
 
 
@@ -111,7 +111,7 @@
     for worker in workers:
         worker.delays_commands = False
         worker.apply_delayed()
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
     assert count_on_machines(cluster, "run-2") == 3
 
 
@@ -168,7 +168,7 @@
             for key, found in list(worker.tasks.items()):
                 if found.status != "running":
                     continue
-                task = parse_task(key[0])
+                task = parse_task_id(key[0])
                 assert task is not None
                 self.started_after_s.setdefault(task.job, now - self._submitted_at)
                 if now - self._running_since.setdefault(key, now) >= run_s:
@@ -199,4 +199,4 @@
     for worker in load.workers:
         worker.answer_delay_s = 0.0
     load.finish_all()
-    assert cluster.verdict() == []
+    assert cluster.violations_after_settling() == []
