--- a/run.py
+++ b/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Start ryewing from a checkout: the libraries are in target/deps, the package in src."""
+"""Starts ryewing from a checkout, with the libraries in target/deps and the package in src."""
 
 import sys
 from pathlib import Path
--- a/src/ryewing/cli.py
+++ b/src/ryewing/cli.py
@@ -1,4 +1,4 @@
-"""The command line: runs a controller, checks settings, lists the shards or moves one."""
+"""The command line: runs a controller, checks settings, and lists or moves shards."""
 
 from __future__ import annotations
 
@@ -19,50 +19,50 @@
 SHARDS_METAVAR = "FILE|zones:N"
 
 EXIT_OK = 0
-EXIT_UNUSABLE_CONFIG = 1
+EXIT_INVALID_CONFIG = 1
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the argument parser with all options and commands."""
     parser = argparse.ArgumentParser(
         prog="ryewing",
         description="One controller of the ryewing cluster scheduler.",
-        epilog="LOG_LEVEL (error, info, debug) sets the amount of logging on standard error.",
+        epilog="The variable LOG_LEVEL (error, info, debug) sets the level of the log on stderr.",
     )
     parser.add_argument("--version", action="version", version=f"ryewing {__version__}")
     parser.add_argument(
         "--policy",
         metavar="LUA",
         default=os.environ.get(POLICY_VARIABLE),
-        help=f"operators' Lua script (default: the variable {POLICY_VARIABLE})",
+        help=f"Lua script that overrides policy defaults (default: the variable {POLICY_VARIABLE})",
     )
     parser.add_argument("--config", metavar="FILE", help="run a controller with this settings file")
     parser.add_argument(
         "--shards",
         metavar=SHARDS_METAVAR,
-        help="divide the fleet among the controllers: by a file, or into N shards of whole zones",
+        help="divide the fleet into the shards of a file, or into N shards of whole zones",
     )
-    _add_commands(parser)
+    _add_subparsers(parser)
     return parser
 
 
-def _add_commands(parser: argparse.ArgumentParser) -> None:
+def _add_subparsers(parser: argparse.ArgumentParser) -> None:
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
-    check = commands.add_parser("check", help="check a settings file and the Lua script, and end")
+    check = commands.add_parser("check", help="check a settings file and the Lua script, then exit")
     check.add_argument("file", help="the settings file")
     check.add_argument(
         "--shards",
         metavar=SHARDS_METAVAR,
         dest="checked_shards",
-        help="a division of the fleet to check as well",
+        help="also check this division of the fleet",
     )
     shards = commands.add_parser("shards", help="list the shards and their owners, or move one")
     shards.add_argument("file", help="the settings file of any controller")
-    shards.add_argument("--move", metavar="SHARD", help="a shard to be led by another controller")
-    shards.add_argument("--to", metavar="NODE", help="the controller that is to lead it")
+    shards.add_argument("--move", metavar="SHARD", help="the shard to move to another controller")
+    shards.add_argument("--to", metavar="NODE", help="the controller to move it to")
 
 
-def _log_to_stderr() -> None:
+def _configure_logging() -> None:
     level = os.environ.get(LOG_LEVEL_VARIABLE, "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
@@ -74,12 +74,12 @@
 def _run_command(
     arguments: argparse.Namespace, settings: Settings, parser: argparse.ArgumentParser
 ) -> int:
-    """Run a command other than the controller; return the exit code."""
+    """Run the command `check` or `shards` and return the exit code."""
     if arguments.command == "check":
         return _check(arguments, settings)
     if (arguments.move is None) != (arguments.to is None):
         parser.error("--move SHARD and --to NODE go together")
-    # The import is paid for only by who asks for this command.
+    # Imported here so that other commands do not load the module.
     from ryewing.sharding import command
 
     return command.run(settings, arguments.move, arguments.to)
@@ -87,7 +87,7 @@
 
 def _check(arguments: argparse.Namespace, settings: Settings) -> int:
     if arguments.checked_shards is not None:
-        # The import is paid for only by who asks for this check.
+        # Imported here so that other commands do not load the module.
         from ryewing.sharding.check import describe_division
 
         for line in describe_division(arguments.checked_shards, settings):
@@ -99,17 +99,18 @@
 def _serve(arguments: argparse.Namespace, settings: Settings, policy: Policy) -> None:
     """Run a controller until the process is killed.
 
-    Only a controller pays for these imports, and for those of shards only one that leads some.
+    The imports are local so that other commands do not load the controller, and a controller
+    without shards does not load the sharding package.
     """
     if arguments.shards is not None:
         from ryewing.sharding import serve
         from ryewing.sharding.settings import parse_shards_option
 
         shards = parse_shards_option(arguments.shards, settings)
-        _log_to_stderr()
+        _configure_logging()
         serve.serve(settings, policy, shards)
         return
-    _log_to_stderr()
+    _configure_logging()
     from ryewing.process.node import Node
 
     Node(settings, policy).serve()
@@ -118,14 +119,13 @@
 def main(argv: list[str] | None = None) -> int:
     """Run the command line and return the exit code.
 
-    Without `argv` the process's own arguments are used. Wrong usage ends the process with
-    argparse's exit code 2.
+    `argv` defaults to the arguments of the process. On a usage error argparse exits with code 2.
     """
     parser = make_parser()
     arguments = parser.parse_args(argv)
     path = arguments.file if arguments.command is not None else arguments.config
     if path is None:
-        parser.error("give --config FILE to run a controller, or a command")
+        parser.error("either --config FILE or a command is required")
     try:
         settings = load_settings(path)
         script = arguments.policy
@@ -135,5 +135,5 @@
         _serve(arguments, settings, policy)
     except ConfigError as error:
         print(f"ryewing: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE_CONFIG
+        return EXIT_INVALID_CONFIG
     return EXIT_OK
