--- a/src/ryewing/units.py
+++ b/src/ryewing/units.py
@@ -1,8 +1,8 @@
-"""Ids, versions and times as types of their own, and the numbers that are made of them.
+"""Distinct types for ids, versions and times, and the encoding of attempt numbers and tokens.
 
-A monotonic time taken for a time of day, or a term number for a key version, is the kind of mistake
-that shows only during a failure; with these types the type checker finds it before that. The module
-imports nothing of ryewing, and every package may use it.
+Without these types, passing a monotonic time as a time of day, or a term number as a key version,
+would go unnoticed until a failover or another fault; with them the type checker reports it. The
+module imports nothing from ryewing, and every package may use it.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from typing import NamedTuple, NewType
 
 JobId = NewType("JobId", str)
-"""Chosen by the job's user, in the form `run-000412`."""
+"""The id that the user chose for the job, for example `run-000412`."""
 MachineId = NewType("MachineId", str)
-"""The name that the cloud gave a machine."""
+"""The name that the cloud assigned to a machine."""
 TeamName = NewType("TeamName", str)
 NodeName = NewType("NodeName", str)
 """The name of a controller."""
@@ -22,36 +22,38 @@
 Zone = NewType("Zone", str)
 
 TermNumber = NewType("TermNumber", int)
-"""The number of one leadership: each new leader has a higher one."""
+"""The number of a leadership term; each new term has a higher number."""
 FencingToken = NewType("FencingToken", int)
-"""What workers compare: the term number, and below it a count of raises for this worker."""
+"""The token that workers compare: the term number in the high bits, and in the low bits how often
+the leader has raised the token for this worker."""
 KeyVersion = NewType("KeyVersion", int)
-"""The store's version of one key; 0 means that the key does not exist."""
+"""The version of a key in the store; 0 means that the key does not exist."""
 Revision = NewType("Revision", int)
-"""The store's count of changes."""
+"""The revision of the whole store, which increases with every change."""
 Attempt = NewType("Attempt", int)
-"""The number of one start of a task, or of all tasks of a gang; it is never used again."""
+"""The number of one start of a task, or of all tasks of a gang. Numbers are never reused."""
 
 MonotonicTime = NewType("MonotonicTime", float)
-"""A reading of this process's monotonic clock in seconds: for deadlines and leases."""
+"""A reading of this process's monotonic clock in seconds, used for deadlines and leases."""
 WallTime = NewType("WallTime", float)
-"""A time of day in seconds since 1970: for ages that must outlive a process. It is off by up to the
-bound in the settings (`clock_off_ms`)."""
+"""A time of day in seconds since 1970, used for ages that must outlive a process. Its error is at
+most `clock_off_ms` of the settings."""
 
 CLOCK_DRIFT_MARGIN = 0.001
-"""Twice the 0.05% by which the monotonic clocks of two machines may drift apart."""
+"""Relative safety margin for time spans that two machines measure: twice the 0.05% by which their
+monotonic clocks may drift apart."""
 
 _JOB_ID = re.compile(r"run-[0-9]{1,18}")
 _ATTEMPT_BITS = 24
 MAX_ATTEMPTS = (1 << _ATTEMPT_BITS) - 1
-"""How many attempts one term can give out: enough for four hours of a thousand starts a second."""
+"""The highest attempt counter of a term, enough for four hours of 1000 starts per second."""
 _TOKEN_BUMP_BITS = 20
 MAX_TOKEN_BUMPS = (1 << _TOKEN_BUMP_BITS) - 1
-"""How often the token for one worker can be raised in one term."""
+"""The maximum number of times that a term can raise the token for one worker."""
 
 
 class TaskId(NamedTuple):
-    """One task: its job, and its number within the job, from 0."""
+    """The job of a task and the number of the task within the job, counted from 0."""
 
     job: JobId
     number: int
@@ -61,16 +63,16 @@
 
 
 class HeartbeatVersion(NamedTuple):
-    """The order of a worker's messages: the larger version is the newer message."""
+    """The version of a worker's heartbeat: a newer heartbeat has a larger version."""
 
     incarnation: int
-    """Which life of the worker."""
+    """Starts at 1 and increases each time the worker's lease expires."""
     sequence: int
-    """Which message in that life."""
+    """Increases with every heartbeat, and every response to a direct message."""
 
 
 NO_HEARTBEAT = HeartbeatVersion(0, 0)
-"""Older than every message of a worker."""
+"""Lower than the version of any heartbeat."""
 
 
 def monotonic_now() -> MonotonicTime:
@@ -84,12 +86,12 @@
 
 
 def is_job_id(text: object) -> bool:
-    """Return whether `text` is a job id in the form that users always use: `run-000412`."""
+    """Return whether `text` is a job id: `run-` and 1 to 18 digits."""
     return isinstance(text, str) and _JOB_ID.fullmatch(text) is not None
 
 
 def parse_task_id(text: str) -> TaskId | None:
-    """Parse a task id such as `run-000412/3`; None if the text is not one."""
+    """Parse a task id such as `run-000412/3`; return None if the text is not a task id."""
     job, slash, number = text.partition("/")
     if not slash or not number.isdecimal() or not is_job_id(job):
         return None
@@ -97,29 +99,29 @@
 
 
 def attempt_number(term: TermNumber, counter: int) -> Attempt:
-    """Return the attempt number for a term's `counter`, which no other term can give out.
+    """Return the attempt number for the `counter` of a term; no other term can use this number.
 
     This is safety argument 6 of `docs/design.md`. Raise ValueError if the counter is negative or
     above MAX_ATTEMPTS.
     """
     if not 0 <= counter <= MAX_ATTEMPTS:
-        raise ValueError(f"attempt {counter} would be another term's")
+        raise ValueError(f"attempt {counter} would be in the range of another term")
     return Attempt((int(term) << _ATTEMPT_BITS) | counter)
 
 
 def fencing_token(term: TermNumber, token_bumps: int = 0) -> FencingToken:
     """Return the token for a worker whose token was raised `token_bumps` times in this term.
 
-    Any token of a later term is higher than every token of an earlier one.
+    Every token of a later term is higher than every token of an earlier term.
     """
     return FencingToken((int(term) << _TOKEN_BUMP_BITS) | min(token_bumps, MAX_TOKEN_BUMPS))
 
 
 def term_of_token(token: int) -> TermNumber:
-    """Return the number of the term whose token it is."""
+    """Return the number of the term that issued a token."""
     return TermNumber(token >> _TOKEN_BUMP_BITS)
 
 
 def bumps_of_token(token: int) -> int:
-    """Return how often the token for the worker had been raised in the token's term."""
+    """Return how many times a token had been raised within its term."""
     return token & MAX_TOKEN_BUMPS
