--- a/src/ryewing/wire/__init__.py
+++ b/src/ryewing/wire/__init__.py
@@ -1,6 +1,6 @@
-"""Every body that crosses the service's outside border, as a typed message.
+"""Typed messages for the request and response bodies of users, workers, the cloud and the store.
 
-The protocol's own names are JSON keys of these messages and appear nowhere else in the code, stored
-records aside. The package may import only `ryewing.units`; clients, the API and stored records use
+The names of the protocol are the JSON keys of these messages; apart from stored records, no other
+code uses them. The package may import only `ryewing.units`; clients, the API and stored records use
 it.
 """
--- a/src/ryewing/wire/cloud.py
+++ b/src/ryewing/wire/cloud.py
@@ -1,7 +1,7 @@
-"""What the cloud is sent and answers: machine types, rental requests, lists of machines.
+"""Requests and responses of the cloud: machine types, rental requests, lists of machines.
 
-The source is PROTOCOL, "Controller nodes -> cloud". Its own names (`flavour`, `site`, ...) are only
-the keys of the JSON.
+The source is PROTOCOL, "Controller nodes -> cloud". Its names (`flavour`, `site`, ...) are only the
+keys of the JSON.
 """
 
 from __future__ import annotations
@@ -20,28 +20,29 @@
 
 
 class MachineType(msgspec.Struct, frozen=True, rename=_MACHINE_TYPE_KEYS):
-    """A type of machine that the cloud rents."""
+    """A machine type that can be rented from the cloud."""
 
     name: str
     cpus: float
     memory_gb: float
     price: float
-    """Of an ordinary machine, per hour, charged by the second from the rental request on."""
+    """The hourly price of an on-demand machine, charged by the second from the rental request."""
     zones: tuple[str, ...]
-    """The zones where it can be rented."""
+    """The zones in which machines of this type can be rented."""
     gpus: float = 0.0
     spot_price: float | None = None
-    """The current price of a spot machine, per hour; None if the cloud gives none."""
+    """The current price per hour of a spot machine; None if the cloud does not report one."""
     cache_gb: float = 0.0
-    """The room for the images that a machine keeps."""
+    """The size of a machine's image cache, in GB."""
     fetch_gb_per_s: float = 1.0
-    """How fast a machine fetches an image, give or take a third; fetches at once may share it."""
+    """The rate at which a machine fetches images, plus or minus a third; concurrent fetches may
+    share it."""
     boot_s: float = 30.0
-    """The usual time in seconds from the rental request until the worker reports."""
+    """The usual time from the rental request to the first heartbeat, in seconds."""
 
 
 class MachineTypeList(msgspec.Struct, rename={"machine_types": "flavours"}):
-    """The answer of `GET /machine_types`; the store keeps the types in this form, too."""
+    """The response to `GET /machine_types`, also the form in which the types are stored."""
 
     machine_types: list[MachineType]
 
@@ -58,7 +59,8 @@
 class RentalRequest(msgspec.Struct, rename=_RENTAL_KEYS):
     """The body of `POST /machines`: a request for machines of one type in one zone.
 
-    Its id is never used for another request: the cloud answers a repetition as it did the first.
+    The request is idempotent: the cloud answers a repeated id as it answered the first request.
+    Therefore an id is never reused for another request.
     """
 
     id: str
@@ -66,11 +68,11 @@
     zone: str
     spot: bool
     count: int
-    """At most 50; the cloud may rent fewer."""
+    """The number of machines, at most 50; the cloud may provide fewer."""
 
 
 class MachineNames(msgspec.Struct, rename={"machines": "hosts"}):
-    """Names of machines: those rented, or those to be released."""
+    """Names of machines that were rented or are to be released."""
 
     machines: list[str]
 
@@ -85,23 +87,23 @@
 
 
 class ListedMachine(msgspec.Struct, rename=MACHINE_KEYS):
-    """One machine in the cloud's list, which lags behind."""
+    """One machine in the cloud's list, whose delay is `CloudLimits.list_lag_s`."""
 
     id: str
     machine_type: str
     zone: str
     status: str
-    """`booting`, `running` or `failed`; a failed one stopped on its own."""
+    """`booting`, `running` or `failed`; `failed` means that the machine stopped by itself."""
     address: str = ""
-    """Where its worker takes direct messages."""
+    """The address on which its worker accepts direct messages."""
     spot: bool = False
     age_s: float = 0.0
-    """Seconds since the rental request, as of the moment that the list describes."""
+    """Seconds from the rental request to the moment that the list describes."""
 
 
 class MachinePage(msgspec.Struct, rename={"machines": "hosts"}):
-    """One page of the cloud's list, in the order of the machines' names."""
+    """One page of the cloud's list, ordered by machine name."""
 
     machines: list[ListedMachine]
     has_next: bool = False
-    """Whether the list goes on after the last machine of this page."""
+    """Whether there are more machines after the last one of this page."""
--- a/src/ryewing/wire/codec.py
+++ b/src/ryewing/wire/codec.py
@@ -1,4 +1,4 @@
-"""Decoding JSON from outside, and the errors for what can't be decoded."""
+"""Decodes JSON from external sources, and defines the errors for invalid input."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 T = TypeVar("T")
 
 MAX_BODY_BYTES = 64 * 1024
-"""The largest body of a request, in bytes (PROTOCOL)."""
+"""The maximum size of a request body (PROTOCOL)."""
 
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""What msgspec raises while decoding. Deep nesting gives a RecursionError: found by a table of test
-cases, where one answer of the store ended the process."""
+"""The exceptions that msgspec can raise while decoding. Deeply nested input raises RecursionError:
+before it was caught, a test case showed that one response of the store could end the process."""
 
 
 class MalformedError(ValueError):
-    """A body that no retry can make right; the message says what is wrong with it."""
+    """A body is invalid, so that a retry can't succeed; the message names the problem."""
 
 
 def decode(data: bytes | msgspec.Raw, kind: type[T]) -> T:
-    """Decode JSON as a message of a type; raise MalformedError whatever is wrong with it."""
+    """Decode JSON into a message of a type; raise MalformedError if that fails."""
     try:
         return msgspec.json.decode(data, type=kind)
     except DECODE_ERRORS as error:
@@ -29,7 +29,7 @@
 
 
 def decode_object(body: bytes) -> dict[str, Any]:
-    """Decode a JSON object; raise MalformedError if it is not JSON, or something else."""
+    """Decode a JSON object; raise MalformedError if `body` is not JSON or not an object."""
     try:
         value = msgspec.json.decode(body)
     except DECODE_ERRORS as error:
--- a/src/ryewing/wire/jobs.py
+++ b/src/ryewing/wire/jobs.py
@@ -1,7 +1,7 @@
-"""What users send and are told: job specs and job status.
+"""Requests and responses of users: job specs and job status.
 
-The source is PROTOCOL, "Users -> controller nodes". Its own names (`pieces`, `cards`, ...) are only
-the keys of the JSON, given to each struct as `rename`; `docs/glossary.md` lists both side by side.
+The source is PROTOCOL, "Users -> controller nodes". Its names (`pieces`, `cards`, ...) are only the
+keys of the JSON, passed to each struct as `rename`; `docs/glossary.md` lists both names of each.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 from ryewing.wire.codec import DECODE_ERRORS, MalformedError
 
 MAX_TASKS = 100_000
-"""The most tasks that one job may have."""
+"""The maximum number of tasks of a job."""
 PRIORITIES = ("production", "urgent", "standard", "idle")
-"""From the most to the least important."""
+"""The priorities, highest first."""
 ARRAY, GANG, SERVICE = SHAPES = ("batch", "group", "daemon")
-"""The shapes of a job: tasks that run to completion one by one, tasks that run all at the same
-time or not at all, and tasks (replicas) that run until the job is cancelled."""
+"""The shapes of a job: an array of tasks that run to completion independently, a gang whose tasks
+run all at the same time or not at all, and a service whose tasks (replicas) run until the job is
+cancelled."""
 
 _JOB_SPEC_KEYS = {
     "id": "ref",
@@ -53,67 +54,68 @@
 
 
 class JobSpec(msgspec.Struct, omit_defaults=True, rename=_JOB_SPEC_KEYS):
-    """A job as its user submits it. Times are in seconds."""
+    """The specification of a job as submitted by a user. Times are in seconds."""
 
     id: str
-    """Unique and chosen by the user: `run-000412`."""
+    """Unique and chosen by the user, for example `run-000412`."""
     job_class: str
-    """The class of jobs for which there are service-level objectives."""
+    """The class of the job, to which service-level objectives refer."""
     team: str
-    """The team whose guarantee and limit apply."""
+    """The team whose guarantee and limit apply to the job."""
     shape: str
     """One of SHAPES."""
     priority: str
     """One of PRIORITIES."""
     task_count: int
-    """The tasks are numbered from 0."""
+    """The number of tasks; they are numbered from 0."""
     cpus: float
-    """Of each task, as are GPUs and memory."""
+    """The CPUs of each task; GPUs and memory are also per task."""
     gpus: float
     memory_gb: float
     image: str
-    """What a machine must have before a task can start."""
+    """The image that a machine must have in its cache before a task can start."""
     image_gb: float
     estimated_s: float
-    """The user's estimate of a task's run time without the fetch of the image; often wrong."""
+    """The user's estimate of a task's run time without the image fetch; often inaccurate."""
     checkpoint_s: float
-    """The progress after which a running task saves by itself; 0: it can never save."""
+    """The progress after which a running task saves a checkpoint; 0 means that it can't save."""
     save_s: float
-    """The time that a task needs to save when it is stopped."""
+    """The time that a task needs to save its progress when it is stopped."""
     machine_types: list[str] | None = None
-    """The allowed ones; None: any."""
+    """The allowed machine types; None means any."""
     zone: str | None = None
-    """The only allowed one; None: any."""
+    """The required zone; None means any."""
     same_zone: bool = False
-    """All tasks must be in the same zone."""
+    """Whether all tasks must be in the same zone."""
     spread: bool = False
-    """At most half of the tasks, rounded up, may be in one zone."""
+    """Whether at most half of the tasks, rounded up, may be in one zone."""
     spot: bool = False
-    """The tasks may run on spot machines."""
+    """Whether the tasks may run on spot machines."""
     deadline_s: float | None = None
-    """When the job should be complete, counted from its submission; None: no deadline."""
+    """The time from the submission to the deadline; None means that there is no deadline."""
 
 
 QUEUED, RUNNING = "queued", "running"
-"""The states of a live job; `ryewing.state.job_records.FinalState` has the final ones."""
+"""The statuses of a live job; `ryewing.state.job_records.FinalState` has the final ones."""
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "ref"}):
-    """What a user is told about a job."""
+    """The response to a status query of a job."""
 
     id: str
     status: str
-    """`queued`, `running`, `done` or `cancelled`; the last two never change."""
+    """`queued`, `running`, `done` or `cancelled`; the last two are final."""
     done: int | None = None
-    """How many tasks are done; for display, as is the next."""
+    """The number of finished tasks. This and `running` are only for display."""
     running: int | None = None
+    """The number of running tasks."""
 
 
 class _RequiredFlags(msgspec.Struct, rename=_JOB_SPEC_KEYS):
-    """The fields that a submission must have although a stored job omits them where they are false.
+    """The flags that a submission must contain, although stored jobs omit them if they are false.
 
-    Only what may be null may be omitted by a user. Without this, jobs that lacked them were
-    accepted.
+    Users may omit only fields that may be null. `JobSpec` has defaults for these flags, so without
+    this check submissions that lacked them were accepted.
     """
 
     same_zone: bool | msgspec.UnsetType = msgspec.UNSET
@@ -129,8 +131,8 @@
 def read_job_spec(body: bytes) -> JobSpec:
     """Decode and check a submission.
 
-    Raise MalformedError for the first field that is missing or invalid, with the protocol's name of
-    the field.
+    Raise MalformedError for the first missing or invalid field; the message has the JSON key of the
+    field.
     """
     try:
         spec = _job_spec_decoder.decode(body)
--- a/src/ryewing/wire/responses.py
+++ b/src/ryewing/wire/responses.py
@@ -1,4 +1,4 @@
-"""Bodies of the API's responses that are neither a job's status nor a worker's commands."""
+"""Bodies of API responses other than job status and commands for workers."""
 
 from __future__ import annotations
 
@@ -6,18 +6,20 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """Why a request was refused."""
+    """The body of an error response."""
 
     error: str
+    """Why the request was refused."""
 
 
 class HealthBody(msgspec.Struct):
-    """The 200 to a health check."""
+    """The body of the 200 response to a health check."""
 
     status: str
 
 
 class LeaderRedirect(msgspec.Struct, rename={"leader": "foreman"}):
-    """The 421 to a heartbeat: the controller to which the worker should send it."""
+    """The body of the 421 response to a heartbeat that another controller must receive."""
 
     leader: str
+    """The controller to which the worker should send its heartbeats."""
--- a/src/ryewing/wire/store.py
+++ b/src/ryewing/wire/store.py
@@ -1,7 +1,7 @@
 """Requests and responses of the store: entries, changes, transactions, leases.
 
-The source is PROTOCOL, "Controller nodes -> state service". Its own names (`stamp`, `epoch`, ...)
-are only the keys of the JSON.
+The source is PROTOCOL, "Controller nodes -> state service". Its names (`stamp`, `epoch`, ...) are
+only the keys of the JSON.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class KeyCondition(msgspec.Struct, rename={"key": "k", "key_version": "stamp"}):
-    """A condition of a transaction: the version that a key must have, 0 if it must not exist."""
+    """A condition of a transaction: the required version of a key; 0 if the key must not exist."""
 
     key: str
     key_version: int
@@ -22,7 +22,7 @@
 
 
 class Put(msgspec.Struct, eq=False, omit_defaults=True, rename=_PUT_KEYS):
-    """A write of a transaction that sets a key, attached to a lease if one is given."""
+    """A write that sets a key, and attaches it to a lease if one is given."""
 
     key: str
     value: Any
@@ -30,46 +30,46 @@
 
 
 class Remove(msgspec.Struct, eq=False, rename={"key": "remove"}):
-    """A write of a transaction that deletes a key."""
+    """A write that deletes a key."""
 
     key: str
 
 
 class Transaction(msgspec.Struct, rename={"conditions": "if"}):
-    """The body of `/txn`: the writes are applied if every condition holds."""
+    """The body of `POST /txn`: the writes are applied if every condition holds."""
 
     conditions: list[KeyCondition]
     writes: list[Put | Remove]
 
 
 class LeaseRequest(msgspec.Struct):
-    """The body of a request for a lease."""
+    """The body of `POST /holds`, a request for a lease."""
 
     ttl_ms: int
 
 
 class Entry(msgspec.Struct, rename={"key": "k", "key_version": "stamp"}):
-    """One key of the store with its value."""
+    """A key of the store with its value and version."""
 
     key: str
     data: msgspec.Raw
-    """The value, as undecoded JSON."""
+    """The value as undecoded JSON."""
     key_version: int
-    """The store's revision of the latest change of this key."""
+    """The revision of the store at which the key was last changed."""
 
 
 class EntryPage(msgspec.Struct, rename={"entries": "pairs", "revision": "epoch"}):
-    """One page of a listing, in the order of the keys."""
+    """One page of a listing, ordered by key."""
 
     entries: list[Entry]
     revision: int
-    """The store's revision at the time of the listing."""
+    """The revision of the store at the time of the listing."""
     has_next: bool = False
-    """Whether the listing goes on after the last key of this page."""
+    """Whether there are more keys after the last one of this page."""
 
 
 class Change(msgspec.Struct, rename={"key_version": "stamp"}):
-    """One change from a watch: either a `set` with data, or a `remove`."""
+    """One change in the response of a watch: either `set` with `data`, or `remove`."""
 
     key_version: int
     set: str | None = None
@@ -77,29 +77,29 @@
     remove: str | None = None
     """The key that was removed."""
     data: msgspec.Raw = msgspec.Raw(b"null")
-    """The new value, as undecoded JSON."""
+    """The new value as undecoded JSON."""
 
 
 class ChangeLog(msgspec.Struct, rename={"revision": "epoch"}):
-    """The answer of a watch: the changes after the revision that was asked for."""
+    """The response of a watch: the changes after the requested revision."""
 
     revision: int
-    """The revision after which the next watch continues."""
+    """The revision from which the next watch continues."""
     log: list[Change] = []
-    """Empty if the waiting time ran out."""
+    """Empty if there was no change within the waiting time."""
 
 
 class TransactionResponse(msgspec.Struct, rename={"revision": "epoch"}):
-    """The answer of a transaction, whether it was applied or not."""
+    """The response to a transaction, whether it was applied or not."""
 
     revision: int
-    """If it was applied, the version of every key that it set."""
+    """If the transaction was applied, the version of every key that it set."""
     failed: list[str] = []
-    """The keys whose versions were not as the conditions demanded."""
+    """The keys whose versions did not match the conditions."""
 
 
 class LeaseResponse(msgspec.Struct, rename={"lease": "tenancy"}):
-    """The answer to a request for a lease of the store."""
+    """The response to a LeaseRequest."""
 
     lease: int
-    """The number by which the lease is renewed, ended and named when a key is attached to it."""
+    """The number of the lease, used to renew or end it and to attach keys to it."""
--- a/src/ryewing/wire/workers.py
+++ b/src/ryewing/wire/workers.py
@@ -1,7 +1,7 @@
-"""What passes between the leader and the workers: heartbeats and commands.
+"""Messages between the leader and the workers: heartbeats and commands.
 
-The source is PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers". Its own
-names (`tenure`, `mandate`, ...) are only the keys of the JSON.
+The source is PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers". Its names
+(`tenure`, `mandate`, ...) are only the keys of the JSON.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from ryewing.wire.codec import DECODE_ERRORS, MalformedError
 
 START, HALT, CLEAR = "start", "halt", "clear"
-"""The verbs of commands: run a task attempt, stop it, forget its result."""
+"""The verbs of commands: start a task attempt, stop it, remove an ended one from the heartbeats."""
 
 
 class ReportedTask(msgspec.Struct, rename={"task_id": "piece", "attempt": "try"}):
-    """One task attempt as its worker sees it."""
+    """The state of one task attempt as reported by its worker."""
 
     task_id: str
-    """Job and task number: `run-000412/3`."""
+    """The job id and the task number, for example `run-000412/3`."""
     attempt: int
     status: str
     """`fetching`, `gathering` (waiting for its gang), `running`, `saving` or `ended`."""
     cause: str | None = None
-    """Why it ended: `done`, `stopped`, `mates_gone`, `incomplete`, `error`, or, where the start was
-    refused, `no_room`, `in_use` or `unknown`."""
+    """Why the attempt ended: `done`, `stopped`, `mates_gone`, `incomplete` or `error`; or, if the
+    worker refused the start, `no_room`, `in_use` or `unknown`."""
     saved: bool = False
     """Whether a stopped task saved its progress."""
 
@@ -44,76 +44,82 @@
 
 
 class Heartbeat(msgspec.Struct, rename=_HEARTBEAT_KEYS):
-    """A worker's whole status: the body of its heartbeat, and the answer of `/orders` and `/show`.
+    """The full status of a worker: the body of a heartbeat, the response of `/orders` and `/show`.
 
-    Of two, the one with the larger incarnation and sequence is the newer.
+    Of two heartbeats, the one with the larger pair of incarnation and sequence is newer.
     """
 
     machine: str
     incarnation: int
     """Starts at 1 and increases each time the worker's lease expires."""
     sequence: int
-    """Increases with every heartbeat, and every answer to a direct message."""
+    """Increases with every heartbeat, and every response to a direct message."""
     token: int
     """The highest fencing token that the worker has seen."""
     machine_type: str
     zone: str
     address: str = ""
-    """Where it takes direct messages."""
+    """The address on which the worker accepts direct messages."""
     spot: bool = False
     notice_s: float | None = None
-    """Seconds until the cloud takes the machine away; None without a notice."""
+    """Seconds until the cloud reclaims the machine; None if it has given no notice."""
     tasks: list[ReportedTask] = []
-    """All tasks on the machine, and those that ended, until they are cleared."""
+    """All task attempts on the machine, including ended ones until they are cleared."""
 
 
 _COMMAND_KEYS = {"task_id": "piece", "attempt": "try", "grace_s": "mercy_s"}
 
 
 class Command(msgspec.Struct, omit_defaults=True, rename=_COMMAND_KEYS):
-    """One command for a worker. It may be repeated, but for a `start` after a `clear`."""
+    """One command for a worker.
+
+    Commands may be repeated, except that a `start` must not be repeated after a `clear`.
+    """
 
     verb: str
-    """`start`, `halt`, or `clear`, which removes an ended task from the heartbeats."""
+    """`start`, `halt`, or `clear`, which removes an ended attempt from the heartbeats."""
     task_id: str
-    """Job and task number: `run-000412/3`."""
+    """The job id and the task number, for example `run-000412/3`."""
     attempt: int
     grace_s: float | None = None
-    """For `halt`: the seconds that the task has to save; below its time to save it exits at once.
-    """
+    """For `halt`: the time for saving progress, in seconds. A task whose `save_s` is longer exits
+    at once."""
 
 
 class HeartbeatResponse(msgspec.Struct, rename={"token": "mandate", "commands": "orders"}):
-    """The 200 to a heartbeat. A worker drops it if the token is lower than one it has seen."""
+    """The body of the 200 response to a heartbeat.
+
+    A worker ignores the response if it has seen a higher token.
+    """
 
     token: int
     """The leader's fencing token for this worker."""
     commands: list[Command]
-    """Executed in this order."""
+    """The worker executes them in this order."""
 
 
 _DIRECT_COMMANDS_KEYS = {"token": "mandate", "incarnation": "tenure", "commands": "orders"}
 
 
 class DirectCommands(msgspec.Struct, rename=_DIRECT_COMMANDS_KEYS):
-    """The body of `POST /orders`, a direct message to a worker; without commands the handshake.
+    """The body of `POST /orders`, a direct message to a worker; without commands it is a handshake.
 
-    The worker executes nothing if the token is lower than one it has seen, or the incarnation is
-    not its own. A direct message does not renew its lease.
+    The worker executes no command if it has seen a higher token, or if the incarnation is not its
+    own. A direct message does not renew its lease.
     """
 
     token: int
     """The leader's fencing token for this worker."""
     incarnation: int
     commands: list[Command]
-    """Executed in this order."""
+    """The worker executes them in this order."""
 
 
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def read_heartbeat(body: bytes) -> Heartbeat:
-    """Decode a worker's heartbeat; raise MalformedError if it can't be decoded."""
+    """Decode a worker's heartbeat; raise MalformedError if it is invalid."""
     try:
         return _heartbeat_decoder.decode(body)
     except DECODE_ERRORS as error:
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -1,4 +1,4 @@
-"""Ids and the bodies that cross the outside border."""
+"""Ids, and the decoding and checks of submissions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "good"),
+    ("text", "valid"),
     [
         ("run-000412", True),
         ("run-1", True),
@@ -29,18 +29,18 @@
         (7, False),
     ],
 )
-def test_job_ids(text: object, good: bool) -> None:
-    assert is_job_id(text) is good
+def test_job_ids(text: object, valid: bool) -> None:
+    assert is_job_id(text) is valid
 
 
-def test_task_names_and_attempts() -> None:
+def test_task_ids_and_attempt_numbers() -> None:
     assert parse_task_id("run-000412/3") == TaskId(JobId("run-000412"), 3)
-    assert [parse_task_id(bad) for bad in ("run-1", "run-1/", "run-1/-2", "x/1")] == [None] * 4
-    # No two terms give out the same attempt, whatever their counters.
+    assert [parse_task_id(text) for text in ("run-1", "run-1/", "run-1/-2", "x/1")] == [None] * 4
+    # Two terms never use the same attempt number, whatever their counters are.
     assert attempt_number(TermNumber(2), 1) > attempt_number(TermNumber(1), 2**24 - 1)
 
 
-GOOD = submission()
+VALID_SUBMISSION = submission()
 
 
 @pytest.mark.parametrize(
@@ -64,32 +64,32 @@
         ("ref", 12),
     ],
 )
-def test_malformed_submissions(field: str, value: object) -> None:
+def test_invalid_fields_are_malformed(field: str, value: object) -> None:
     with pytest.raises(MalformedError, match=field):
-        read_job_spec(msgspec.json.encode({**GOOD, field: value}))
+        read_job_spec(msgspec.json.encode({**VALID_SUBMISSION, field: value}))
 
 
 @pytest.mark.parametrize(
     "body",
     [b"", b"{", b"[]", b"3", b"\xff", b'{"ref":"run-1"}', b'{"vcpus": NaN}', b"[" * 60000],
 )
-def test_bodies_that_are_no_submission(body: bytes) -> None:
+def test_invalid_bodies_are_malformed(body: bytes) -> None:
     with pytest.raises(MalformedError):
         read_job_spec(body)
 
 
 def test_infinite_amounts_are_malformed() -> None:
-    body = msgspec.json.encode(GOOD).replace(b'"vcpus":4.0', b'"vcpus":1e999')
+    body = msgspec.json.encode(VALID_SUBMISSION).replace(b'"vcpus":4.0', b'"vcpus":1e999')
     with pytest.raises(MalformedError):
         read_job_spec(body)
 
 
 def test_unknown_fields_are_ignored() -> None:
-    assert read_job_spec(msgspec.json.encode({**GOOD, "colour": "red"})).id == "run-1"
+    assert read_job_spec(msgspec.json.encode({**VALID_SUBMISSION, "colour": "red"})).id == "run-1"
 
 
 @pytest.mark.parametrize(
-    ("changes", "possible"),
+    ("changes", "feasible"),
     [
         ({}, True),
         ({"team": "nobody"}, False),
@@ -99,11 +99,11 @@
         ({"gpus": 1.0, "machine_types": ["c32"]}, False),
         ({"machine_types": []}, False),
         ({"zone": "z"}, False),
-        ({"team": "red", "gpus": 4.0, "task_count": 99}, True),  # array: one task counts
+        ({"team": "red", "gpus": 4.0, "task_count": 99}, True),  # array: one task must fit
         ({"team": "red", "gpus": 4.0, "task_count": 3, "shape": "group"}, False),
         ({"team": "red", "gpus": 4.0, "task_count": 2, "shape": "group"}, True),
         ({"team": "blue", "cpus": 32.0, "task_count": 3, "shape": "group"}, False),
     ],
 )
-def test_what_can_never_run(changes: dict[str, Any], possible: bool) -> None:
-    assert (infeasibility_reason(job_spec(**changes), FLAVOURS, TEAMS) is None) is possible
+def test_infeasible_jobs(changes: dict[str, Any], feasible: bool) -> None:
+    assert (infeasibility_reason(job_spec(**changes), FLAVOURS, TEAMS) is None) is feasible
