--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: one leader over fakes, and simulated clusters of three controllers."""
+"""Fixtures: a leader with fakes, and simulated clusters of three controllers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 @pytest.fixture
 def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[LeaderHarness]:
     clock = moved_by_hand(monkeypatch, *TERM_PARTS)
-    for part in ("plan_applier", "scheduler"):
-        monkeypatch.setattr(f"ryewing.leader.{part}.wall_now", lambda: 0.0)
-    found = LeaderHarness(clock)
-    yield found
-    if not found.may_reject:
-        assert not found.store.rejected
+    for module in ("plan_applier", "scheduler"):
+        monkeypatch.setattr(f"ryewing.leader.{module}.wall_now", lambda: 0.0)
+    leader_harness = LeaderHarness(clock)
+    yield leader_harness
+    if not leader_harness.may_reject:
+        assert not leader_harness.store.rejected
 
 
 @pytest.fixture
--- a/tests/test_version_0_2_2_records.py
+++ b/tests/test_version_0_2_2_records.py
@@ -1,8 +1,8 @@
-"""Records and messages of version 0.2.2, read and written by this one to the byte.
+"""Compatibility with version 0.2.2: its records and messages are read and written byte for byte.
 
-The bytes were made by running commit 920ad2a, the last one of 0.2.2: every stored record, every
+The bytes were recorded by running commit 920ad2a, the last one of 0.2.2: every stored record, every
 body for workers, cloud, store and users, and every peer message with and without its optional
-fields. Like those of 0.1.0 in `test_versions`, they stay as they are when this program changes.
+fields. Like those of 0.1.0 in `test_versions`, they must not change when this program changes.
 """
 
 from __future__ import annotations
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -1,7 +1,7 @@
-"""Requests of version 0.2.2, and what its leader left in the store: this one's are the same bytes.
+"""Compatibility with version 0.2.2: requests and stored records are the same bytes as before.
 
-The bytes were made by running commit 920ad2a, the last one of 0.2.2, with the calls that are made
-here. They stay as they are when this program changes.
+The bytes were recorded by running commit 920ad2a, the last one of 0.2.2, with the same calls as
+here. They must not change when this program changes.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from ryewing.wire.cloud import RentalRequest
 from ryewing.wire.workers import Command
 
-ANSWERS = {
+RESPONSES = {
     "POST /holds": (200, b'{"tenancy":7}'),
     "POST /txn": (200, b'{"epoch":11,"failed":[]}'),
     "GET /store?": (200, b'{"pairs":[],"epoch":3,"has_next":false}'),
@@ -51,11 +51,11 @@
         b'{"host":"i-1","tenure":2,"tick":7,"mandate":5242880,"flavour":"c32","site":"a"}',
     ),
 }
-"""What is answered, by the beginning of a request."""
+"""The responses, by the beginning of the request line."""
 
 
 class Clients:
-    """The clients of store, cloud and workers, over a network that records what they send."""
+    """The clients of store, cloud and workers; requests are recorded instead of being sent."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.sent: list[bytes] = []
@@ -68,7 +68,7 @@
     def _request(self, method: str, path: str, body: bytes | None, *_options: Any) -> Reply:
         line = f"{method} {path}"
         self.sent.append(line.encode() + (b" " + body if body is not None else b""))
-        return Reply(*next(ANSWERS[start] for start in ANSWERS if line.startswith(start)))
+        return Reply(*next(RESPONSES[start] for start in RESPONSES if line.startswith(start)))
 
 
 FENCED = {"lead/term": KeyVersion(4)}
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize(("send", "recorded"), REQUESTS.values(), ids=REQUESTS)
-def test_requests_are_those_recorded(
+def test_requests_equal_the_recorded_ones(
     monkeypatch: pytest.MonkeyPatch, send: Callable[[Clients], object], recorded: list[bytes]
 ) -> None:
     monkeypatch.setattr("ryewing.sharding.registry.wall_now", lambda: 1000.5)
@@ -261,9 +261,9 @@
     assert clients.sent == recorded
 
 
-# -- what a leader leaves in the store ----------------------------------------------------------
+# -- records that a leader stores ---------------------------------------------------------------
 
-LEFT_BY_A_LEADER = {
+STORED_BY_A_LEADER = {
     "d/0": b'{"run-2/0":"Bw=="}',
     "f/run-1": b'{"status":"done"}',
     "h/r-5-1": b'{"hire":"r-5-1","flavour":"c32","site":"b","loaner":false,"how_many":3}',
@@ -280,7 +280,7 @@
 }
 
 
-def test_a_leader_leaves_in_the_store_what_was_recorded(harness: LeaderHarness) -> None:
+def test_records_of_a_leader_equal_the_recorded_ones(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.begin(worker, "run-1", task_count=1)
     harness.end(worker)
@@ -294,4 +294,4 @@
     harness.place()
     harness.leader.autoscaler.scale_out()
     stored = {key: value for key, (value, _version, _lease) in harness.store.data.items()}
-    assert stored == LEFT_BY_A_LEADER
+    assert stored == STORED_BY_A_LEADER
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,7 +1,7 @@
-"""Two versions side by side: what each stores and sends, the other reads.
+"""Compatibility with version 0.1.0: each version reads what the other stores and sends.
 
-The bytes here were made by running version 0.1.0, and the structs are written down from it. They
-stay as they are when this program changes: that is what they are for.
+The bytes were recorded by running version 0.1.0, and the structs follow its definitions. They must
+not change when this program changes, since they represent the old version.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 from ryewing.units import JobId, KeyVersion, MachineId, WallTime
 from ryewing.wire.cloud import MachineTypeList, RentalRequest
 
-# -- as 0.1.0 writes them -----------------------------------------------------------------------
+# -- what 0.1.0 writes --------------------------------------------------------------------------
 
-LIVE = (
+LIVE_JOB = (
     b'{"run":{"ref":"run-000412","jobclass":"scan","owner":"red","shape":"group",'
     b'"rank":"standard","pieces":3,"vcpus":4.0,"cards":0.0,"mem_gb":8.0,"bundle":"img-1",'
     b'"image_gb":0.0,"guess_s":30.0,"savepoint_s":0.0,"flush_s":0.0,"flavours":["c32"],'
     b'"together":true,"due_s":90.0},"at":1000.5}'
 )
-CANCELLED = (
+CANCELLED_JOB = (
     b'{"run":{"ref":"run-000413","jobclass":"scan","owner":"red","shape":"batch",'
     b'"rank":"standard","pieces":4,"vcpus":4.0,"cards":0.0,"mem_gb":8.0,"bundle":"img-1",'
     b'"image_gb":0.0,"guess_s":30.0,"savepoint_s":0.0,"flush_s":0.0},"at":1000.5,'
@@ -48,9 +48,9 @@
     b'{"i-000001":{"flavour":"c32","site":"a","loaner":false,"addr":"10.1.0.2:9000","heard":true},'
     b'"i-000002":{"flavour":"g4","site":"b","loaner":true,"addr":"","heard":false}}'
 )
-FINISHES = b'{"run-000414/0":"AwII"}'
-HIRE = b'{"hire":"r-3-1","flavour":"c32","site":"a","loaner":true,"how_many":12}'
-TYPES = (
+FINISHED_TASKS = b'{"run-000414/0":"AwII"}'
+RENTAL = b'{"hire":"r-3-1","flavour":"c32","site":"a","loaner":true,"how_many":12}'
+MACHINE_TYPES = (
     b'{"flavours":[{"sku":"c32","vcpus":32.0,"mem_gb":128.0,"price":2.0,"sites":["a","b","c"],'
     b'"cards":0.0,"spot_price":0.7,"local_gb":50.0,"fetch_gb_per_s":0.2,"ready_s":20.0},'
     b'{"sku":"g4","vcpus":24.0,"mem_gb":192.0,"price":8.0,"sites":["a","b","c"],"cards":4.0,'
@@ -62,12 +62,14 @@
     return msgspec.Raw(value)
 
 
-def test_a_leader_goes_on_with_what_the_earlier_version_left(harness: LeaderHarness) -> None:
+def test_a_leader_continues_from_records_of_the_earlier_version(harness: LeaderHarness) -> None:
     batch = msgspec.json.encode(JobRecord(job_spec("run-000414", task_count=20), 0.0))
-    harness.store.txn({}, [Put("flavours", raw(TYPES)), Put("m/0", raw(MACHINES))])
-    harness.store.txn({}, [Put("j/run-000412", raw(LIVE)), Put("j/run-000413", raw(CANCELLED))])
-    harness.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHES))])
-    harness.store.txn({}, [Put("h/r-3-1", raw(HIRE)), Put("f/run-1", raw(b'{"status":"done"}'))])
+    harness.store.txn({}, [Put("flavours", raw(MACHINE_TYPES)), Put("m/0", raw(MACHINES))])
+    harness.store.txn(
+        {}, [Put("j/run-000412", raw(LIVE_JOB)), Put("j/run-000413", raw(CANCELLED_JOB))]
+    )
+    harness.store.txn({}, [Put("j/run-000414", raw(batch)), Put("d/0", raw(FINISHED_TASKS))])
+    harness.store.txn({}, [Put("h/r-3-1", raw(RENTAL)), Put("f/run-1", raw(b'{"status":"done"}'))])
     leader = harness.new_leader(6)
     assert leader.autoscaler.machine_type_refresher.load_stored() == [CPU, GPU]
     gang = leader.term.job_table.jobs[JobId("run-000412")]
@@ -78,21 +80,21 @@
     assert gang.spec.machine_types == ["c32"]
     assert gang.inherited
     assert leader.term.job_table.jobs[JobId("run-000413")].cancelled
-    counted = leader.term.job_table.jobs[JobId("run-000414")]
-    assert [n for n in range(20) if counted.is_done(n)] == [0, 1, 9, 19]
-    one, other = (leader.term.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
-    assert one.recorded
-    assert one.lease_expires_by is not None
-    assert one.address == "10.1.0.2:9000"
-    assert not other.recorded
-    assert other.spot
-    assert other.zone == "b"
+    array = leader.term.job_table.jobs[JobId("run-000414")]
+    assert [n for n in range(20) if array.is_done(n)] == [0, 1, 9, 19]
+    heard, unheard = (leader.term.cluster.machines[MachineId(f"i-00000{n}")] for n in (1, 2))
+    assert heard.recorded
+    assert heard.lease_expires_by is not None
+    assert heard.address == "10.1.0.2:9000"
+    assert not unheard.recorded
+    assert unheard.spot
+    assert unheard.zone == "b"
     assert leader.autoscaler.rentals.pending["r-3-1"] == RentalRequest(
         "r-3-1", "c32", "a", True, 12
     )
 
 
-def test_who_leads_is_read_as_the_earlier_version_wrote_it() -> None:
+def test_election_records_of_the_earlier_version_are_read() -> None:
     holder = b'{"node":"n-0","boot":"0011223344aa","term":7}'
     assert msgspec.json.decode(holder, type=LeaseHolder) == LeaseHolder("n-0", "0011223344aa", 7)
     assert msgspec.json.decode(b'{"term":7}', type=TermRecord).term == 7
@@ -125,16 +127,16 @@
 ]
 
 
-@pytest.mark.parametrize(("frame", "said"), FRAMES)
-def test_mesh_frames_of_the_earlier_version_are_understood(frame: bytes, said: Any) -> None:
+@pytest.mark.parametrize(("frame", "message"), FRAMES)
+def test_peer_frames_of_the_earlier_version_are_decoded(frame: bytes, message: Any) -> None:
     kind = Union[peers.Request, peers.Response]
-    assert msgspec.msgpack.decode(frame, type=kind) == said
+    assert msgspec.msgpack.decode(frame, type=kind) == message
 
 
-# -- what 0.1.0 makes of ours -------------------------------------------------------------------
+# -- what 0.1.0 reads ---------------------------------------------------------------------------
 
 
-class OldRun(msgspec.Struct, omit_defaults=True):
+class OldJobSpec(msgspec.Struct, omit_defaults=True):
     ref: str
     jobclass: str
     owner: str
@@ -158,7 +160,7 @@
 
 
 class OldJobRecord(msgspec.Struct, omit_defaults=True):
-    run: OldRun
+    run: OldJobSpec
     at: float
     cancelled: bool = False
     cancelled_at: float | None = None
@@ -172,7 +174,7 @@
     heard: bool = False
 
 
-class OldFlavour(msgspec.Struct, frozen=True):
+class OldMachineType(msgspec.Struct, frozen=True):
     sku: str
     vcpus: float
     mem_gb: float
@@ -185,11 +187,11 @@
     ready_s: float = 30.0
 
 
-class OldFlavourList(msgspec.Struct):
-    flavours: list[OldFlavour]
+class OldMachineTypeList(msgspec.Struct):
+    flavours: list[OldMachineType]
 
 
-class OldHire(msgspec.Struct):
+class OldRentalRequest(msgspec.Struct):
     hire: str
     flavour: str
     site: str
@@ -197,82 +199,86 @@
     how_many: int
 
 
-class OldHolder(msgspec.Struct):
+class OldLeaseHolder(msgspec.Struct):
     node: str
     boot: str
     term: int
 
 
-class OldStatus(msgspec.Struct):
+class OldFinalRecord(msgspec.Struct):
     status: str
 
 
-def is_read_back(ours: Any, kind: Any) -> bool:
-    """What the earlier version reads, and writes back, still says everything."""
-    written = msgspec.json.encode(ours)
+def survives_old_version(value: Any, kind: Any) -> bool:
+    """Return whether a value survives being read and written back by the earlier version."""
+    written = msgspec.json.encode(value)
     read = msgspec.json.decode(written, type=kind)
-    again = msgspec.json.decode(msgspec.json.encode(read), type=type(ours))
-    return bool(again == ours)
+    again = msgspec.json.decode(msgspec.json.encode(read), type=type(value))
+    return bool(again == value)
 
 
-WIDE = JobRecord(job_spec("run-7", image="img-" + "x" * 3000, machine_types=["c32"]), 5.0)
+LARGE_RECORD = JobRecord(job_spec("run-7", image="img-" + "x" * 3000, machine_types=["c32"]), 5.0)
 
 
 @pytest.mark.parametrize(
-    ("ours", "kind"),
+    ("value", "kind"),
     [
         (
             JobRecord(job_spec("run-1", spread=True, spot=True, zone="a", deadline_s=3.0), 5.0),
             OldJobRecord,
         ),
         (JobRecord(job_spec("run-1", shape="daemon", estimated_s=0.0), 5.0), OldJobRecord),
-        (with_cancel_mark(WIDE, WallTime(9.0), 2048), OldJobRecord),
+        (with_cancel_mark(LARGE_RECORD, WallTime(9.0), 2048), OldJobRecord),
         (MachineRecord("c32", "a", True, "10.1.0.2:9000", True), OldMachineRecord),
-        (MachineTypeList([CPU, GPU]), OldFlavourList),
-        (RentalRequest("r-3-1", "c32", "a", True, 12), OldHire),
-        (LeaseHolder("n-0", "0011", 7), OldHolder),
-        (FinalRecord("cancelled"), OldStatus),
+        (MachineTypeList([CPU, GPU]), OldMachineTypeList),
+        (RentalRequest("r-3-1", "c32", "a", True, 12), OldRentalRequest),
+        (LeaseHolder("n-0", "0011", 7), OldLeaseHolder),
+        (FinalRecord("cancelled"), OldFinalRecord),
     ],
 )
-def test_the_earlier_version_reads_what_this_one_writes(ours: Any, kind: Any) -> None:
-    assert is_read_back(ours, kind)
+def test_the_earlier_version_reads_what_this_one_writes(value: Any, kind: Any) -> None:
+    assert survives_old_version(value, kind)
 
 
-@pytest.mark.parametrize(("frame", "said"), FRAMES)
-def test_mesh_frames_are_what_the_earlier_version_sends(frame: bytes, said: Any) -> None:
-    """It closes the connection on a tag that it doesn't know: no new one may carry anything."""
-    assert msgspec.msgpack.encode(said) == frame
+@pytest.mark.parametrize(("frame", "message"), FRAMES)
+def test_peer_frames_are_encoded_as_by_the_earlier_version(frame: bytes, message: Any) -> None:
+    """0.1.0 closes the connection on an unknown tag, so no message may be sent with a new one."""
+    assert msgspec.msgpack.encode(message) == frame
 
 
-def old_reading(harness: LeaderHarness) -> tuple[dict[str, OldMachineRecord], dict[str, str]]:
-    """What an old leader finds: of a record said twice, the one that it comes to last."""
+def read_as_old_leader(
+    harness: LeaderHarness,
+) -> tuple[dict[str, OldMachineRecord], dict[str, str]]:
+    """Return what an old leader reads; of a record in two pages, the copy that it reads last."""
     machines: dict[str, OldMachineRecord] = {}
     for entry in harness.store.listing(MACHINE_PREFIX)[0]:
         assert entry.key[2:].isdecimal()
         machines |= msgspec.json.decode(entry.data, type=dict[str, OldMachineRecord])
-    finishes: dict[str, str] = {}
+    finished_tasks: dict[str, str] = {}
     for entry in harness.store.listing(FINISHED_PREFIX)[0]:
-        finishes |= msgspec.json.decode(entry.data, type=dict[str, str])
-    return machines, finishes
+        finished_tasks |= msgspec.json.decode(entry.data, type=dict[str, str])
+    return machines, finished_tasks
 
 
-def test_an_earlier_leader_can_take_over_at_every_step_of_parting(harness: LeaderHarness) -> None:
-    """It reads each value whole, under any number, and what no value has would be lost to it."""
-    wide = PagedRecords(MACHINE_PREFIX, 16.0)
+def test_an_earlier_leader_can_take_over_at_every_step_of_a_page_split(
+    harness: LeaderHarness,
+) -> None:
+    """The old leader reads all pages, whatever their numbers; it loses a record that is in none."""
+    machine_pages = PagedRecords(MACHINE_PREFIX, 16.0)
     for n in range(100):
-        wide.put(f"i-{n:06d}", MachineRecord("c32", "a", False, f"10.1.0.{n}:9000", True))
-    done = PagedRecords(FINISHED_PREFIX, 16.0)
+        machine_pages.put(f"i-{n:06d}", MachineRecord("c32", "a", False, f"10.1.0.{n}:9000", True))
+    finished_pages = PagedRecords(FINISHED_PREFIX, 16.0)
     for n in range(40):
         record = JobRecord(job_spec(f"run-{n}", task_count=800), 0.0)
-        one = Job(record, KeyVersion(1))
-        one.finish(n)
-        done.put(f"run-{n}/0", one.chunk_text(0))
-        harness.store.txn({}, [Put(live_key(one.id), record)])
+        job = Job(record, KeyVersion(1))
+        job.finish(n)
+        finished_pages.put(f"run-{n}/0", job.chunk_text(0))
+        harness.store.txn({}, [Put(live_key(job.id), record)])
     harness.store.limits = msgspec.structs.replace(harness.store.limits, value_kb=16.0)
-    for packed in (wide, done):
-        for number in list(packed.dirty_pages()):
-            assert harness.store.txn({}, list(packed.next_transaction(number, 8, 65536).ops)).ok
-    before = old_reading(harness)
+    for pages in (machine_pages, finished_pages):
+        for number in list(pages.dirty_pages()):
+            assert harness.store.txn({}, list(pages.next_transaction(number, 8, 65536).ops)).ok
+    before = read_as_old_leader(harness)
     assert len(before[0]) == 100
     assert len(before[1]) == 40
     harness.announce(value_kb=1.0, txn_ops=2)
@@ -281,25 +287,24 @@
     steps = 0
     while harness.leader.writer.write_once():
         steps += 1
-        assert old_reading(harness) == before
+        assert read_as_old_leader(harness) == before
     assert steps > 10
-    assert old_reading(harness) == before
+    assert read_as_old_leader(harness) == before
 
 
-def test_an_old_and_a_new_leader_by_turns_lose_nothing(harness: LeaderHarness) -> None:
-    """The old one fills values up under the old limits; the new one parts them again."""
+def test_alternating_old_and_new_leaders_lose_no_record(harness: LeaderHarness) -> None:
+    """The old leader fills pages up to the old limits; the new leader splits them again."""
     harness.announce(value_kb=1.0, txn_ops=2)
     for term in range(6, 14):
-        wide = PagedRecords(MACHINE_PREFIX, 8.0)
-        wide.load(
-            harness.store.listing(MACHINE_PREFIX)[0]
-        )  # production's layout, filled as it does
+        pages = PagedRecords(MACHINE_PREFIX, 8.0)
+        # PagedRecords fills the stored pages as the old version does.
+        pages.load(harness.store.listing(MACHINE_PREFIX)[0])
         for n in range(30):
             name = f"i-{term:03d}{n:03d}"
-            wide.put(name, MachineRecord("c32", "a", False, f"10.{term}.0.{n}:9000", True))
-        for number in list(wide.dirty_pages()):
-            change = wide.next_transaction(number, 8, 65536)
-            assert harness.store.txn(change.conditions, list(change.ops)).ok
+            pages.put(name, MachineRecord("c32", "a", False, f"10.{term}.0.{n}:9000", True))
+        for number in list(pages.dirty_pages()):
+            transaction = pages.next_transaction(number, 8, 65536)
+            assert harness.store.txn(transaction.conditions, list(transaction.ops)).ok
         leader = harness.new_leader(term)
         assert len(leader.term.cluster.machines) == 30 * (term - 5)
         harness.write()
@@ -308,7 +313,7 @@
         )
 
 
-def test_a_final_state_keeps_its_form(harness: LeaderHarness) -> None:
+def test_a_final_state_is_stored_as_before(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     name = harness.begin(worker)
     harness.end(worker)
