--- a/src/ryewing/cli.py
+++ b/src/ryewing/cli.py
@@ -79,7 +79,7 @@
         return _check(arguments, settings)
     if (arguments.move is None) != (arguments.to is None):
         parser.error("--move SHARD and --to NODE go together")
-    # Imported here so that other commands do not load the module.
+    # Imported here so that other commands do not load the sharding package.
     from ryewing.sharding import command
 
     return command.run(settings, arguments.move, arguments.to)
@@ -87,7 +87,7 @@
 
 def _check(arguments: argparse.Namespace, settings: Settings) -> int:
     if arguments.checked_shards is not None:
-        # Imported here so that other commands do not load the module.
+        # Imported here so that a check without --shards does not load the sharding package.
         from ryewing.sharding.check import describe_division
 
         for line in describe_division(arguments.checked_shards, settings):
