--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -9,8 +9,8 @@
 from support.api_client import Client
 from support.fakes import CPU, job, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
-from support.placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
-from support.services import SERVICE, replicas, serve
+from support.placement_world import MACHINE_TYPES, T0, TEAMS, World, queue_order, tasks_by_machine
+from support.services import SERVICE, replicas, start_service
 
 from ryewing import scheduling
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
@@ -44,7 +44,7 @@
 def test_what_is_taken_and_what_can_never_run(changes: dict[str, Any], status: int) -> None:
     assert Client().submit(**{**SERVICE, **changes})[0] == status
     if status == 422:
-        assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), FLAVOURS, TEAMS)
+        assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), MACHINE_TYPES, TEAMS)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "killed"])
@@ -53,7 +53,7 @@
 ) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one, other)
-    name = serve(harness, one, other, task_count=2)
+    name = start_service(harness, one, other, task_count=2)
     before = {key[1] for worker in (one, other) for key in worker.tasks}
     assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -71,7 +71,7 @@
     assert state is not None
     assert (state.status, state.done, state.running) == ("running", 0, 2)
     assert harness.store.get(final_key(name)) is None
-    assert not harness.finals
+    assert not harness.final_states
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     again = {key[1] for worker in (one, other) for key in worker.tasks}
     assert not before & again  # a new attempt each time
@@ -81,7 +81,7 @@
     """Its worker keeps the result: started there again it would exit at once."""
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one, other)
-    name = serve(harness, one, other, task_count=1)
+    name = start_service(harness, one, other, task_count=1)
     [at] = replicas(harness, name).values()
     here, there = (one, other) if at == one.name else (other, one)
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -99,7 +99,7 @@
     assert leader.term.job_table.jobs[name].shortfall == 2
     harness.write()
     assert harness.store.get(final_key(name)) is None
-    assert not harness.finals
+    assert not harness.final_states
 
 
 def test_a_replica_cannot_finish() -> None:
@@ -151,7 +151,7 @@
 def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
     """It has finished nothing, ever: judged by that, three bad machines backed it off."""
     workers = harness.ready_workers(6)
-    name = serve(harness, *workers, task_count=32, cpus=8.0)
+    name = start_service(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
     assert len(set(service.assigned_tasks.values())) == 6
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -171,7 +171,7 @@
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = serve(harness, worker, task_count=1)
+    name = start_service(harness, worker, task_count=1)
     worker.finish("error")
     harness.exchange(worker)
     harness.place()
@@ -195,8 +195,8 @@
         job("run-3", priority="idle"),
     ]
     batches[1].guaranteed = True
-    alone = order_of(batches, 16.0, 60.0)
-    ordered = order_of([*batches, service, lesser], 16.0, 60.0)
+    alone = queue_order(batches, 16.0, 60.0)
+    ordered = queue_order([*batches, service, lesser], 16.0, 60.0)
     assert ordered[0] == "run-9"
     assert ordered.index("run-8") == len(ordered) - 2
     assert [name for name in ordered if name not in ("run-9", "run-8")] == alone
@@ -222,7 +222,7 @@
     batch = world.job("run-2", image_gb=40.0, task_count=40, estimated_s=10.0)
     warm = world.machine("i-9")
     warm.record_image("img-1", 40.0)
-    world.put(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
+    world.run_tasks(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     found = world.plan(service, batch)
     assert sum(n for b in found.batches if b.job is service for _machine, n in b.parts) == 3
     assert batch.shortfall == 40  # it waits for the image, by a sum that is finite
@@ -231,7 +231,7 @@
 def test_a_gang_is_not_promised_room_that_a_replica_holds_for_good() -> None:
     world = World()
     machine = world.machine("i-1", CPU)
-    world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
+    world.run_tasks(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
     gang = world.job("run-1", shape="group", task_count=1, cpus=32.0, priority="standard")
     plan = scheduling.run_cycle(
         scheduling.SchedulingSnapshot(
@@ -264,7 +264,7 @@
         [service],
         [service],
     )
-    assert spread_of(found) == {"i-1": 20}
+    assert tasks_by_machine(found) == {"i-1": 20}
 
 
 @pytest.mark.parametrize(
@@ -276,7 +276,7 @@
 ) -> None:
     """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
     short = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
-    found = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    found = plan_scale_out(short, [], MACHINE_TYPES, CapacityBackoff(), policy(), T0)
     assert sum(plan.machine_count for plan in found) == expected
     assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
 
@@ -285,7 +285,7 @@
     one = job(**{**SERVICE, "task_count": 4, "spread": True})
     one.tasks_by_zone[Zone("a")] = 2
     one.assigned_tasks = dict.fromkeys((0, 1), MachineId("i-1"))
-    [plan] = plan_scale_out([Unplaced(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    [plan] = plan_scale_out([Unplaced(one, 2)], [], MACHINE_TYPES, CapacityBackoff(), policy(), T0)
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
 
@@ -296,7 +296,7 @@
 def test_replicas_run_on_through_a_take_over(harness: LeaderHarness) -> None:
     workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
     harness.ready(*workers)
-    name = serve(harness, *workers, task_count=4, spread=True)
+    name = start_service(harness, *workers, task_count=4, spread=True)
     before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
@@ -321,7 +321,7 @@
 def test_a_lost_machine_is_replaced_once_it_is_surely_gone(harness: LeaderHarness) -> None:
     one, other = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(one, other)
-    name = serve(harness, one, other, task_count=2)
+    name = start_service(harness, one, other, task_count=2)
     lost = MachineId(next(iter(replicas(harness, name).values())))
     rest = other if lost == one.name else one
     for _ in range(3):
@@ -340,13 +340,13 @@
 
 def test_a_cancelled_service_ends_everywhere(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
-    name = serve(harness, *workers, task_count=3)
+    name = start_service(harness, *workers, task_count=3)
     assert harness.leader.apply_cancel(name)
     for worker in workers * 2:
         harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
     harness.write()
-    assert harness.finals == {name: "cancelled"}
+    assert harness.final_states == {name: "cancelled"}
     harness.place()
     for worker in workers:
         assert not starts(harness.exchange(worker))
@@ -386,7 +386,7 @@
 
 def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = serve(harness, worker, task_count=1)
+    name = start_service(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -281,9 +281,9 @@
     before = read_as_old_leader(harness)
     assert len(before[0]) == 100
     assert len(before[1]) == 40
-    harness.announce(value_kb=1.0, txn_ops=2)
+    harness.announce_store_limits(value_kb=1.0, txn_ops=2)
     harness.new_leader(6)
-    harness.narrow(value_kb=1.0, txn_ops=2)
+    harness.lower_store_limits(value_kb=1.0, txn_ops=2)
     steps = 0
     while harness.leader.writer.write_once():
         steps += 1
@@ -294,7 +294,7 @@
 
 def test_alternating_old_and_new_leaders_lose_no_record(harness: LeaderHarness) -> None:
     """The old leader fills pages up to the old limits; the new leader splits them again."""
-    harness.announce(value_kb=1.0, txn_ops=2)
+    harness.announce_store_limits(value_kb=1.0, txn_ops=2)
     for term in range(6, 14):
         pages = PagedRecords(MACHINE_PREFIX, 8.0)
         # PagedRecords fills the stored pages as the old version does.
