--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -315,8 +315,8 @@
 
 def test_a_final_state_is_stored_as_before(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = harness.begin(worker)
-    harness.end(worker)
+    name = harness.start_job(worker)
+    harness.finish_tasks(worker)
     harness.write()
     entry = harness.store.get(final_key(name))
     assert entry is not None
