--- a/src/ryewing/wire/jobs.py
+++ b/src/ryewing/wire/jobs.py
@@ -100,7 +100,7 @@
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "ref"}):
-    """The response to a status query of a job."""
+    """The status of a job, as sent to users."""
 
     id: str
     status: str
--- a/src/ryewing/wire/workers.py
+++ b/src/ryewing/wire/workers.py
@@ -44,7 +44,7 @@
 
 
 class Heartbeat(msgspec.Struct, rename=_HEARTBEAT_KEYS):
-    """The full status of a worker: the body of a heartbeat, the response of `/orders` and `/show`.
+    """The full status of a worker: the body of a heartbeat or a response of `/orders` or `/show`.
 
     Of two heartbeats, the one with the larger pair of incarnation and sequence is newer.
     """
