--- a/src/ryewing/api/__init__.py
+++ b/src/ryewing/api/__init__.py
@@ -1,7 +1,7 @@
-"""The HTTP interface of a controller: users, workers and health checks.
+"""The HTTP API of a controller for users, workers and health checks.
 
-The package owns the server's connections, the bounds on requests, and the final states that were
-reported to users. It imports `leader` (only the errors of choosing a shard), `state`, `clients`,
-`config` and `wire`. Only `process` calls it, and implements the `Controller` protocol through which
-the package uses the process.
+The package owns the server's connections, the limits on requests, and the cache of final states
+that were reported to users. It imports `leader` (only the errors of choosing a shard), `state`,
+`clients`, `config` and `wire`. Only `process` calls it, and implements the `Controller` protocol
+through which the handlers access the process.
 """
--- a/src/ryewing/api/cancellation.py
+++ b/src/ryewing/api/cancellation.py
@@ -5,7 +5,7 @@
 import logging
 
 from ryewing.api.controller import Controller
-from ryewing.api.job_queries import JobQueries, no_such_job
+from ryewing.api.job_queries import JobQueries, job_not_found
 from ryewing.api.responses import CHANGED_MEANWHILE, STORE_UNREACHABLE, Response, unavailable
 from ryewing.api.store_access import StoreAccess
 from ryewing.clients.store import Put, RejectedError, StoreUnavailableError, TxnResult
@@ -23,66 +23,70 @@
 
 log = logging.getLogger(__name__)
 
-CANCEL_TRIES = 4
-"""How often a cancel is tried while the job's record changes each time before it is written."""
+MAX_CANCEL_ATTEMPTS = 4
+"""Attempts to write a cancellation; one fails if the record changes between its read and write."""
 
 
 class Cancellations:
-    """Cancels jobs: a cancel is written, then announced to the leader, and only then confirmed."""
+    """Cancels jobs.
 
-    def __init__(self, node: Controller, store: StoreAccess, queries: JobQueries) -> None:
-        self._node = node
+    A cancellation is written to the store, then announced to the leader, and only then confirmed to
+    the user.
+    """
+
+    def __init__(self, controller: Controller, store: StoreAccess, queries: JobQueries) -> None:
+        self._controller = controller
         self._store = store
         self._queries = queries
 
     def cancel(self, job: JobId) -> Response:
-        """Mark the job cancelled unless it is done; respond once nobody can report otherwise.
+        """Mark the job cancelled unless it is done; respond once no other status can be reported.
 
         Raise RateLimitExceededError, or RefusedError with a 503, if that is not possible now.
         """
-        if self._node.final_states.get(job) is None:
-            self._node.user_limiter.admit(UserRequest.WRITE)
-        for _ in range(CANCEL_TRIES):
-            final = self._node.final_states.get(job)
+        if self._controller.final_states.get(job) is None:
+            self._controller.user_limiter.admit(UserRequest.WRITE)
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            final = self._controller.final_states.get(job)
             if final is not None:
                 return Response(200, JobStatus(job, final))
             try:
                 response = self._try_cancel(job)
             except StoreUnavailableError:
-                return unavailable(self._node.policy, STORE_UNREACHABLE)
+                return unavailable(self._controller.policy, STORE_UNREACHABLE)
             if response is not None:
                 return response
-        return unavailable(self._node.policy, CHANGED_MEANWHILE)
+        return unavailable(self._controller.policy, CHANGED_MEANWHILE)
 
     def _try_cancel(self, job: JobId) -> Response | None:
-        """Write the mark on the current record; return None if the record changed meanwhile."""
+        """Write the mark to the current record; return None if the record changed concurrently."""
         entry = self._store.read(live_key(job))
         if entry is None:
-            return self._answer_without_live_record(job)
-        record = self._queries.readable(read_record(entry.data, entry.key))
+            return self._respond_without_live_record(job)
+        record = self._queries.require_readable(read_record(entry.data, entry.key))
         if not record.cancelled:
             if not self._write_mark(entry, record).ok:
                 return None
             log.info("event=cancel-accepted job=%s", job)
         return Response(200, self._queries.confirm_cancel(record))
 
-    def _answer_without_live_record(self, job: JobId) -> Response | None:
-        """Respond for a job that is final or unknown; None if it has become live meanwhile."""
+    def _respond_without_live_record(self, job: JobId) -> Response | None:
+        """Respond for a job that is final or unknown; None if it has become live since."""
         status = self._queries.read_status(job)
         if status is None:
-            return no_such_job()
+            return job_not_found()
         if status.status in FINAL_STATES:
-            return self._queries.with_final_state(status)
+            return self._queries.status_response(status)
         return None
 
     def _write_mark(self, entry: Entry, record: JobRecord) -> TxnResult:
-        """Write the cancel mark on the version of the record that was read.
+        """Write the cancel mark if the record still has the version that was read.
 
-        A record that the store rejects as too large is shortened: the limits of the store may be
-        lower than in the settings.
+        If the store rejects the record as too large, a shortened one is written, because the limits
+        of the store may be lower than those in the settings.
         """
         conditions = {entry.key: KeyVersion(entry.key_version)}
-        limit = self._node.store.limits.value_kb * 1024
+        limit = self._controller.store.limits.value_kb * 1024
         try:
             marked = with_cancel_mark(record, wall_now(), limit)
             return self._store.txn(conditions, [Put(entry.key, marked)])
--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -1,4 +1,4 @@
-"""What the HTTP interface needs of the controller process that it belongs to."""
+"""The interface of the controller process that the HTTP handlers use."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Controller(Protocol):
-    """A controller process as its HTTP interface uses it.
+    """A controller process as its HTTP handlers use it.
 
-    The attributes are read at each use and not copied: they may be replaced.
+    The attributes may be replaced, so handlers read them at each use and keep no copies.
     """
 
     policy: Policy
@@ -31,16 +31,19 @@
         """Return whether requests can be accepted."""
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Apply a heartbeat and return the commands; None if this node must not answer 200 now."""
+        """Apply a heartbeat and return the commands; None if this node must not answer 200 now.
+
+        That is the case if it does not lead, or leads but may not answer workers.
+        """
 
     def remote_leader(self, zone: Zone) -> str | None:
-        """Return the leader to which a zone's workers should be redirected, if another node is."""
+        """Return the name of a zone's leader if it is another node, to redirect workers to it."""
 
     def known_machine_types(self) -> dict[str, MachineType]:
         """Return the machine types by name; empty if they are not known yet."""
 
     def choose_shard(self, spec: JobSpec) -> ShardName | None:
-        """Return a new job's shard; None if the fleet is undivided.
+        """Return the shard for a new job; None if the fleet is undivided.
 
         Raise NoShardError if no shard could ever run it, NotReadyError if that is not known yet.
         """
@@ -49,13 +52,13 @@
         """Return whether a shard's leader holds as many jobs as its memory allows."""
 
     def local_status(self, job: JobId) -> JobStatus | None:
-        """Return a job's status from the memory of a leader here, if it may answer."""
+        """Return a job's status from the memory of a leader in this process, if it may answer."""
 
     def query_leader(self, job: JobId) -> JobStatus | None:
-        """Ask the leader for a job's status; None if the store must be read instead."""
+        """Request a job's status from its leader; None if the store must be read instead."""
 
     def remember_shard(self, job: JobId, shard: ShardName) -> None:
-        """Note the shard that a job belongs to."""
+        """Cache the shard that a job belongs to."""
 
     def announce_cancel(self, job: JobId, shard: ShardName | None) -> bool:
-        """Make sure that the leader knows of a cancel in the store; False if it may not know."""
+        """Announce a cancellation in the store to the leader; False if it may not know of it."""
--- a/src/ryewing/api/final_states.py
+++ b/src/ryewing/api/final_states.py
@@ -1,4 +1,4 @@
-"""The final states of jobs that this process has seen, in a bounded cache."""
+"""A bounded cache of the final states of jobs that this process has read or reported."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from ryewing.units import JobId
 
 FINAL_STATES_KEPT = 20_000
-"""Jobs whose final states are kept, the most recently seen ones."""
+"""Jobs whose final states are cached; the most recently added ones are kept."""
 
 
 class FinalStateCache:
     """The final states (`done`, `cancelled`) of jobs. A final state never changes.
 
-    What a user is told after a look-up elsewhere is checked against this cache, so that no status
-    older than one reported before is sent (docs/design.md, safety argument 9).
+    Before a status from the leader or the store is sent to a user, it is checked against this
+    cache, so that it is never older than one reported before (docs/design.md, safety argument 9).
     """
 
     def __init__(self, capacity: int = FINAL_STATES_KEPT) -> None:
@@ -22,12 +22,12 @@
         self._states: OrderedDict[JobId, str] = OrderedDict()
 
     def put(self, job: JobId, status: str) -> None:
-        """Add a final state; the one added longest ago is dropped if there are too many."""
+        """Add a final state; evict the one added longest ago if the cache is above its capacity."""
         self._states[job] = status
         self._states.move_to_end(job)
         if len(self._states) > self._capacity:
             self._states.popitem(last=False)
 
     def get(self, job: JobId) -> str | None:
-        """Return a job's final state; None if it is not known here."""
+        """Return a job's final state; None if it is not cached."""
         return self._states.get(job)
--- a/src/ryewing/api/heartbeats.py
+++ b/src/ryewing/api/heartbeats.py
@@ -11,10 +11,10 @@
 
 
 class Heartbeats:
-    """Passes heartbeats to a leader in this process, or redirects workers to the leader."""
+    """Passes heartbeats to a leader in this process, or redirects workers to another node."""
 
-    def __init__(self, node: Controller) -> None:
-        self._node = node
+    def __init__(self, controller: Controller) -> None:
+        self._controller = controller
 
     def answer(self, body: bytes) -> Response:
         """Answer a heartbeat: 200 with commands, 421 with the leader's name, or 503."""
@@ -22,10 +22,10 @@
             heartbeat = read_heartbeat(body)
         except MalformedError as error:
             return error_response(400, str(error))
-        commands = self._node.on_heartbeat(heartbeat)
+        commands = self._controller.on_heartbeat(heartbeat)
         if commands is not None:
             return Response(200, commands)
-        leader = self._node.remote_leader(Zone(heartbeat.zone))
+        leader = self._controller.remote_leader(Zone(heartbeat.zone))
         if leader is None:
-            return unavailable(self._node.policy, "no leader is known")
+            return unavailable(self._controller.policy, "no leader is known")
         return Response(421, LeaderRedirect(leader))
--- a/src/ryewing/api/http_server.py
+++ b/src/ryewing/api/http_server.py
@@ -1,6 +1,6 @@
-"""The HTTP server: bounded connections, cheap parsing of headers, large bodies refused unread.
+"""The HTTP server: limits connections, parses headers fast, refuses large bodies unread.
 
-It knows nothing about jobs or workers: `router` is the application.
+It is independent of jobs and workers; the WSGI application is in `router`.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 MAX_HEADERS = 100
 MAX_HEADER_BYTES = 16 * 1024
-"""The most bytes that one line of the headers may have."""
+"""The maximum length of one header line, in bytes."""
 BODY_TOO_LARGE = "body above 64 KiB"
 """The error in the 413 to a body above BODY_LIMIT."""
 _HEADERS_IN_ENVIRON = ("expect", "transfer-encoding", "connection", "upgrade")
-"""The request headers that the WSGI server itself reads."""
+"""The request headers copied into the WSGI environment: those that pywsgi itself reads."""
 STATUS_LINES: dict[int, str] = {
     200: "200 OK",
     201: "201 Created",
@@ -51,40 +51,40 @@
 
 
 class RequestHeaders(dict[str, str]):
-    """A request's headers by lower-case name, as `WSGIHandler` asks for them.
+    """A request's headers by lower-case name, with the interface that `WSGIHandler` expects.
 
-    The mail parser that `WSGIHandler` uses by default took a third of the time of a heartbeat, and
-    the leader of hundreds of machines gets hundreds a second.
+    It replaces the email parser that `WSGIHandler` uses by default, which took a third of the time
+    of handling a heartbeat; the leader of hundreds of machines gets hundreds of them a second.
     """
 
     status = ""
-    """What is malformed, or empty; `WSGIHandler` responds with 400 if it is not empty."""
+    """The parse error, or empty; `WSGIHandler` responds with 400 if it is not empty."""
 
     @classmethod
     def read(cls, stream: Any) -> RequestHeaders:
-        """Read header lines up to the empty line."""
-        found = cls()
+        """Read header lines up to the empty line; after an error, return with `status` set."""
+        headers = cls()
         for _ in range(MAX_HEADERS):
             line = stream.readline(MAX_HEADER_BYTES + 1)
             if line in (b"\r\n", b"\n", b""):
-                return found
+                return headers
             name, colon, value = line.decode("latin-1").partition(":")
             if not colon or len(line) > MAX_HEADER_BYTES or not name or name != name.strip():
-                found.status = "malformed header"
-                return found
+                headers.status = "malformed header"
+                return headers
             name = name.lower()
             value = value.strip()
-            if name in found:
-                if name in ("content-length", "transfer-encoding") and found[name] != value:
-                    found.status = "contradicting headers"
-                    return found
-                value = f"{found[name]},{value}" if found[name] != value else value
-            found[name] = value
-        found.status = "too many headers"
-        return found
+            if name in headers:
+                if name in ("content-length", "transfer-encoding") and headers[name] != value:
+                    headers.status = "contradicting headers"
+                    return headers
+                value = f"{headers[name]},{value}" if headers[name] != value else value
+            headers[name] = value
+        headers.status = "too many headers"
+        return headers
 
     def get(self, name: str, default: Any = None) -> Any:
-        """Return a header by its name in any case."""
+        """Return the value of a header; names are case-insensitive."""
         return super().get(name.lower(), default)
 
     getheader = get
@@ -96,17 +96,17 @@
 
     @property
     def headers(self) -> Iterable[str]:
-        """The lines that go into the WSGI environment: those that the server itself reads."""
+        """The lines that `WSGIHandler` copies into the WSGI environment."""
         return [f"{name}: {self[name]}" for name in _HEADERS_IN_ENVIRON if name in self]
 
 
 class _Handler(WSGIHandler):  # type: ignore[misc]
-    """Serves one connection: tells the server when it is idle, and refuses large bodies unread."""
+    """Serves one connection: marks it idle or busy, and refuses large bodies unread."""
 
     _buffer: bytearray | None = None
-    """What is to be sent in one piece, while headers and body are written."""
+    """Collects headers and body while they are written, to send them in one call; else None."""
 
-    def MessageClass(  # noqa: N802  the name by which WSGIHandler calls it
+    def MessageClass(  # noqa: N802  WSGIHandler calls it by this name
         self, stream: Any, *_args: Any
     ) -> RequestHeaders:
         """Read the request's headers."""
@@ -125,7 +125,7 @@
         return result
 
     def _write_with_headers(self, data: bytes) -> None:
-        """Send headers and body in one piece: one packet and one system call fewer."""
+        """Send headers and body together, which saves one packet and one system call."""
         self._buffer = bytearray()
         super()._write_with_headers(data)
         buffered, self._buffer = bytes(self._buffer), None
@@ -150,18 +150,18 @@
         return status[:3], head.encode("ascii") + body
 
     def log_request(self) -> None:
-        """Log nothing: the handlers log what requests do."""
+        """Log nothing, because the handlers log the effects of requests."""
 
 
 class HttpServer(WSGIServer):  # type: ignore[misc]
-    """A WSGI server with at most `connections` connections, one greenlet for each.
+    """A WSGI server with at most `max_connections` connections, one greenlet for each.
 
-    When there are too many, the one that has been idle longest is closed, so that many idle users
-    can't keep workers out. If none is idle, the new one is closed.
+    At the limit, the connection that has been idle longest is closed, so that many idle users can't
+    keep workers from connecting. If none is idle, the new connection is closed.
     """
 
     def __init__(
-        self, address: tuple[str, int], application: Application, connections: int
+        self, address: tuple[str, int], application: Application, max_connections: int
     ) -> None:
         super().__init__(
             address,
@@ -169,41 +169,42 @@
             handler_class=_Handler,
             log=None,
             error_log=log,
-            backlog=connections,
+            backlog=max_connections,
         )
-        self._limit = connections
-        self._open = 0
+        self._max_connections = max_connections
+        self._open_connections = 0
         self._idle: OrderedDict[_Handler, None] = OrderedDict()
+        """The connections that wait for a request, the one idle longest first."""
 
     def mark_idle(self, handler: _Handler) -> None:
-        """Note that a connection waits for its next request."""
+        """Record that a connection waits for its next request."""
         self._idle[handler] = None
 
     def mark_busy(self, handler: _Handler) -> None:
-        """Note that a connection has a request."""
+        """Record that a connection has received a request line, or was closed."""
         self._idle.pop(handler, None)
 
     def handle(self, sock: Any, address: Any) -> None:
         """Serve one connection until it ends."""
-        if self._open >= self._limit:
+        if self._open_connections >= self._max_connections:
             if not self._idle:
                 sock.close()
                 return
             self._shut_down_longest_idle()
-        self._open += 1
+        self._open_connections += 1
         handler = _Handler(sock, address, self)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             handler.handle()
         finally:
-            self._open -= 1
+            self._open_connections -= 1
             self._idle.pop(handler, None)
 
     def _shut_down_longest_idle(self) -> None:
-        oldest, _ = self._idle.popitem(last=False)
-        stale = getattr(oldest, "socket", None)
-        if stale is not None:
+        longest_idle, _ = self._idle.popitem(last=False)
+        sock = getattr(longest_idle, "socket", None)
+        if sock is not None:
             try:
-                stale.shutdown(socket.SHUT_RDWR)
+                sock.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
--- a/src/ryewing/api/job_queries.py
+++ b/src/ryewing/api/job_queries.py
@@ -1,6 +1,6 @@
-"""The status of a job: from memory, from the leader, or from the store.
+"""Look-ups of a job's status: in memory, at the leader, or in the store.
 
-The order of the lookups keeps safety argument 9 of docs/design.md ("Nobody tells an older state"):
+The order of the look-ups keeps safety argument 9 of docs/design.md ("Nobody tells an older state"):
 no user gets a status older than one that was reported before.
 """
 
@@ -34,96 +34,105 @@
 
 
 class JobQueries:
-    """Finds out a job's status, and answers polls (GET /v2/runs/{id}).
+    """Looks up the status of jobs, and answers polls (GET /v2/runs/{id}).
 
-    Methods raise RefusedError with a 503 if the status can't be found out now.
+    Methods raise RefusedError with a 503 if the status can't be determined now.
     """
 
-    def __init__(self, node: Controller, store: StoreAccess) -> None:
-        self._node = node
+    def __init__(self, controller: Controller, store: StoreAccess) -> None:
+        self._controller = controller
         self._store = store
 
     def poll(self, job: JobId) -> Response:
-        """Answer a poll: by this controller's memory, else by the leader, else by the store."""
-        status = self.from_memory(job) or self._node.query_leader(job) or self.from_store(job)
+        """Answer a poll from this process's memory, else from the leader, else from the store."""
+        status = (
+            self.status_from_memory(job)
+            or self._controller.query_leader(job)
+            or self.status_from_store(job)
+        )
         if status is None:
-            return no_such_job()
-        return self.with_final_state(status)
+            return job_not_found()
+        return self.status_response(status)
 
-    def with_final_state(self, status: JobStatus) -> Response:
-        """Respond with a status that was read elsewhere, or a final one reported meanwhile.
+    def status_response(self, status: JobStatus) -> Response:
+        """Respond with a status from the leader or the store, or with a cached final state.
 
-        What comes after a final state was reported here must not be older.
+        A final state that was reported during the look-up takes precedence, because later responses
+        must not contain an older state.
         """
-        final = self._node.final_states.get(JobId(status.id))
+        final = self._controller.final_states.get(JobId(status.id))
         return Response(200, status if final is None else JobStatus(status.id, final))
 
-    def from_memory(self, job: JobId) -> JobStatus | None:
-        """Return the status that this process knows, without asking anyone."""
-        final = self._node.final_states.get(job)
+    def status_from_memory(self, job: JobId) -> JobStatus | None:
+        """Return the status that this process has in memory; None if it has none."""
+        final = self._controller.final_states.get(job)
         if final is not None:
             return JobStatus(job, final)
-        return self._node.local_status(job)
+        return self._controller.local_status(job)
 
-    def from_store(self, job: JobId) -> JobStatus | None:
-        """Return the status by the store, or None if the job was never accepted.
+    def status_from_store(self, job: JobId) -> JobStatus | None:
+        """Return the status in the store, or None if the job was never accepted.
 
-        Raise RateLimitExceededError if users' reads may not use the store now.
+        Raise RateLimitExceededError if the rate share for users' reads is used up.
         """
-        self._node.user_limiter.admit(UserRequest.READ)
+        self._controller.user_limiter.admit(UserRequest.READ)
         return self.read_status(job)
 
     def read_status(self, job: JobId) -> JobStatus | None:
         """Read a job's status from the store; None if the job was never accepted.
 
-        The live key is read before the final key: a job moves from one to the other, never back.
+        The live key is read before the final key, because a job moves from the live to the final
+        key and never back: read in the other order, a job that moves in between would be missed.
         """
         try:
             live = self._store.read(live_key(job))
             if live is not None:
-                record = self.readable(read_record(live.data, live.key))
+                record = self.require_readable(read_record(live.data, live.key))
                 self.remember_shard(job, record)
                 return self.confirm_cancel(record) if record.cancelled else JobStatus(job, QUEUED)
             final = self._store.read(final_key(job))
         except StoreUnavailableError:
-            raise RefusedError(unavailable(self._node.policy, STORE_UNREACHABLE)) from None
+            raise RefusedError(unavailable(self._controller.policy, STORE_UNREACHABLE)) from None
         if final is None:
             return None
-        status = self.readable(decode_stored(final.data, FinalRecord, final.key)).status
-        self._node.final_states.put(job, status)
+        status = self.require_readable(decode_stored(final.data, FinalRecord, final.key)).status
+        self._controller.final_states.put(job, status)
         return JobStatus(job, status)
 
     def confirm_cancel(self, record: JobRecord) -> JobStatus:
-        """Return the status of a job cancelled in the store, once nobody can report another.
+        """Return the status of a job cancelled in the store, once no other can be reported.
 
-        It is called whoever wrote the cancel mark, and by whatever request it was found: the leader
-        answers from memory, and starts tasks, until it knows. Found where the one who wrote the
-        mark got no response, and a poll or a repeated submission met it: users were told
-        `cancelled`, and `running` after that.
+        Every request that reads a cancel mark must call this, also if another request wrote the
+        mark, because the leader starts tasks and answers from memory until it knows of the mark.
+        When the writer of a mark had got no response, and a poll or a repeated submission read the
+        mark, users were sent `cancelled`, and then `running`.
 
         Raise RefusedError with a 503 if the leader may not know of the cancel.
         """
         job = JobId(record.spec.id)
-        if not self._node.announce_cancel(job, shard_of(record)):
+        if not self._controller.announce_cancel(job, shard_of(record)):
             reason = "the cancel is written but the leader has not heard it"
-            raise RefusedError(unavailable(self._node.policy, reason))
-        self._node.final_states.put(job, FinalState.CANCELLED)
+            raise RefusedError(unavailable(self._controller.policy, reason))
+        self._controller.final_states.put(job, FinalState.CANCELLED)
         return JobStatus(job, FinalState.CANCELLED)
 
     def remember_shard(self, job: JobId, record: JobRecord) -> None:
-        """Note the shard of a job whose record was read or written."""
+        """Cache the shard of a job whose record was read or written."""
         shard = shard_of(record)
         if shard is not None:
-            self._node.remember_shard(job, shard)
+            self._controller.remember_shard(job, shard)
 
-    def readable(self, record: T | None) -> T:
-        """Return a record, or respond with 503 if it is unreadable: others may know the job."""
+    def require_readable(self, record: T | None) -> T:
+        """Return a record; raise RefusedError with a 503 if it is None, that is, unreadable.
+
+        A 404 would be wrong: the job exists, and other nodes may be able to read its record.
+        """
         if record is None:
-            raise RefusedError(unavailable(self._node.policy, "the record can't be read"))
+            raise RefusedError(unavailable(self._controller.policy, "the record can't be read"))
         return record
 
 
-def no_such_job() -> Response:
+def job_not_found() -> Response:
     """Return the 404 for a job that was never accepted."""
     return error_response(404, "no such job")
 
--- a/src/ryewing/api/responses.py
+++ b/src/ryewing/api/responses.py
@@ -1,4 +1,4 @@
-"""Responses of the API, and the error by which a handler ends early with one of them."""
+"""Responses of the API, and the exception that ends a handler early with a response."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RefusedError(Exception):
-    """Ends a handler early with the response that says why the request is refused."""
+    """Ends a handler early with a response that gives the reason for the refusal."""
 
     def __init__(self, response: Response) -> None:
         super().__init__(response.status)
--- a/src/ryewing/api/router.py
+++ b/src/ryewing/api/router.py
@@ -1,6 +1,6 @@
 """The WSGI application: routes each request to its handler (PROTOCOL, "Users ->", "Workers ->").
 
-No request is queued here. What can't be decided or accepted now is refused at once, with the time
+No request is queued here. A request that can't be processed now gets a 503 at once, with the time
 after which to retry.
 """
 
@@ -17,7 +17,7 @@
 from ryewing.api.controller import Controller
 from ryewing.api.heartbeats import Heartbeats
 from ryewing.api.http_server import BODY_TOO_LARGE, STATUS_LINES, Headers, StartResponse
-from ryewing.api.job_queries import JobQueries, no_such_job
+from ryewing.api.job_queries import JobQueries, job_not_found
 from ryewing.api.responses import (
     CLOSE_CONNECTION,
     RefusedError,
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 BODY_DEADLINE_S = 5.0
-"""How long a request's body may take to arrive."""
+"""The time limit for reading a request's body."""
 HEARTBEAT_PATH = "/v1/report"
 HEALTH_PATH = "/healthz"
 JOBS_PATH = "/v2/runs"
@@ -45,13 +45,13 @@
 class Api:
     """Routes requests to handlers, and turns their errors into responses."""
 
-    def __init__(self, node: Controller) -> None:
-        self._node = node
-        self.store_access = StoreAccess(node)
-        self._queries = JobQueries(node, self.store_access)
-        self.submissions = Submissions(node, self.store_access, self._queries)
-        self._cancellations = Cancellations(node, self.store_access, self._queries)
-        self._heartbeats = Heartbeats(node)
+    def __init__(self, controller: Controller) -> None:
+        self._controller = controller
+        self.store_access = StoreAccess(controller)
+        self._queries = JobQueries(controller, self.store_access)
+        self.submissions = Submissions(controller, self.store_access, self._queries)
+        self._cancellations = Cancellations(controller, self.store_access, self._queries)
+        self._heartbeats = Heartbeats(controller)
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Answer one request (WSGI)."""
@@ -60,12 +60,12 @@
         except RefusedError as refused:
             response = refused.response
         except RateLimitExceededError as exceeded:
-            policy = self._node.policy
+            policy = self._controller.policy
             retry_s = max(policy.retry_after_s, exceeded.retry_s)
             response = unavailable(policy, "too many requests for the state service", retry_s)
         except Exception:
             log.exception("event=request-failed path=%s", environ.get("PATH_INFO"))
-            response = unavailable(self._node.policy, "internal error")
+            response = unavailable(self._controller.policy, "internal error")
         headers: Headers = [("Content-Type", "application/json"), *response.headers]
         start(STATUS_LINES[response.status], headers)
         return [response.body]
@@ -90,31 +90,34 @@
         if cancel:
             _read_body(environ)
         if not is_job_id(name):
-            return no_such_job()
+            return job_not_found()
         job = JobId(name)
         return self._cancellations.cancel(job) if cancel else self._queries.poll(job)
 
     def _health(self) -> Response:
-        if self._node.healthy():
+        if self._controller.healthy():
             return Response(200, HealthBody("ok"))
-        return unavailable(self._node.policy, "can't take requests now")
+        return unavailable(self._controller.policy, "can't take requests now")
 
 
 def _require_method(method: str, allowed: str) -> None:
-    """Respond with 405 to any other method than the one allowed."""
+    """Raise RefusedError with a 405 if the method is not the allowed one."""
     if method != allowed:
         raise RefusedError(error_response(405, f"use {allowed}", [("Allow", allowed)]))
 
 
 def _read_body(environ: dict[str, Any]) -> bytes:
-    """Read a request's body; respond with 400 if it does not arrive, with 413 if too large."""
+    """Read a request's body.
+
+    Raise RefusedError with a 400 if it does not arrive in time, with a 413 if it is too large.
+    """
     stream = environ["wsgi.input"]
     try:
         with gevent.Timeout(BODY_DEADLINE_S, TimeoutError("body")):
             body: bytes = stream.read(BODY_LIMIT + 1)
     except TimeoutError:
-        late = error_response(400, "the body did not come", [CLOSE_CONNECTION])
-        raise RefusedError(late) from None
+        timed_out = error_response(400, "the body did not come", [CLOSE_CONNECTION])
+        raise RefusedError(timed_out) from None
     if len(body) > BODY_LIMIT:
         raise RefusedError(error_response(413, BODY_TOO_LARGE, [CLOSE_CONNECTION]))
     return body
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -1,4 +1,7 @@
-"""Submissions of jobs (POST /v2/runs): checked, written to the store, and only then confirmed."""
+"""Submission of jobs (POST /v2/runs).
+
+A submission is validated, written to the store, and only then confirmed.
+"""
 
 from __future__ import annotations
 
@@ -44,48 +47,48 @@
 log = logging.getLogger(__name__)
 
 MAX_SUBMISSIONS_IN_FLIGHT = 64
-"""Submissions that may be written at any time."""
-FULL_RETRY_S = 30.0
-"""When to retry a submission that is refused because there are too many unfinished jobs."""
-THROTTLED_S = 0.6
-"""How long a submission is retried while the store refuses it by its rate limit."""
-THROTTLED_RETRY_S = 0.08
-"""The interval of these retries."""
-TOO_LARGE = "too large to be kept"
+"""Maximum number of submissions that are written concurrently."""
+JOB_MEMORY_FULL_RETRY_S = 30.0
+"""`Retry-After` of a submission that is refused because there are too many unfinished jobs."""
+THROTTLED_RETRY_LIMIT_S = 0.6
+"""How long the write of a submission is retried while the store refuses it by its rate limit."""
+THROTTLED_RETRY_INTERVAL_S = 0.08
+"""The pause between these retries."""
+RECORD_TOO_LARGE = "too large to be kept"
 
 
 class Submissions:
-    """Accepts jobs. Whatever a user is told about a job is in the store first."""
+    """Accepts jobs. A job is in the store before its status is reported to a user."""
 
-    def __init__(self, node: Controller, store: StoreAccess, queries: JobQueries) -> None:
-        self._node = node
+    def __init__(self, controller: Controller, store: StoreAccess, queries: JobQueries) -> None:
+        self._controller = controller
         self._store = store
         self._queries = queries
         self.in_flight = 0
         """Submissions that are being written."""
 
     def submit(self, body: bytes) -> Response:
-        """Answer a submission: 201 if it is accepted, 200 if the job is known already."""
+        """Answer a submission: 201 if it is accepted, 200 if the job was accepted before."""
         job = _read_job_id(body)
-        known = self._queries.from_memory(job)
+        known = self._queries.status_from_memory(job)
         if known is not None:
             return Response(200, known)
         try:
             spec = read_job_spec(body)
         except MalformedError as error:
             log.info("event=refused job=%s status=400 reason=%r", job, str(error))
-            return self._unless_known(job, error_response(400, str(error)))
-        machine_types = self._node.known_machine_types()
+            return self._refuse_unless_known(job, error_response(400, str(error)))
+        machine_types = self._controller.known_machine_types()
         if not machine_types:
-            return unavailable(self._node.policy, "the machine types are not known yet")
+            return unavailable(self._controller.policy, "the machine types are not known yet")
         if spec.machine_types is not None:
             spec.machine_types = [name for name in spec.machine_types if name in machine_types]
         try:
             record = self._new_record(spec, machine_types)
         except RefusedError as refused:
-            return self._unless_known(job, refused.response)
+            return self._refuse_unless_known(job, refused.response)
         if self.in_flight >= MAX_SUBMISSIONS_IN_FLIGHT:
-            return unavailable(self._node.policy, "too many submissions at once")
+            return unavailable(self._controller.policy, "too many submissions at once")
         self.in_flight += 1
         try:
             return self._accept(job, record)
@@ -97,84 +100,91 @@
 
         Raise RefusedError with the reason if the job can't be accepted, now or ever.
         """
-        reason = infeasibility_reason(spec, machine_types, self._node.teams)
+        reason = infeasibility_reason(spec, machine_types, self._controller.teams)
         if reason is not None:
             raise RefusedError(error_response(422, reason))
         shard = self._choose_shard(spec)
-        if self._node.job_memory_full(shard):
-            full = unavailable(self._node.policy, "too many unfinished jobs", FULL_RETRY_S)
+        if self._controller.job_memory_full(shard):
+            full = unavailable(
+                self._controller.policy, "too many unfinished jobs", JOB_MEMORY_FULL_RETRY_S
+            )
             raise RefusedError(full)
         record = JobRecord(spec, wall_now(), shard=shard)
-        if stored_size_bytes(record) > self._node.store.limits.value_kb * 1024:
-            raise RefusedError(error_response(400, TOO_LARGE))
+        if stored_size_bytes(record) > self._controller.store.limits.value_kb * 1024:
+            raise RefusedError(error_response(400, RECORD_TOO_LARGE))
         return record
 
     def _choose_shard(self, spec: JobSpec) -> ShardName | None:
-        """Return a new job's shard; raise RefusedError if there is none, now or ever."""
+        """Return the shard for a new job.
+
+        Raise RefusedError with a 422 if no shard could ever run it, with a 503 if that is not known
+        yet.
+        """
         try:
-            return self._node.choose_shard(spec)
+            return self._controller.choose_shard(spec)
         except NoShardError as error:
             raise RefusedError(error_response(422, str(error))) from None
         except NotReadyError as error:
-            raise RefusedError(unavailable(self._node.policy, str(error))) from None
+            raise RefusedError(unavailable(self._controller.policy, str(error))) from None
 
-    def _unless_known(self, job: JobId, refusal: Response) -> Response:
-        """Refuse a submission, unless the job was accepted before.
+    def _refuse_unless_known(self, job: JobId, refusal: Response) -> Response:
+        """Refuse a submission, or respond with the job's status if it was accepted before.
 
-        A known job stays known whatever a repetition of its submission looks like, also if it would
-        be too large today: it was kept under the limits of its day.
+        The status is returned whatever the repeated submission contains, also if its record would
+        be too large under the current limits, as the limits may have been higher at the time.
         """
-        status = self._queries.from_store(job)
-        return refusal if status is None else self._queries.with_final_state(status)
+        status = self._queries.status_from_store(job)
+        return refusal if status is None else self._queries.status_response(status)
 
     def _accept(self, job: JobId, record: JobRecord) -> Response:
         """Write the job if it is new, and respond with its status."""
         try:
             result = self._write_new_job(job, record)
         except ThrottledError:
-            return unavailable(self._node.policy, "the state service is busy")
+            return unavailable(self._controller.policy, "the state service is busy")
         except RejectedError as error:
-            # The limits of the store are lower than in the settings: a retry won't help.
+            # A retry won't help: the limits of the store are lower than those in the settings.
             log.error("event=accept-rejected job=%s error=%s", job, error)
-            return self._unless_known(job, error_response(400, TOO_LARGE))
+            return self._refuse_unless_known(job, error_response(400, RECORD_TOO_LARGE))
         except StoreUnavailableError as error:
             log.debug("event=accept-failed job=%s error=%s", job, error)
-            return unavailable(self._node.policy, STORE_UNREACHABLE)
+            return unavailable(self._controller.policy, STORE_UNREACHABLE)
         if result.ok:
             self._queries.remember_shard(job, record)
             _log_accepted(job, record.spec)
-            if self._node.final_states.get(job) is None:
+            if self._controller.final_states.get(job) is None:
                 return Response(201, JobStatus(job, QUEUED))
         status = self._queries.read_status(job)
         if status is None:
-            return unavailable(self._node.policy, CHANGED_MEANWHILE)
-        return self._queries.with_final_state(status)
+            return unavailable(self._controller.policy, CHANGED_MEANWHILE)
+        return self._queries.status_response(status)
 
     def _write_new_job(self, job: JobId, record: JobRecord) -> TxnResult:
         """Write the record if the job has neither a live nor a final one.
 
-        A transaction refused by the store's rate limit is retried for THROTTLED_S seconds. Raise
-        StoreUnavailableError, or RateLimitExceededError, if it can't be written.
+        A transaction refused by the store's rate limit is retried for THROTTLED_RETRY_LIMIT_S
+        seconds. Raise StoreUnavailableError, or RateLimitExceededError, if it can't be written.
         """
         conditions = {live_key(job): KeyVersion(0), final_key(job): KeyVersion(0)}
         writes = [Put(live_key(job), record)]
-        retry_until = MonotonicTime(monotonic_now() + THROTTLED_S)
+        retry_until = MonotonicTime(monotonic_now() + THROTTLED_RETRY_LIMIT_S)
         while True:
-            self._node.user_limiter.admit(UserRequest.WRITE)
+            self._controller.user_limiter.admit(UserRequest.WRITE)
             try:
                 return self._store.txn(conditions, writes)
             except ThrottledError:
                 if monotonic_now() >= retry_until:
                     raise
-                gevent.sleep(THROTTLED_RETRY_S)
+                gevent.sleep(THROTTLED_RETRY_INTERVAL_S)
 
 
 def _read_job_id(body: bytes) -> JobId:
     """Return the id in a submission; raise RefusedError with a 400 if there is none.
 
-    `read_job_spec` decodes the body again: a job that is known by its id gets its status whatever
-    else the body has, and decoding the spec from the object read here would change the texts of
-    some refusals (`4.0` in place of a string is a float to one decoder and an int to the other).
+    The id is decoded by itself because a known job gets its status whatever else the body contains.
+    `read_job_spec` decodes the body again, because decoding the spec from the object read here
+    would change the texts of some refusals (`4.0` in place of a string is a float to one decoder
+    and an int to the other).
     """
     try:
         job = read_object(body).get("ref")
