--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -1,4 +1,4 @@
-"""The users' interface against a fake store: what is answered when, and never otherwise."""
+"""The HTTP API against a fake store: statuses and bodies of responses, also during outages."""
 
 from __future__ import annotations
 
@@ -59,22 +59,31 @@
     assert client.submit(**changes)[0] == status
 
 
-NULLABLE = ("flavours", "site", "due_s")
-TEXTS = ("ref", "jobclass", "owner", "shape", "rank", "bundle")
-AMOUNTS = ("vcpus", "cards", "mem_gb", "image_gb", "guess_s", "savepoint_s", "flush_s", "due_s")
-NEEDS = ("vcpus", "cards", "mem_gb")
+NULLABLE_FIELDS = ("flavours", "site", "due_s")
+TEXT_FIELDS = ("ref", "jobclass", "owner", "shape", "rank", "bundle")
+NUMBER_FIELDS = (
+    "vcpus",
+    "cards",
+    "mem_gb",
+    "image_gb",
+    "guess_s",
+    "savepoint_s",
+    "flush_s",
+    "due_s",
+)
+RESOURCE_FIELDS = ("vcpus", "cards", "mem_gb")
 
 
 @pytest.mark.parametrize("field", [*submission(machine_types=["c32"], zone="a", deadline_s=9.0)])
-def test_every_field_by_itself(client: Client, field: str) -> None:
-    """Left out, null, of a wrong type, negative, huge: refused for good, and never accepted.
+def test_a_single_invalid_field_is_refused_permanently(client: Client, field: str) -> None:
+    """A field that is missing, null, of a wrong type, negative or huge gets a 400 or 422.
 
     Jobs that lacked `together`, `spread` or `loaner` were accepted.
     """
     good = submission(machine_types=["c32"], zone="a", deadline_s=9.0)
-    left_out = {name: value for name, value in good.items() if name != field}
+    without_field = {name: value for name, value in good.items() if name != field}
     wrong: list[Any] = [{}, -1, "x", [1], 10**400]
-    if field in TEXTS:
+    if field in TEXT_FIELDS:
         wrong = [{}, -1, 4.5, True, [], ""]
     elif field in ("together", "spread", "loaner"):
         wrong = [{}, 0, 1, "true", []]
@@ -82,11 +91,11 @@
         wrong = [{}, 1, "c32", [None], [[]]]
     elif field == "site":
         wrong = [{}, 1, True, ["a"]]
-    elif field in AMOUNTS:
+    elif field in NUMBER_FIELDS:
         wrong = [{}, True, "4", [4.0], -1.0]
-    if field not in NULLABLE:
+    if field not in NULLABLE_FIELDS:
         wrong.append(None)
-        assert client("POST", "/v2/runs", msgspec.json.encode(left_out))[0] == 400
+        assert client("POST", "/v2/runs", msgspec.json.encode(without_field))[0] == 400
     for value in wrong:
         body = msgspec.json.encode({**good, field: 0}).replace(
             f'"{field}":0'.encode(), f'"{field}":{json.dumps(value)}'.encode()
@@ -97,18 +106,18 @@
             f'"{field}":0'.encode(), f'"{field}":'.encode() + text
         )
         assert client("POST", "/v2/runs", body)[0] == 400, text
-    if field in NEEDS:
+    if field in RESOURCE_FIELDS:
         assert client.submit(**{field: 1e300})[0] == 422
     assert client("GET", "/v2/runs/run-1")[0] == 404
-    if field in NULLABLE:
-        assert client("POST", "/v2/runs", msgspec.json.encode(left_out))[0] == 201
+    if field in NULLABLE_FIELDS:
+        assert client("POST", "/v2/runs", msgspec.json.encode(without_field))[0] == 201
         assert client.submit(**{field: None}) == (200, {"ref": "run-1", "status": "queued"})
 
 
 @pytest.mark.parametrize("changes", [{}, {"task_count": 0}, {"team": "nobody"}])
 @pytest.mark.parametrize("state", ["queued", "cancelled", "done"])
 @pytest.mark.parametrize("full", [False, True])
-def test_a_known_job_is_known_before_any_other_judgement(
+def test_a_repeated_submission_gets_the_status_before_any_validation(
     client: Client, state: str, changes: dict[str, Any], full: bool
 ) -> None:
     if state == "done":
@@ -128,23 +137,23 @@
         (("POST", "/v2/runs/run-1/cancel"), b""),
     ],
 )
-def test_without_the_store_nothing_is_denied(
+def test_requests_get_503_while_the_store_is_down(
     client: Client, call: tuple[str, str], body: bytes
 ) -> None:
-    """Neither 404 nor 400: the job may be known to the store."""
+    """Neither 404 nor 400 would be right, because the job may be in the store."""
     client.node.store.down = True
     assert client(*call, body)[0] == 503
     assert int(client.headers["Retry-After"]) >= 1
 
 
-def test_a_lost_answer_to_an_accepted_submission(client: Client) -> None:
+def test_a_submission_is_known_after_the_response_to_its_write_was_lost(client: Client) -> None:
     client.node.store.lose_answers = True
     assert client.submit()[0] == 503
     client.node.store.lose_answers = False
     assert client.submit() == (200, {"ref": "run-1", "status": "queued"})
 
 
-def test_machine_types_not_known_yet(client: Client) -> None:
+def test_submissions_get_503_while_the_machine_types_are_unknown(client: Client) -> None:
     client.node.machine_types = {}
     assert client.submit()[0] == 503
 
@@ -169,7 +178,7 @@
     ],
 )
 def test_headers(lines: bytes, wrong: bool, length: str | None) -> None:
-    """Read by our own hand, since the mail parser took a third of what a heartbeat costs."""
+    """They have a parser of their own: the email parser took a third of a heartbeat's time."""
     headers = RequestHeaders.read(io.BytesIO(lines + b"\r\nbody"))
     assert bool(headers.status) is wrong
     if not wrong:
@@ -194,9 +203,11 @@
     }
 
 
-@pytest.mark.parametrize("who", ["leader", "follower", "follower of a silent leader", "nobody"])
 @pytest.mark.parametrize(
-    ("stored", "told"),
+    "role", ["leader", "follower", "follower of a silent leader", "without a leader"]
+)
+@pytest.mark.parametrize(
+    ("stored", "expected"),
     [
         (("live", False), "queued"),
         (("live", True), "cancelled"),
@@ -204,37 +215,39 @@
         (("final", "cancelled"), "cancelled"),
     ],
 )
-def test_an_accepted_job_stays_known_through_troubles_and_after(
-    client: Client, who: str, stored: tuple[str, Any], told: str
+def test_an_accepted_job_stays_known_during_and_after_a_store_outage(
+    client: Client, role: str, stored: tuple[str, Any], expected: str
 ) -> None:
-    """Whoever is asked, and whoever leads: never 404, and an answer once the troubles are over.
+    """Polls never get 404, whatever the node's role, and 200 once the outage is over.
 
-    Answered by the leader from memory where it may, else from the store by whom users reach.
+    The leader answers from memory where it may; otherwise the polled node reads the store.
     """
     node = client.node
     if stored[0] == "live":
         client.live("run-1", cancelled=stored[1])
     else:
         client.final("run-1", stored[1])
-    if who == "leader":
-        node.leader = FakeLeader()  # its lease is gone, or the final write is under way
-    if who == "follower" and told == "queued":
+    if role == "leader":
+        node.leader = FakeLeader()  # its lease has expired, or the final write is in progress
+    if role == "follower" and expected == "queued":
         node.remote[JobId("run-1")] = JobStatus("run-1", "queued")
-    if who == "nobody":
+    if role == "without a leader":
         node.follows = None
     node.store.down = True
     for _ in range(3):
         status, answer = client("GET", "/v2/runs/run-1")
         assert status in (200, 503)
-        assert answer.get("status") == told if status == 200 else "Retry-After" in client.headers
+        assert (
+            answer.get("status") == expected if status == 200 else "Retry-After" in client.headers
+        )
     node.store.down = False
-    for _ in range(2):  # every question from now on, so well within the 75 s
+    for _ in range(2):  # every poll from now on, so well within the 75 s
         status, answer = client("GET", "/v2/runs/run-1")
-        assert (status, answer["status"]) == (200, told)
+        assert (status, answer["status"]) == (200, expected)
     assert client("GET", "/v2/runs/run-2")[0] == 404
 
 
-def test_final_states_are_remembered_in_a_bounded_way(client: Client) -> None:
+def test_the_cache_of_final_states_is_bounded(client: Client) -> None:
     for n in range(1, 6):
         client.final(f"run-{n}", "done")
         assert client("GET", f"/v2/runs/run-{n}")[0] == 200
@@ -257,8 +270,8 @@
     assert client("GET", "/v2/runs/run-1") == expected
 
 
-def test_no_user_is_told_of_a_cancel_before_the_leader_knows(client: Client) -> None:
-    """The leader answers polls from memory: it could go on telling an older state."""
+def test_a_cancel_is_confirmed_only_once_the_leader_knows_of_it(client: Client) -> None:
+    """Until then the leader, which answers polls from memory, could report an older state."""
     client.live()
     client.node.leader_knows = False
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 503
@@ -270,11 +283,11 @@
     ("leads", "follows", "status", "body"),
     [
         (False, "n-1", 421, {"foreman": "n-1"}),
-        (True, "n-1", 421, {"foreman": "n-1"}),  # leads no longer, or may not answer
+        (True, "n-1", 421, {"foreman": "n-1"}),  # no longer leads, or may not answer
         (False, None, 503, {"error": "no leader is known"}),
     ],
 )
-def test_workers_are_sent_to_the_leader(
+def test_workers_are_redirected_to_the_leader(
     client: Client, leads: bool, follows: str | None, status: int, body: dict[str, str]
 ) -> None:
     client.node.leader = FakeLeader() if leads else None
--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -1,4 +1,4 @@
-"""What polls cost: users poll many times as often as before, at every controller."""
+"""Reads of the store and peer requests that polls cause, at the leader and at other controllers."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 POLLS = 1000
 
 
-class Costs:
+class RequestCounter:
     """Counts the reads of the store and the requests between controllers."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.reads = self.peer_requests = 0
+        self.store_reads = self.peer_requests = 0
         get, request = StoreLink.get, FakePeer.request
 
         def counted_get(link: StoreLink, key: str) -> Any:
-            self.reads += 1
+            self.store_reads += 1
             return get(link, key)
 
         def counted_request(peer: FakePeer, message: Any, deadline_s: float) -> Any:
@@ -32,7 +32,7 @@
 
 
 def poll_all(cluster: SimulatedCluster, refs: list[str], node: str | None = None) -> None:
-    """Poll as a thousand users do, at one controller or at all of them in turn."""
+    """Send POLLS polls, to one controller or to all of them in turn."""
     for number in range(POLLS):
         status = cluster.poll(
             node or CONTROLLERS[number % len(CONTROLLERS)], refs[number % len(refs)]
@@ -40,8 +40,8 @@
         assert status == 200
 
 
-def jobs(cluster: SimulatedCluster) -> list[str]:
-    """Bring up a leader with ten jobs that run."""
+def start_jobs(cluster: SimulatedCluster) -> list[str]:
+    """Start a leader and three workers, and submit ten jobs; return their ids."""
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}")
     cluster.run(4.0)
@@ -54,33 +54,36 @@
 
 
 @pytest.mark.parametrize(("node", "peer_requests"), [(CONTROLLERS[0], 0), (CONTROLLERS[1], POLLS)])
-def test_the_status_of_live_jobs_is_in_the_leaders_memory(
+def test_polls_of_live_jobs_are_answered_from_the_leaders_memory(
     cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch, node: str, peer_requests: int
 ) -> None:
-    """The leader asks nobody; another controller asks the leader, and never the store."""
-    refs = jobs(cluster)
-    costs = Costs(monkeypatch)
+    """The leader sends no request; another controller sends one to the leader, none to the store.
+
+    Users poll often and at every controller, so a poll must cost little.
+    """
+    refs = start_jobs(cluster)
+    counter = RequestCounter(monkeypatch)
     poll_all(cluster, refs, node)
-    assert (costs.reads, costs.peer_requests) == (0, peer_requests)
+    assert (counter.store_reads, counter.peer_requests) == (0, peer_requests)
 
 
-def test_jobs_that_have_ended_are_looked_up_once_at_each_controller(
+def test_ended_jobs_are_looked_up_once_at_each_controller(
     cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refs = jobs(cluster)
+    refs = start_jobs(cluster)
     for worker in cluster.workers.values():
         cluster.end(worker)
     cluster.run(4.0)
-    costs = Costs(monkeypatch)
+    counter = RequestCounter(monkeypatch)
     poll_all(cluster, refs)
-    assert costs.peer_requests <= 2 * len(refs)
-    assert costs.reads <= 2 * 2 * len(refs)
+    assert counter.peer_requests <= 2 * len(refs)
+    assert counter.store_reads <= 2 * 2 * len(refs)
     assert set(cluster.rules.final_states.values()) == {"done"}
 
 
 def test_heartbeats_are_answered_between_polls(cluster: SimulatedCluster) -> None:
-    """No poll leaves anything behind that a heartbeat would have to wait for."""
-    refs = jobs(cluster)
+    """Polls leave no requests in flight that would delay a heartbeat."""
+    refs = start_jobs(cluster)
     worker = cluster.workers["i-000001"]
     poll_all(cluster, refs)
     status, answer = cluster.send_heartbeat(CONTROLLERS[0], worker.heartbeat())
