--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -15,7 +15,7 @@
     MAX_MACHINES_PER_RELEASE,
     MAX_MACHINES_PER_RENTAL,
 )
-from ryewing.clients.machine_listing import LIST_SHARE
+from ryewing.clients.machine_listing import LIST_RATE_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
 from ryewing.leader.direct_messages import BASE_SENDS_IN_FLIGHT, max_sends_in_flight
@@ -23,7 +23,7 @@
 from ryewing.leader.plan_applier import MIN_ATTEMPTS_LEFT
 from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.state.attempts import TaskPhase
-from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
+from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_number
 from ryewing.wire.cloud import ListedMachine
 from ryewing.wire.workers import Command
 
@@ -215,7 +215,7 @@
             autoscaler.inventory.read_page()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
-    assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
+    assert pages <= LIST_RATE_SHARE * rps * (seconds + 1) + 1
     assert pages >= -(-machines // MAX_MACHINES_PER_PAGE)
 
 
@@ -226,12 +226,12 @@
     harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
-    assert not harness.lost
+    assert not harness.end_reasons
     harness.place()
-    assert harness.lost == ["attempts-used-up"]
-    assert attempt_of(TermNumber(5), MAX_ATTEMPTS) < attempt_of(TermNumber(6), 0)
+    assert harness.end_reasons == ["attempts-used-up"]
+    assert attempt_number(TermNumber(5), MAX_ATTEMPTS) < attempt_number(TermNumber(6), 0)
     with pytest.raises(ValueError, match="another term"):
-        attempt_of(TermNumber(5), MAX_ATTEMPTS + 1)
+        attempt_number(TermNumber(5), MAX_ATTEMPTS + 1)
 
 
 def test_fixed_limits_stand_above_the_fleet() -> None:
