--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -1,4 +1,4 @@
-"""The client of the cloud: renting, releasing and listing machines (PROTOCOL, "-> cloud")."""
+"""The client of the cloud, which rents, releases and lists machines (PROTOCOL, "-> cloud")."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 DEADLINE_S = 4.0
 """The deadline of a request to the cloud."""
-KEPT_CONNECTIONS = 2
-"""Idle connections that are kept."""
-RATE_SHARE = 0.8
-"""The share of the cloud's rate that one controller uses. Only the leader sends requests, but two
-leaders can overlap for a moment."""
+MAX_IDLE_CONNECTIONS = 2
+"""The maximum number of idle connections that are kept open."""
+CLOUD_RATE_SHARE = 0.8
+"""The share of the cloud's rate limit that one controller uses. It is below 1 because two leaders
+can overlap for a moment, although only the leader sends requests."""
 MAX_MACHINES_PER_RENTAL = 50
-"""The most machines that one rental request may ask for (PROTOCOL)."""
+"""The maximum number of machines in one rental request (PROTOCOL)."""
 MAX_MACHINES_PER_RELEASE = 100
-"""The most machines that one request may release (PROTOCOL)."""
+"""The maximum number of machines in one release request (PROTOCOL)."""
 MAX_MACHINES_PER_PAGE = 500
-"""The most machines in one page of the list (PROTOCOL)."""
+"""The maximum number of machines in one page of the list (PROTOCOL)."""
 NO_CAPACITY = b"no capacity"
-"""The error in a 503 that says that the machines can't be had (PROTOCOL)."""
+"""The error in a 503 if the cloud has no machines of the requested type (PROTOCOL)."""
 T = TypeVar("T")
 
 
@@ -43,11 +43,11 @@
 
 
 class CloudUnavailableError(CloudError):
-    """The cloud did not respond, or refused for now; the request may still be executed."""
+    """The cloud did not respond, or refused temporarily; the request may still be executed."""
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no machine of this type, zone and kind (spot or on demand)."""
+    """The cloud has no machine of this type in this zone, as spot or on demand as requested."""
 
 
 class Cloud:
@@ -57,12 +57,12 @@
     """
 
     def __init__(self, address: Address, limits: CloudLimits) -> None:
-        self._http = HttpClient(address, KEPT_CONNECTIONS)
-        self.bucket = TokenBucket(RATE_SHARE * limits.rps, limits.rps)
+        self._http = HttpClient(address, MAX_IDLE_CONNECTIONS)
+        self.bucket = TokenBucket(CLOUD_RATE_SHARE * limits.rps, limits.rps)
 
     def _request(self, method: str, path: str, body: bytes | None = None) -> Reply:
         if not self.bucket.try_acquire():
-            raise CloudUnavailableError("own token bucket is empty")
+            raise CloudUnavailableError("this controller's share of the request rate is used up")
         try:
             reply = self._http.request(method, path, body, DEADLINE_S)
         except UnreachableError as error:
@@ -81,7 +81,7 @@
         return self._decode(self._request("GET", "/machine_types"), MachineTypeList).machine_types
 
     def rent(self, request: RentalRequest) -> list[MachineId]:
-        """Rent machines; raise NoCapacityError if there are none.
+        """Rent machines; raise NoCapacityError if none are available.
 
         The request is idempotent: repeating it returns the same machines.
         """
@@ -91,7 +91,7 @@
     def release(self, machines: Sequence[MachineId]) -> None:
         """Release up to MAX_MACHINES_PER_RELEASE machines.
 
-        On return, they and everything on them are gone.
+        After the response, they and everything on them are gone.
         """
         body = msgspec.json.encode(
             MachineNames([str(m) for m in machines[:MAX_MACHINES_PER_RELEASE]])
@@ -99,12 +99,12 @@
         self._request("POST", "/machines/release", body)
 
     def machine_page(self, since: str) -> MachinePage:
-        """Read one page of the machine list: the machines whose names come after `since`.
+        """Read the page of the machine list that starts after the machine named `since`.
 
-        The list describes the machines as they were some seconds ago.
+        The list is some seconds old.
         """
         path = f"/machines?page={MAX_MACHINES_PER_PAGE}" + (f"&since={since}" if since else "")
         return self._decode(self._request("GET", path), MachinePage)
 
-    def _decode(self, reply: Reply, kind: type[T]) -> T:
-        return decode_json_body(reply, kind, "cloud", CloudUnavailableError)
+    def _decode(self, reply: Reply, body_type: type[T]) -> T:
+        return decode_json_body(reply, body_type, "cloud", CloudUnavailableError)
--- a/src/ryewing/clients/errors.py
+++ b/src/ryewing/clients/errors.py
@@ -4,4 +4,4 @@
 
 
 class ClientError(Exception):
-    """A request to something outside this controller failed, or was not sent."""
+    """A request to a system outside this controller failed, or was not sent."""
--- a/src/ryewing/clients/http_client.py
+++ b/src/ryewing/clients/http_client.py
@@ -1,7 +1,7 @@
-"""Plain HTTP/1.1 requests over gevent sockets, with deadlines and kept connections.
+"""HTTP/1.1 requests over gevent sockets, with deadlines and persistent connections.
 
-`http.client` speaks the protocol. This module adds only what a controller must bound: one deadline
-for the whole exchange, and the number of idle connections that are kept open.
+`http.client` implements the protocol. This module adds one deadline for the whole exchange, and a
+limit on the number of idle connections that are kept open.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class UnreachableError(ClientError):
-    """There was no response: the request may have been executed, or may still be executed."""
+    """There was no response; the request may have been executed, or may still be executed."""
 
 
 class Reply:
@@ -38,22 +38,23 @@
 
 
 def decode_json_body(
-    reply: Reply, kind: type[T], source: str, failure: Callable[[str], Exception]
+    reply: Reply, body_type: type[T], source: str, failure: Callable[[str], Exception]
 ) -> T:
-    """Decode the body of a response from `source`.
+    """Decode the body of a response from `source`, a module of `ryewing.clients`.
 
-    An unreadable body is logged and raises the `failure` that a missing response raises.
+    An unreadable body is logged, and raises the same error as a missing response, made by
+    `failure`.
     """
     try:
-        return decode(reply.body, kind)
+        return decode(reply.body, body_type)
     except MalformedError as error:
         log = logging.getLogger(f"ryewing.clients.{source}")
         log.warning("event=unreadable-answer from=%s error=%s", source, error)
-        raise failure(f"unreadable answer: {error}") from None
+        raise failure(f"unreadable response: {error}") from None
 
 
 class _Connection(http.client.HTTPConnection):
-    """An HTTP connection whose socket cooperates with gevent."""
+    """An HTTP connection over a gevent socket."""
 
     def __init__(self, address: Address) -> None:
         super().__init__(address[0], address[1])
@@ -61,7 +62,7 @@
         self._unsent = b""
 
     def send(self, data: bytes) -> None:  # type: ignore[override]
-        """Buffer headers and body until both are there: one packet and one system call fewer."""
+        """Buffer headers and body to send them together, which saves a packet and a system call."""
         self._unsent += data
 
     def getresponse(self) -> http.client.HTTPResponse:
@@ -83,7 +84,7 @@
 
 
 class HttpClient:
-    """Requests to one address; up to `max_idle` connections are kept for later requests."""
+    """Requests to one address; up to `max_idle` idle connections are kept for later requests."""
 
     def __init__(self, address: Address, max_idle: int) -> None:
         self._address = address
@@ -93,12 +94,12 @@
     def request(self, method: str, path: str, body: bytes | None, deadline_s: float) -> Reply:
         """Send a request and return its response, whatever the status.
 
-        Raise UnreachableError without a complete response within `deadline_s` seconds.
+        Raise UnreachableError if there is no complete response within `deadline_s` seconds.
         """
         connection = self._idle.pop() if self._idle else _Connection(self._address)
         reusable = False
         try:
-            with gevent.Timeout(deadline_s, TimeoutError("deadline")):
+            with gevent.Timeout(deadline_s, TimeoutError("deadline exceeded")):
                 headers = {"Content-Type": "application/json"} if body is not None else {}
                 connection.request(method, path, body=body, headers=headers)
                 response = connection.getresponse()
@@ -107,7 +108,7 @@
                 return Reply(response.status, data)
         except (OSError, http.client.HTTPException) as error:
             if isinstance(error, OSError) and error.errno == errno.EMFILE:
-                raise UnreachableError("out of sockets") from None
+                raise UnreachableError("out of file descriptors") from None
             raise UnreachableError(f"{type(error).__name__}: {error}") from None
         finally:
             if reusable and len(self._idle) < self._max_idle:
--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -1,7 +1,7 @@
 """Reads the cloud's machine list page by page, within a share of the cloud's rate limit.
 
-At thousands of machines one reading of the whole list took more requests than the rate has in the
-time between two readings, so that renting and releasing found none left.
+With thousands of machines, reading the whole list took more requests than the rate limit allows
+between two readings, so that none were left for rentals and releases.
 """
 
 from __future__ import annotations
@@ -14,53 +14,53 @@
 from ryewing.wire.cloud import ListedMachine
 
 LIST_EVERY_S = 4.0
-"""The interval from the begin of one reading of the whole list to the begin of the next. A reading
-that takes longer is finished first."""
+"""The interval between the starts of two readings of the whole list, in seconds. A reading that
+takes longer is finished first."""
 LIST_RATE_SHARE = 0.3
-"""The share of the cloud's rate that pages of the list may take."""
+"""The share of the cloud's rate limit for reading pages of the list."""
 
 
 class ListPage(NamedTuple):
-    """One page of the list; the last page has the names of all machines that were listed."""
+    """One page of the list."""
 
     machines: list[ListedMachine]
     all_machine_ids: frozenset[MachineId] | None
-    """None before the last page."""
+    """The machines of all pages if this is the last page, else None."""
 
 
 class MachineListing:
-    """Owns the position up to which the list has been read."""
+    """Reads the machine list page by page, and owns the position of the next page."""
 
     def __init__(self, cloud: Cloud, cloud_rps: float) -> None:
         self.cloud = cloud
         self.bucket = TokenBucket(
             LIST_RATE_SHARE * cloud_rps, LIST_RATE_SHARE * cloud_rps, monotonic_now
         )
-        self._began_at = MonotonicTime(-1e9)
-        self._since = ""
-        self._names: set[MachineId] = set()
+        self._started_at = MonotonicTime(-1e9)
+        self._after = ""
+        self._machine_ids: set[MachineId] = set()
 
     def try_acquire_page(self, now: MonotonicTime) -> bool:
-        """Return whether a page should be read now.
+        """Return whether a page is due and the rate share allows reading it now.
 
-        The caller must then read it: its share of the rate has been taken.
+        If so, a token of the rate share has been taken, and the caller must read the page.
         """
-        if not self._since and now - self._began_at < LIST_EVERY_S:
+        if not self._after and now - self._started_at < LIST_EVERY_S:
             return False
         return self.bucket.try_acquire()
 
     def read_page(self, now: MonotonicTime) -> ListPage:
-        """Read the next page, or the first one if the last has been read.
+        """Read the next page, or the first one if the last page has been read.
 
-        Raise CloudUnavailableError if the cloud has no usable response; the position stays.
+        Raise CloudUnavailableError if there is no usable response; the position then stays.
         """
-        if not self._since:
-            self._began_at = now
-            self._names.clear()
-        page = self.cloud.machine_page(self._since)
-        self._names.update(MachineId(listed.id) for listed in page.machines)
+        if not self._after:
+            self._started_at = now
+            self._machine_ids.clear()
+        page = self.cloud.machine_page(self._after)
+        self._machine_ids.update(MachineId(listed.id) for listed in page.machines)
         if page.has_next and page.machines:
-            self._since = page.machines[-1].id
+            self._after = page.machines[-1].id
             return ListPage(page.machines, None)
-        self._since = ""
-        return ListPage(page.machines, frozenset(self._names))
+        self._after = ""
+        return ListPage(page.machines, frozenset(self._machine_ids))
--- a/src/ryewing/clients/peers/__init__.py
+++ b/src/ryewing/clients/peers/__init__.py
@@ -1,14 +1,14 @@
 """Peer RPC: the requests that controllers send to each other, and the server that answers them.
 
 A frame is four bytes of length and one msgpack-encoded struct, over TCP. A refused connection or a
-missing response is never taken as proof that the other controller is dead. Importers take the names
-from here, not from the modules below.
+missing response never counts as proof that the other controller is dead. Other packages import the
+names from here, not from the modules of this package.
 """
 
 from __future__ import annotations
 
 from ryewing.clients.peers.client import (
-    MAX_REQUESTS_IN_FLIGHT,
+    BASE_REQUESTS_IN_FLIGHT,
     PeerClient,
     Peers,
     PeerUnavailableError,
@@ -33,8 +33,8 @@
 from ryewing.clients.peers.server import PeerServer
 
 __all__ = [
+    "BASE_REQUESTS_IN_FLIGHT",
     "FRAME_MAX",
-    "MAX_REQUESTS_IN_FLIGHT",
     "Ack",
     "CancelNotice",
     "Handler",
--- a/src/ryewing/clients/peers/client.py
+++ b/src/ryewing/clients/peers/client.py
@@ -1,4 +1,4 @@
-"""The clients of the other controllers: requests over a few kept connections."""
+"""The clients of the other controllers, with a few persistent connections to each."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from ryewing.wire.codec import DECODE_ERRORS
 
 log = logging.getLogger(__name__)
-KEPT_CONNECTIONS = 4
-"""Idle connections that are kept to each peer."""
+MAX_IDLE_CONNECTIONS = 4
+"""The maximum number of idle connections that are kept open to each peer."""
 PEER_DEADLINE_S = 0.6
 """The deadline of a request to a peer."""
-MAX_REQUESTS_IN_FLIGHT = 32
-"""The least bound of requests to one peer that wait for a response.
+BASE_REQUESTS_IN_FLIGHT = 32
+"""The minimum of the limit on requests in flight to one peer.
 
-Each takes a socket and a greenlet until its deadline. A controller that is silent answers none,
-while users go on asking many times as often.
+Each such request takes a socket and a greenlet until its deadline. Without a limit, the requests of
+users who keep polling would use up both while a peer does not respond.
 """
 
 _response_decoder = msgspec.msgpack.Decoder(Response)
@@ -35,21 +35,22 @@
 
 
 def max_requests_in_flight(sockets: int, peers: int) -> int:
-    """Return the bound of requests to one peer, given the sockets for all peers together.
+    """Return the limit on requests in flight to one peer, given the sockets for all peers together.
 
-    Found in a trial with 3,600 machines: while a cycle held the leader up for a fifth of a second,
-    more users asked at another controller than 32, and the rest got 503.
+    In a trial with 3,600 machines and a limit of 32, a scheduling cycle blocked the leader for a
+    fifth of a second. In that time more than 32 users polled another controller, and the rest got
+    503.
     """
-    return max(MAX_REQUESTS_IN_FLIGHT, sockets // max(1, peers))
+    return max(BASE_REQUESTS_IN_FLIGHT, sockets // max(1, peers))
 
 
 class PeerClient:
-    """Requests to one other controller, over a few kept connections.
+    """Requests to one other controller, over a few persistent connections.
 
     At most `max_in_flight` requests wait for a response at any time.
     """
 
-    def __init__(self, address: Address, max_in_flight: int = MAX_REQUESTS_IN_FLIGHT) -> None:
+    def __init__(self, address: Address, max_in_flight: int = BASE_REQUESTS_IN_FLIGHT) -> None:
         self._address = address
         self._max_in_flight = max_in_flight
         self._idle: deque[socket.socket] = deque()
@@ -58,13 +59,17 @@
 
     @property
     def idle_connections(self) -> int:
-        """How many connections are kept for the next requests."""
+        """The number of open connections that no request uses."""
         return len(self._idle)
 
     def request(self, request: Request, deadline_s: float) -> Response:
-        """Send a request and wait for its response; raise PeerUnavailableError without one."""
+        """Send a request and wait for its response.
+
+        Raise PeerUnavailableError if there is none within `deadline_s` seconds, or immediately if
+        too many requests are in flight.
+        """
         if self.in_flight >= self._max_in_flight:
-            raise PeerUnavailableError("too many requests under way")
+            raise PeerUnavailableError("too many requests in flight")
         self.in_flight += 1
         try:
             return self._exchange(request, deadline_s)
@@ -75,7 +80,7 @@
         sock: socket.socket | None = self._idle.pop() if self._idle else None
         done = False
         try:
-            with gevent.Timeout(deadline_s, TimeoutError("deadline")):
+            with gevent.Timeout(deadline_s, TimeoutError("deadline exceeded")):
                 if sock is None:
                     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -85,11 +90,11 @@
                 done = True
                 return response
         except (OSError, EOFError, *DECODE_ERRORS) as error:
-            # The kept connections fail as this one did: each would cost one more deadline.
+            # The idle connections would likely fail too, each after one more deadline.
             self._close_idle()
             raise PeerUnavailableError(f"{type(error).__name__}: {error}") from None
         finally:
-            if sock is not None and done and len(self._idle) < KEPT_CONNECTIONS:
+            if sock is not None and done and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(sock)
             elif sock is not None:
                 sock.close()
@@ -106,7 +111,7 @@
         self.members = members
 
     def request(self, node: str | None, request: Request) -> Response | None:
-        """Send a request to one controller; None if it is unknown or does not respond."""
+        """Send a request to one controller; return None if it is unknown or does not respond."""
         peer = self.members.get(node) if node is not None else None
         if peer is None:
             return None
@@ -117,6 +122,6 @@
             return None
 
     def broadcast(self, request: Request) -> None:
-        """Send a request to every peer, each in a greenlet of its own, without waiting."""
+        """Send a request to every peer, each from a separate greenlet, without waiting."""
         for node in self.members:
             gevent.spawn(self.request, node, request)
--- a/src/ryewing/clients/peers/framing.py
+++ b/src/ryewing/clients/peers/framing.py
@@ -1,4 +1,4 @@
-"""Frames of peer RPC: four bytes of length, most significant first, and one msgpack value."""
+"""Frames of peer RPC: the length as a 4-byte big-endian integer, and one msgpack value."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from ryewing.clients.peers.messages import Request, Response
 
 FRAME_MAX = 4 * 1024 * 1024
-"""The most bytes that a frame may have after its length."""
+"""The maximum size of a frame after its length, in bytes."""
 LENGTH_BYTES = 4
-RECEIVE_MAX = 65536
-"""The most bytes that one call to the socket returns."""
+MAX_RECEIVE_BYTES = 65536
+"""The maximum number of bytes to receive in one call."""
 
 
 def _read_exactly(sock: socket.socket, count: int) -> bytes:
     parts = []
     while count:
-        data = sock.recv(min(count, RECEIVE_MAX))
+        data = sock.recv(min(count, MAX_RECEIVE_BYTES))
         if not data:
             raise EOFError
         parts.append(data)
--- a/src/ryewing/clients/peers/messages.py
+++ b/src/ryewing/clients/peers/messages.py
@@ -1,8 +1,8 @@
-"""The messages of peer RPC: what controllers ask each other, and their responses.
+"""The messages of peer RPC: requests of controllers to each other, and their responses.
 
-The tags and field names are the format on the wire and stay as they are: controllers of two
-versions run side by side during an upgrade (docs/design.md, "Compatibility"). A new field needs a
-default, and there are no new tags.
+The tags and field names are the wire format. They must not change, because controllers of two
+versions run side by side during an upgrade (docs/design.md, "Compatibility"). New fields need a
+default, and new tags must not be added.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class JobStatusQuery(msgspec.Struct, tag="poll"):
-    """A follower asks the leader for the status of a job."""
+    """A follower's request to the leader for the status of a job."""
 
     job: str
 
 
 class CancelNotice(msgspec.Struct, tag="cancel", omit_defaults=True):
-    """A cancel has been written: the leader must know of it before the user gets a response."""
+    """A notice that a cancel has been written, sent before the user gets a response."""
 
     job: str
     shard: str | None = None
-    """The shard whose leader is addressed, here and in the other messages; None if the fleet is
+    """The shard whose leader is addressed, here and in the other requests; None if the fleet is
     undivided."""
 
 
 class LeaderAnnouncement(msgspec.Struct, tag="leader", omit_defaults=True):
-    """A new leader announces itself, so that an older one steps down at once."""
+    """The announcement of a new leader, on which a leader of an earlier term steps down at once."""
 
     node: str
     term: int
@@ -37,13 +37,13 @@
 
 
 class LoadQuery(msgspec.Struct, tag="load", omit_defaults=True):
-    """A follower asks whether the leader can accept more jobs."""
+    """A follower's request for the load of the leader, and whether it can accept more jobs."""
 
     shard: str | None = None
 
 
 class ImageLocality(msgspec.Struct, tag="images", omit_defaults=True):
-    """The leader reports which machines have which images, so that a successor need not learn it.
+    """The leader's record of the images on each machine, from which a successor starts.
 
     It affects only where tasks can start without fetching an image.
     """
@@ -52,14 +52,14 @@
     images: list[tuple[str, float]] = []
     """Name and size in GB of each image."""
     machines: dict[str, list[int]] = {}
-    """By machine: indexes into `images`, the least recently used image first."""
+    """For each machine, indexes into `images`, the least recently used image first."""
     failing: dict[str, float] = {}
-    """Jobs that fail on every machine, and for each the backoff in seconds between two probes."""
+    """Jobs that fail on every machine, with the backoff between two probes in seconds."""
     shard: str | None = None
 
 
 class RelayRequest(msgspec.Struct, tag="relay"):
-    """A controller that alone can't reach the store sends a request to it through a peer."""
+    """A request to the store, sent through a peer by a controller that can't reach the store."""
 
     method: str
     path: str
@@ -67,13 +67,13 @@
 
 
 class JobStatusReply(msgspec.Struct, tag="state"):
-    """The response to `JobStatusQuery`; without a status, the store must be read instead."""
+    """The response to `JobStatusQuery`; if it has no status, the store must be read instead."""
 
     status: str | None = None
     done: int | None = None
     running: int | None = None
     shard: str | msgspec.UnsetType | None = msgspec.UNSET
-    """The job's shard; omitted where the fleet is undivided, as in every earlier version."""
+    """The job's shard; omitted if the fleet is undivided, as in every earlier version."""
 
 
 class Ack(msgspec.Struct, tag="ack"):
@@ -87,7 +87,7 @@
 
     full: bool
     backlog: float
-    """Waiting work as a fraction of the capacity of the shard's machines."""
+    """Queued work as a fraction of the capacity of the shard's machines."""
 
 
 class RelayResponse(msgspec.Struct, tag="relayed"):
@@ -102,4 +102,4 @@
 ]
 Response = Union[JobStatusReply, Ack, ShardLoadAnswer, RelayResponse]
 Handler = Callable[[Request], Response]
-"""Answers a request. It may wait: each connection has a greenlet of its own."""
+"""Handles a request. It may block, because each connection has its own greenlet."""
--- a/src/ryewing/clients/peers/server.py
+++ b/src/ryewing/clients/peers/server.py
@@ -16,7 +16,7 @@
 from ryewing.wire.codec import DECODE_ERRORS
 
 log = logging.getLogger(__name__)
-IDLE_S = 60.0
+IDLE_TIMEOUT_S = 60.0
 """How long a connection may be idle before it is closed."""
 
 _request_decoder = msgspec.msgpack.Decoder(Request)
@@ -31,23 +31,23 @@
 
     @property
     def address(self) -> Address:
-        """The address listened on: once started, with the port that the system chose for 0."""
+        """The address that the server listens on; once started, a port of 0 is replaced."""
         address: Address = self._server.address
         return address
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen and to accept connections."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop listening, and end the greenlets of all connections at once."""
+        """Stop listening, and kill the greenlets of all connections at once."""
         self._server.stop(timeout=0)
 
     def _serve(self, sock: socket.socket, _address: object) -> None:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             while True:
-                with gevent.Timeout(IDLE_S, TimeoutError("idle")):
+                with gevent.Timeout(IDLE_TIMEOUT_S, TimeoutError("idle")):
                     frame = read_frame(sock)
                 write_frame(sock, self._handler(_request_decoder.decode(frame)))
         except DECODE_ERRORS as error:
--- a/src/ryewing/clients/store/__init__.py
+++ b/src/ryewing/clients/store/__init__.py
@@ -1,7 +1,8 @@
-"""The client of the store: the only place that outlives a controller.
+"""The client of the store, which holds the only state that outlives a controller process.
 
 The package owns the requests to the consensus-backed key-value store: reads, compare-and-swap
-transactions, leases and watches. Importers take the names from here, not from the modules below.
+transactions, leases and watches. Other packages import the names from here, not from the modules of
+this package.
 """
 
 from __future__ import annotations
--- a/src/ryewing/clients/store/client.py
+++ b/src/ryewing/clients/store/client.py
@@ -1,7 +1,7 @@
 """The HTTP client of the store (PROTOCOL, "Controller nodes -> state service").
 
-Transactions are conditional. A transaction without a response may still be applied later, which is
-why every caller names the versions it has read (and the leader always the key of its own term).
+A transaction without a response may still be applied later. Transactions are therefore conditional:
+every caller passes the key versions that it has read, and the leader always that of its term's key.
 """
 
 from __future__ import annotations
@@ -38,27 +38,27 @@
 )
 
 TXN_PATH = "/txn"
-LEASE_GONE = b"lease"
-"""Part of the error in the 400 to a write that hangs on an expired lease (PROTOCOL)."""
+LEASE_ERROR = b"lease"
+"""Part of the error in the 400 to a write that is attached to an expired lease (PROTOCOL)."""
 PAGE_SIZE = 1000
-"""Entries in one page of a listing: the most that the store returns."""
-KEPT_CONNECTIONS = 6
-"""Idle connections that are kept for requests other than watches."""
+"""Entries requested in one page of a listing, the maximum that the store returns."""
+MAX_IDLE_CONNECTIONS = 6
+"""The maximum number of idle connections that are kept open for requests other than watches."""
 WATCHES_PER_TERM = 2
-"""Watches that each term has open: of its lease and of the jobs."""
+"""Watches that each term has open, one of its lease and one of the jobs."""
 WATCH_MARGIN_S = 2.0
-"""How long the response of a watch may take beyond the time for which the store holds it open."""
+"""Added to the time for which the store holds a watch open, to get the deadline of the watch."""
 
 
 class Store:
     """Requests to the store.
 
-    A controller that alone can't reach the store may send a request through a peer (`relay`):
+    If only this controller can't reach the store, it may send requests through a peer (`relay`),
     see `PeerFallback`. Each request switches greenlets.
     """
 
     def __init__(self, address: Address, limits: StateLimits, terms: int = 1) -> None:
-        self._http = HttpClient(address, KEPT_CONNECTIONS)
+        self._http = HttpClient(address, MAX_IDLE_CONNECTIONS)
         self._watches = HttpClient(address, WATCHES_PER_TERM * terms)
         self._peer_fallback = PeerFallback(self)
         self.limits = limits
@@ -66,8 +66,8 @@
         self.relay: RelayRequester | None = None
         """Sends a request through a peer; None if there is no fallback."""
         self.on_throttled: Callable[[], None] | None = None
-        """Called when the store refuses a request without writes by its rate limit. A refused
-        write may be due to the limit of writes, which has its own budget."""
+        """Called when the store refuses a request without writes because of its rate limit. It is
+        not called for a refused write, whose cause may be the separate rate limit of writes."""
 
     def request_direct(
         self, method: str, path: str, body: bytes | None, deadline_s: float = DEADLINE_S
@@ -118,8 +118,8 @@
     def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
         """Read every key with the prefix, and the revision from which to watch.
 
-        This is the revision of the first page: the watch reports changes made during the reading
-        once more.
+        This is the revision of the first page, so that the watch reports every change made while
+        the later pages were read, also if a page contains it already.
         """
         entries: list[Entry] = []
         revision: int | None = None
@@ -132,15 +132,15 @@
     def txn(self, conditions: dict[str, KeyVersion], writes: Iterable[Put | Remove]) -> TxnResult:
         """Apply the writes if every key in the conditions has the given version.
 
-        Raise LeaseLostError if a write hangs on a lease that is gone, and RejectedError if the
-        store refuses the transaction as it is.
+        Raise LeaseLostError if a write is attached to a lease that does not exist any more, and
+        RejectedError if the store refuses the transaction permanently.
         """
         transaction = Transaction(
             [KeyCondition(key, key_version) for key, key_version in conditions.items()],
             list(writes),
         )
         reply = self._request("POST", TXN_PATH, msgspec.json.encode(transaction))
-        if reply.status == 400 and LEASE_GONE in reply.body:
+        if reply.status == 400 and LEASE_ERROR in reply.body:
             raise LeaseLostError(reply.body.decode("utf-8", "replace"))
         if reply.status == 400:
             raise RejectedError(f"400: {reply.body[:200]!r}")
@@ -163,7 +163,7 @@
             raise StoreUnavailableError(str(reply.status))
 
     def revoke(self, lease: int) -> None:
-        """End a lease at once."""
+        """End a lease before it expires."""
         try:
             self._http.request("DELETE", f"/holds/{lease}", None, DEADLINE_S)
         except UnreachableError as error:
--- a/src/ryewing/clients/store/decoding.py
+++ b/src/ryewing/clients/store/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of the store's responses and of the values that it holds."""
+"""Decoding of the store's responses and stored values."""
 
 from __future__ import annotations
 
@@ -15,28 +15,32 @@
 T = TypeVar("T")
 
 
-def decode_reply(reply: Reply, kind: type[T]) -> T:
+def decode_reply(reply: Reply, body_type: type[T]) -> T:
     """Decode a 200 from the store; raise StoreUnavailableError for any other status.
 
     An unreadable body raises StoreUnavailableError too.
     """
     if reply.status != 200:
         raise StoreUnavailableError(f"{reply.status}: {reply.body[:200]!r}")
-    return decode_body(reply, kind)
+    return decode_body(reply, body_type)
 
 
-def decode_body(reply: Reply, kind: type[T]) -> T:
-    """Decode the body of a reply, whatever its status; raise StoreUnavailableError if it can't."""
-    return decode_json_body(reply, kind, "store", StoreUnavailableError)
+def decode_body(reply: Reply, body_type: type[T]) -> T:
+    """Decode the body of a reply, whatever its status.
+
+    Raise StoreUnavailableError if the body is unreadable.
+    """
+    return decode_json_body(reply, body_type, "store", StoreUnavailableError)
 
 
-def decode_stored(data: bytes | msgspec.Raw, kind: type[T], key: str) -> T | None:
+def decode_stored(data: bytes | msgspec.Raw, value_type: type[T], key: str) -> T | None:
     """Decode the value of a key; log an error and return None if it is unreadable.
 
-    One unreadable value must not end a term or a process: the next one would meet it too.
+    One unreadable value must not end a term or a process, because the next term or process would
+    read it too.
     """
     try:
-        return decode(data, kind)
+        return decode(data, value_type)
     except MalformedError as error:
         log.error("event=unreadable key=%s error=%s", key, error)
         return None
--- a/src/ryewing/clients/store/errors.py
+++ b/src/ryewing/clients/store/errors.py
@@ -10,7 +10,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store could not be reached, or its response did not arrive.
+    """The store could not be reached, did not respond, or can't execute the request now.
 
     Without a response, the request may or may not have been executed, or may be executed later.
     """
@@ -21,14 +21,14 @@
 
 
 class RejectedError(StoreUnavailableError):
-    """The store refuses a request as it is, now or later: too large, or too many writes.
+    """The store refuses a request permanently: it is too large, or has too many writes.
 
-    It is a kind of StoreUnavailableError for callers that can do nothing about it.
+    It is a subclass of StoreUnavailableError for callers that handle both in the same way.
     """
 
 
 class WatchExpiredError(StoreError):
-    """The revision to watch from is too old (410): the keys must be read again."""
+    """The revision to watch from is too old (410), so that the keys must be read again."""
 
 
 class LeaseLostError(StoreError):
--- a/src/ryewing/clients/store/peer_fallback.py
+++ b/src/ryewing/clients/store/peer_fallback.py
@@ -1,7 +1,7 @@
-"""Requests to the store by way of a peer, where this controller alone can't reach the store.
+"""Requests to the store through a peer, used if only this controller can't reach the store.
 
-Reads and conditional transactions mean the same whichever controller sends them. Lease renewals and
-watches never go this way.
+Reads and conditional transactions have the same effect whichever controller sends them. Lease
+renewals and watches are never sent through a peer.
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 
 DEADLINE_S = 1.0
 """The deadline of a request to the store."""
-DIRECT_S = 0.5
-"""The deadline of a direct request if a peer can be asked next, so that a user gets a response
-within a second."""
-PROBE_S = 2.0
-"""The interval at which a controller that alone lost the store probes whether it is back."""
+DIRECT_DEADLINE_S = 0.5
+"""The deadline of a direct request that can be repeated through a peer. It is shorter, so that a
+user gets a response within a second."""
+PROBE_INTERVAL_S = 2.0
+"""The interval at which an isolated controller probes whether it reaches the store again."""
 PROBE_KEY = "lead/term"
+"""The key that the probe reads."""
 RelayRequester = Callable[[str, str, bytes | None], Reply | None]
-"""Sends method, path and body through a peer; returns None if no peer had a response."""
+"""Sends method, path and body through a peer; returns None if no peer got a response."""
 
 
 class DirectRequester(Protocol):
@@ -36,19 +37,22 @@
 
 
 class PeerFallback:
-    """Chooses between the direct way to the store and the way by a peer.
+    """Chooses whether a request to the store is sent directly or through a peer.
 
-    `_isolated` is set while this controller alone can't reach the store. During that time peers are
-    asked first, and one greenlet probes the store until it responds again.
+    `_isolated` is set while only this controller can't reach the store. During that time requests
+    are sent through peers first, and one greenlet probes the store until it responds again.
     """
 
     def __init__(self, direct: DirectRequester) -> None:
         self._direct = direct
         self._isolated = False
-        self._direct_deadline_s = DIRECT_S
+        self._direct_deadline_s = DIRECT_DEADLINE_S
 
     def request(self, relay: RelayRequester, method: str, path: str, body: bytes | None) -> Reply:
-        """Send a request directly or by a peer; raise StoreUnavailableError if neither responds."""
+        """Send a request directly or through a peer; raise StoreUnavailableError if both fail.
+
+        A direct request refused with 429 raises ThrottledError, and is not sent through a peer.
+        """
         if self._isolated:
             relayed = relay(method, path, body)
             if relayed is not None:
@@ -60,27 +64,27 @@
         except StoreUnavailableError:
             relayed = relay(method, path, body)
             if relayed is None:
-                # The store is down or slow for all: direct requests get the full deadline.
+                # The store is down or slow for all nodes: direct requests get the full deadline.
                 self._direct_deadline_s = DEADLINE_S
                 raise
             self._enter_isolation()
             return relayed
 
     def _enter_isolation(self) -> None:
-        """Note that a peer reached the store: the fault is on this controller's side.
+        """Mark this controller isolated, because a peer reached the store, and start probing.
 
-        The store is probed in the background; a user's request that did so every two seconds took
-        longer than a second.
+        The probes run in the background, because a user's request that probed every two seconds
+        took longer than a second.
         """
         if not self._isolated:
             self._isolated = True
-            self._direct_deadline_s = DIRECT_S
+            self._direct_deadline_s = DIRECT_DEADLINE_S
             gevent.spawn(self._probe_until_reachable)
 
     def _probe_until_reachable(self) -> None:
         """Probe the store until this controller reaches it again."""
         while self._isolated:
-            gevent.sleep(PROBE_S)
+            gevent.sleep(PROBE_INTERVAL_S)
             try:
                 self._direct.request_direct("GET", f"/store/{PROBE_KEY}", None)
             except ThrottledError:
--- a/src/ryewing/clients/store/protocol.py
+++ b/src/ryewing/clients/store/protocol.py
@@ -1,4 +1,4 @@
-"""What users of the store call, and the result of a transaction."""
+"""The interface of the store, and the result of a transaction."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TxnResult:
-    """How a transaction ended: it was applied, or the conditions on some keys failed."""
+    """The result of a transaction: it was applied, or the conditions on `failed_keys` failed."""
 
     __slots__ = ("failed_keys", "ok", "revision")
 
@@ -22,7 +22,7 @@
 
 
 class KeyValueStore(Protocol):
-    """The store as a term uses it: the whole store, or the part of one shard.
+    """The store as a term uses it: the whole store, or the key space of one shard.
 
     Every method may raise StoreUnavailableError, and switches greenlets while it waits.
     """
@@ -53,4 +53,4 @@
         """Renew a lease; raise LeaseLostError if it does not exist any more."""
 
     def revoke(self, lease: int) -> None:
-        """End a lease at once."""
+        """End a lease before it expires."""
--- a/src/ryewing/clients/token_bucket.py
+++ b/src/ryewing/clients/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets: the controllers' shares of the rate limits of the store and the cloud."""
+"""Token buckets, which enforce a controller's shares of the store's and the cloud's rate limits."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from ryewing.units import MonotonicTime, monotonic_now
 
-_ROUNDING = 1e-9
-"""What refills lose by rounding: a bucket that lacks less than this has the tokens."""
+_ROUNDING_TOLERANCE = 1e-9
+"""The error of refills by rounding; a smaller shortfall of tokens is ignored."""
 
 
 class TokenBucket:
-    """A rate limit in tokens per second, with a burst. It never waits: callers do."""
+    """A rate limit in tokens per second, with a burst. No method blocks."""
 
     def __init__(
         self, rate: float, burst: float, clock: Callable[[], MonotonicTime] = monotonic_now
@@ -19,7 +19,7 @@
         self.rate = rate
         """Tokens per second."""
         self.burst = max(1.0, burst)
-        """The most tokens that the bucket holds; it starts full."""
+        """The capacity of the bucket in tokens; it starts full."""
         self._clock = clock
         self._tokens = self.burst
         self._refilled_at = clock()
@@ -30,19 +30,19 @@
         self._refilled_at = now
 
     def try_acquire(self, amount: float = 1.0) -> bool:
-        """Take the amount if it is there, and return whether it was."""
-        if not self.has(amount):
+        """Take the amount if the bucket has it, and return whether it had."""
+        if not self.can_acquire(amount):
             return False
         self._tokens -= amount
         return True
 
-    def has(self, amount: float) -> bool:
-        """Return whether the amount is there. An amount above the burst counts as the burst."""
+    def can_acquire(self, amount: float) -> bool:
+        """Return whether the bucket has the amount, or is full if the amount exceeds the burst."""
         self._refill()
-        return self._tokens + _ROUNDING >= min(amount, self.burst)
+        return self._tokens + _ROUNDING_TOLERANCE >= min(amount, self.burst)
 
     def charge(self, amount: float) -> None:
-        """Take the amount whether it is there or not: the level may become negative."""
+        """Take the amount unconditionally; the level may become negative."""
         self._refill()
         self._tokens -= amount
 
@@ -52,11 +52,11 @@
         self.rate = rate
 
     def wait_s(self, amount: float = 1.0) -> float:
-        """Return the seconds until the amount will be there."""
+        """Return the seconds until the bucket has the amount, or the burst if that is less."""
         self._refill()
         return max(0.0, (min(amount, self.burst) - self._tokens) / self.rate)
 
     def drain(self) -> None:
-        """Empty the bucket: the other side reports that its rate limit is exceeded."""
+        """Empty the bucket, after the server has reported that its rate limit is exceeded."""
         self._refill()
         self._tokens = min(self._tokens, 0.0)
--- a/src/ryewing/clients/user_request_limiter.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -1,9 +1,9 @@
 """The share of the store's rate limit that one controller may spend on its users' requests.
 
-Found on simulated days without a leader: users' polls then read the store, eight times as many of
-them used up `state.rps`, and the store refused the renewals and campaigns that would have ended
-that state. So requests caused by users have a share, the same for each controller, and everything
-that keeps the service alive has the rest.
+While there is no leader, users' polls read the store. In simulations, eight times the usual polls
+used up `state.rps`, and the store refused the lease renewals and campaigns that would have given
+the cluster a leader again. Users' requests are therefore limited to a share of the rate, equal for
+each controller; the rest is for the requests of the service itself.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from ryewing.units import MonotonicTime, monotonic_now
 
 USER_SHARE = 0.5
-"""The share of `state.rps` for users' requests, all controllers together."""
+"""The share of `state.rps` for users' requests of all controllers together."""
 WRITE_RESERVE = 0.5
 """The share of the burst that is reserved for submissions and cancels, which users wait for."""
 MIN_FACTOR = 0.25
-"""The smallest factor of the share while the store reports that its rate limit is exceeded."""
+"""The minimum of the factor by which the share is reduced while the store throttles requests."""
 SHRINK_EVERY_S = 0.5
-"""Refusals within this time shrink the share once."""
+"""Refusals within this many seconds shrink the share only once."""
 RECOVERY_PER_S = 0.1
-"""How much of the share comes back in a second without refusals."""
+"""How much the factor recovers in each second without refusals."""
 
 
 class UserRequest(enum.Enum):
-    """The kinds of users' requests that reach the store."""
+    """The kinds of users' requests that access the store."""
 
     READ = "read"
-    """A poll, or a submission of a job that may be known."""
+    """A poll, or a submission that must be checked for an accepted job with the same id."""
     WRITE = "write"
     """A submission or a cancel."""
 
 
 class RateLimitExceededError(ClientError):
-    """A user's request would exceed the share; there may be room after `retry_s` seconds."""
+    """A user's request would exceed the share; it may be admitted after `retry_s` seconds."""
 
     def __init__(self, retry_s: float) -> None:
         super().__init__(f"no room for {retry_s:.1f} s")
@@ -45,7 +45,7 @@
 
 
 class UserRequestLimiter:
-    """Admits users' requests to the store, and counts their accesses to it."""
+    """Admits users' requests that access the store, and charges their accesses to the share."""
 
     def __init__(
         self, store_rps: float, controllers: int, clock: Callable[[], MonotonicTime] = monotonic_now
@@ -54,27 +54,27 @@
         self._bucket = TokenBucket(self._full_rate, self._full_rate, clock)
         self._clock = clock
         self._factor = 1.0
-        self._factor_at = clock()
+        self._factor_updated_at = clock()
         self._shrunk_at = MonotonicTime(-1e9)
 
     def admit(self, request: UserRequest) -> None:
-        """Admit a request to the store, or raise RateLimitExceededError.
+        """Admit a request that accesses the store, or raise RateLimitExceededError.
 
-        Only the first access of a request is checked: a request that has begun is completed.
+        Only the first access of a request is checked, so that admitted requests are completed.
         """
         self._recover()
         needed = 1.0
         if request is UserRequest.READ:
             needed += WRITE_RESERVE * self._bucket.burst
-        if not self._bucket.has(needed):
+        if not self._bucket.can_acquire(needed):
             raise RateLimitExceededError(self._bucket.wait_s(needed))
 
     def charge(self) -> None:
-        """Count one access to the store, which may exceed the share: later requests then wait."""
+        """Charge one access to the store. It may exceed the share, and later requests then wait."""
         self._bucket.charge(1.0)
 
     def shrink(self) -> None:
-        """Halve the share: the store reports that its rate limit is exceeded."""
+        """Halve the share, after the store has reported that its rate limit is exceeded."""
         now = self._clock()
         if now - self._shrunk_at < SHRINK_EVERY_S:
             return
@@ -84,8 +84,8 @@
 
     def _recover(self) -> None:
         now = self._clock()
-        gained = RECOVERY_PER_S * (now - self._factor_at)
-        self._factor_at = now
+        gained = RECOVERY_PER_S * (now - self._factor_updated_at)
+        self._factor_updated_at = now
         if self._factor < 1.0:
             self._set_factor(min(1.0, self._factor + gained))
 
--- a/src/ryewing/clients/workers.py
+++ b/src/ryewing/clients/workers.py
@@ -1,8 +1,9 @@
-"""The client of the workers' own addresses: handshakes, halts and clears (PROTOCOL, `/orders`).
+"""The client of the workers: handshakes, halts and clears as direct messages (PROTOCOL, `/orders`).
 
-Starts are never sent this way. A command that the network holds back is executed whenever it
-arrives, as long as token and incarnation match, so a start could be minutes late. A halt or a clear
-names one attempt, and attempts are never reused (docs/design.md, safety argument 6).
+Starts are never sent as direct messages. A command that the network delays is executed when it
+arrives, if token and incarnation still match, so a start could be minutes late. A late halt or
+clear does no harm: it names one attempt, and attempts are never reused (docs/design.md, safety
+argument 6).
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 DEADLINE_S = 2.0
 """The deadline of a direct message."""
-KEPT_SHARE = 0.07
-"""The share of the sockets that keep connections to workers open for direct messages."""
-KEPT_MIN = 8
-"""Connections that are kept however few sockets there are."""
+WORKER_SOCKET_SHARE = 0.07
+"""The share of the sockets for open connections to workers."""
+MIN_CONNECTIONS = 8
+"""The minimum of the limit on open connections, for any number of sockets."""
 
 
 class WorkerUnavailableError(ClientError):
@@ -32,22 +33,22 @@
 
 
 class Workers:
-    """Direct messages to workers, over a bounded number of kept connections.
+    """Sends direct messages to workers, over a limited number of persistent connections.
 
-    The connections used least recently are closed first.
+    Above the limit, the least recently used connection is closed.
     """
 
     def __init__(self, sockets: int) -> None:
-        self._max_kept = max(KEPT_MIN, int(KEPT_SHARE * sockets))
+        self._max_connections = max(MIN_CONNECTIONS, int(WORKER_SOCKET_SHARE * sockets))
         self.clients: OrderedDict[str, HttpClient] = OrderedDict()
 
     def client_for(self, address: str) -> HttpClient:
-        """Return the client of an address, and keep it as the one used last."""
+        """Return the client of an address, and mark it as the most recently used one."""
         client = self.clients.pop(address, None)
         if client is None:
             client = HttpClient(parse_address(address), 1)
         self.clients[address] = client
-        if len(self.clients) > self._max_kept:
+        if len(self.clients) > self._max_connections:
             self.clients.popitem(last=False)[1].close()
         return client
 
@@ -56,11 +57,11 @@
     ) -> Heartbeat:
         """Send commands; return the worker's heartbeat, which shows whether it executed them.
 
-        An empty list is the handshake: a worker that accepts it refuses commands of older terms
-        from then on. Raise WorkerUnavailableError without a readable heartbeat.
+        An empty list is the handshake: a worker that accepts it refuses commands of earlier terms
+        from then on. Raise WorkerUnavailableError if there is no readable heartbeat.
         """
         if any(command.verb == START for command in commands):
-            raise ValueError("starts ride in heartbeat responses only")
+            raise ValueError("start commands are sent only in heartbeat responses")
         body = msgspec.json.encode(DirectCommands(int(token), incarnation, list(commands)))
         try:
             client = self.client_for(address)
@@ -75,7 +76,7 @@
             raise WorkerUnavailableError(str(error)) from None
 
     def disconnect(self, address: str) -> None:
-        """Close the connection to an address whose machine is gone."""
+        """Close the connection to an address whose machine no longer exists."""
         client = self.clients.pop(address, None)
         if client is not None:
             client.close()
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -48,7 +48,7 @@
 API_SOCKET_SHARE, PEER_SOCKET_SHARE = 0.75, 0.05
 """The shares of the sockets for the API (users, workers and health checks) and for requests of
 other controllers. Every worker keeps a connection to the leader. The rest is for the store, the
-cloud and direct messages to workers (`clients.workers.KEPT_SHARE`)."""
+cloud and direct messages to workers (`clients.workers.WORKER_SOCKET_SHARE`)."""
 MIN_API_SOCKETS, MIN_PEER_SOCKETS = 16, 8
 
 
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from ryewing.clients.peers import (
-    MAX_REQUESTS_IN_FLIGHT,
+    BASE_REQUESTS_IN_FLIGHT,
     Ack,
     JobStatusQuery,
     JobStatusReply,
@@ -57,12 +57,12 @@
         except PeerUnavailableError as error:
             outcomes.append(str(error))
 
-    senders = [gevent.spawn(send) for _ in range(10 * MAX_REQUESTS_IN_FLIGHT)]
+    senders = [gevent.spawn(send) for _ in range(10 * BASE_REQUESTS_IN_FLIGHT)]
     for _ in range(5):
         gevent.sleep(0)
-    assert peer.in_flight == MAX_REQUESTS_IN_FLIGHT
+    assert peer.in_flight == BASE_REQUESTS_IN_FLIGHT
     assert (
-        len(outcomes) == 9 * MAX_REQUESTS_IN_FLIGHT
+        len(outcomes) == 9 * BASE_REQUESTS_IN_FLIGHT
     )  # told at once, so that the store can be read
     gevent.killall(senders)
     assert peer.in_flight == 0
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize(
     ("sockets", "peers", "bound"),
-    [(40, 2, MAX_REQUESTS_IN_FLIGHT), (40, 0, 40), (285, 2, 142), (285, 6, 47)],
+    [(40, 2, BASE_REQUESTS_IN_FLIGHT), (40, 0, 40), (285, 2, 142), (285, 6, 47)],
 )
 def test_requests_to_a_peer_are_bounded_by_the_sockets(
     sockets: int, peers: int, bound: int
