--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -1,4 +1,4 @@
-"""The connections between controllers: a silent peer, and one that was restarted."""
+"""Connections between controllers: peers that do not respond, and peers that were restarted."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 )
 from ryewing.config.settings import Address
 
-SHORT_WAIT_S = 0.3
-PATIENT_S = 30.0
+SHORT_DEADLINE_S = 0.3
+LONG_DEADLINE_S = 30.0
 
 
 @pytest.fixture
 def silent() -> Iterator[Address]:
-    """A controller whose process stands still: connections are made, nothing is read."""
+    """The address of a hung controller: connections are accepted, but nothing is read."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(1024)
@@ -35,7 +35,7 @@
     listener.close()
 
 
-def answering(address: Address = ("127.0.0.1", 0)) -> PeerServer:
+def start_server(address: Address = ("127.0.0.1", 0)) -> PeerServer:
     """Start the server of a controller that answers every `JobStatusQuery`."""
 
     def handle(request: Request) -> JobStatusReply | Ack:
@@ -47,13 +47,13 @@
 
 
 def test_requests_to_a_silent_peer_are_bounded(silent: Address) -> None:
-    """Each takes a socket and a greenlet until its deadline."""
+    """Each request in flight takes a socket and a greenlet until its deadline."""
     peer = PeerClient(silent)
     outcomes: list[str] = []
 
     def send() -> None:
         try:
-            peer.request(JobStatusQuery("run-1"), PATIENT_S)
+            peer.request(JobStatusQuery("run-1"), LONG_DEADLINE_S)
         except PeerUnavailableError as error:
             outcomes.append(str(error))
 
@@ -61,33 +61,34 @@
     for _ in range(5):
         gevent.sleep(0)
     assert peer.in_flight == BASE_REQUESTS_IN_FLIGHT
-    assert (
-        len(outcomes) == 9 * BASE_REQUESTS_IN_FLIGHT
-    )  # told at once, so that the store can be read
+    # The others were refused at once, so that the store can be read instead.
+    assert len(outcomes) == 9 * BASE_REQUESTS_IN_FLIGHT
     gevent.killall(senders)
     assert peer.in_flight == 0
 
 
-def test_a_peer_that_is_back_is_reached_over_a_new_connection() -> None:
-    """Every kept connection would cost one more deadline."""
-    server = answering()
+def test_a_restarted_peer_is_reached_over_a_new_connection() -> None:
+    """After one failure all idle connections are closed: each would cost one more deadline."""
+    server = start_server()
     address: Address = server.address
     peer = PeerClient(address)
-    concurrent = [gevent.spawn(peer.request, JobStatusQuery("run-1"), PATIENT_S) for _ in range(4)]
+    concurrent = [
+        gevent.spawn(peer.request, JobStatusQuery("run-1"), LONG_DEADLINE_S) for _ in range(4)
+    ]
     gevent.joinall(concurrent, raise_error=True)
     assert peer.idle_connections == 4
-    server.stop()  # as a process that ends
-    server = answering(address)
+    server.stop()  # closes the connections, as the end of the process does
+    server = start_server(address)
     with pytest.raises(PeerUnavailableError):
-        peer.request(JobStatusQuery("run-1"), PATIENT_S)
-    assert peer.request(JobStatusQuery("run-1"), PATIENT_S) == JobStatusReply("running")
+        peer.request(JobStatusQuery("run-1"), LONG_DEADLINE_S)
+    assert peer.request(JobStatusQuery("run-1"), LONG_DEADLINE_S) == JobStatusReply("running")
     server.stop()
 
 
-def test_a_deadline_leaves_nothing_behind(silent: Address) -> None:
+def test_a_request_past_its_deadline_frees_its_connection(silent: Address) -> None:
     peer = PeerClient(silent)
     with pytest.raises(PeerUnavailableError):
-        peer.request(JobStatusQuery("run-1"), SHORT_WAIT_S)
+        peer.request(JobStatusQuery("run-1"), SHORT_DEADLINE_S)
     assert peer.in_flight == 0
     assert peer.idle_connections == 0
 
--- a/tests/clients/test_token_bucket.py
+++ b/tests/clients/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets."""
+"""Token buckets, and the quota of a team without a limit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ryewing.units import MonotonicTime
 
 
-def test_a_bucket_refills_and_returns_the_wait() -> None:
+def test_a_bucket_refills_and_returns_the_time_to_wait() -> None:
     now = [T0]
     bucket = TokenBucket(10.0, 5.0, lambda: now[0])
     assert [bucket.try_acquire() for _ in range(6)] == [True] * 5 + [False]
@@ -22,6 +22,6 @@
     assert not bucket.try_acquire()
 
 
-def test_team_without_limit_has_no_limit() -> None:
+def test_a_team_without_a_quota_is_not_limited() -> None:
     quota = TeamQuota({"t": Team("t")}, {}, {})
     assert quota.headroom(job_spec(team="t"), 1000) == 1000
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -24,7 +24,7 @@
 from ryewing.wire.codec import MAX_BODY_BYTES, MalformedError
 from ryewing.wire.workers import read_heartbeat
 
-PATIENT_S = 10.0
+LONG_DEADLINE_S = 10.0
 GOOD_HEARTBEAT = {
     "host": "i-000001",
     "tenure": 1,
@@ -36,12 +36,12 @@
 }
 
 
-def deep(levels: int = 60_000) -> bytes:
-    """An object with a field that nobody knows, nested without end."""
+def deeply_nested(levels: int = 60_000) -> bytes:
+    """Return an unterminated object with an unknown field of nested arrays."""
     return b'{"unknown":' + b"[" * levels
 
 
-GARBAGE = [
+UNREADABLE_BODIES = [
     b"",
     b"{",
     b"[]",
@@ -52,19 +52,20 @@
     b"\xff\xfe",
     b'{"unknown":"\xff"}',
     b"[" * 60_000,
-    deep(),
+    deeply_nested(),
 ]
 
 
 # -- users ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("body", [*GARBAGE, msgspec.json.encode(submission())[:-20]])
-def test_a_submission_that_cannot_be_read_is_refused_for_good(body: bytes) -> None:
+@pytest.mark.parametrize("body", [*UNREADABLE_BODIES, msgspec.json.encode(submission())[:-20]])
+def test_an_unreadable_submission_is_refused_permanently(body: bytes) -> None:
     assert Client()("POST", "/v2/runs", body)[0] == 400
 
 
-def test_of_a_key_that_is_said_twice_the_last_counts_as_everywhere_in_json() -> None:
+def test_the_last_value_of_a_repeated_key_counts() -> None:
+    """Most JSON decoders handle repeated keys in this way."""
     client = Client()
     body = msgspec.json.encode(submission()).replace(b'"pieces":4', b'"pieces":0,"pieces":5')
     assert client("POST", "/v2/runs", body)[0] == 201
@@ -85,7 +86,7 @@
 
 @pytest.mark.parametrize("name", ["run-9", "run-", "run-9x", "x", "run-99999999999999999999"])
 @pytest.mark.parametrize(("method", "ending"), [("GET", ""), ("POST", "/cancel")])
-def test_jobs_that_nobody_submitted_are_not_found(name: str, method: str, ending: str) -> None:
+def test_jobs_that_were_never_submitted_are_not_found(name: str, method: str, ending: str) -> None:
     assert Client()(method, f"/v2/runs/{name}{ending}", b"")[0] == 404
 
 
@@ -107,13 +108,13 @@
         ("pieces", [{"piece": "run-1/0", "try": "1", "status": "running"}]),
     ],
 )
-def test_heartbeats_of_wrong_types_are_refused(field: str, value: object) -> None:
+def test_heartbeats_with_fields_of_wrong_types_are_refused(field: str, value: object) -> None:
     body = msgspec.json.encode({**GOOD_HEARTBEAT, field: value})
     assert Client()("POST", "/v1/report", body)[0] == 400
 
 
-@pytest.mark.parametrize("body", GARBAGE)
-def test_heartbeats_that_cannot_be_read_are_refused(body: bytes) -> None:
+@pytest.mark.parametrize("body", UNREADABLE_BODIES)
+def test_unreadable_heartbeats_are_refused(body: bytes) -> None:
     assert Client()("POST", "/v1/report", body)[0] == 400
     with pytest.raises(MalformedError):
         read_heartbeat(body)
@@ -131,14 +132,14 @@
 
 
 @pytest.mark.parametrize("request_store", STORE_REQUESTS)
-@pytest.mark.parametrize("body", GARBAGE)
-def test_an_unreadable_response_of_the_store_counts_as_none(
+@pytest.mark.parametrize("body", UNREADABLE_BODIES)
+def test_an_unreadable_response_of_the_store_counts_as_missing(
     request_store: Callable[[Store], Any],
     body: bytes,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Nested deep enough, it ended the process that followed who leads."""
+    """A response that was nested too deeply ended the process that followed the lease."""
     monkeypatch.setattr(
         "ryewing.clients.store.client.HttpClient.request", lambda *_args: Reply(200, body)
     )
@@ -150,8 +151,8 @@
     ]
 
 
-@pytest.mark.parametrize("body", GARBAGE)
-def test_an_unreadable_response_of_the_cloud_counts_as_none(
+@pytest.mark.parametrize("body", UNREADABLE_BODIES)
+def test_an_unreadable_response_of_the_cloud_counts_as_missing(
     body: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ryewing.clients.cloud.HttpClient.request", lambda *_args: Reply(200, body))
@@ -161,22 +162,22 @@
             request()
 
 
-def test_a_fault_in_following_who_leads_ends_no_process(
+def test_an_exception_while_following_the_lease_does_not_end_the_process(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     node = Node(settings(), policy())
     node.store = FakeStore()  # type: ignore[assignment]
-    faults: list[Exception] = [RecursionError(), ValueError(), StoreUnavailableError("503")]
-    rounds = len(faults)
+    errors: list[Exception] = [RecursionError(), ValueError(), StoreUnavailableError("503")]
+    rounds = len(errors)
 
     def follow() -> None:
-        if not faults:
+        if not errors:
             raise gevent.GreenletExit
-        raise faults.pop(0)
+        raise errors.pop(0)
 
     monkeypatch.setattr(node.electors[None], "follow", follow)
-    monkeypatch.setattr(node, "http_server", _Started())
-    monkeypatch.setattr(node, "peer_server", _Started())
+    monkeypatch.setattr(node, "http_server", _FakeServer())
+    monkeypatch.setattr(node, "peer_server", _FakeServer())
     monkeypatch.setattr("gevent.sleep", lambda _seconds: None)
     with pytest.raises(gevent.GreenletExit):
         node.serve()
@@ -184,11 +185,11 @@
     assert (len(failed), rounds) == (2, 3)
 
 
-class _Started:
-    """A server that need not listen."""
+class _FakeServer:
+    """A server that does not listen."""
 
     def start(self) -> None:
-        """Begin."""
+        """Do nothing."""
 
 
 # -- other controllers ----------------------------------------------------------------------------
@@ -198,24 +199,24 @@
 
 
 @pytest.mark.parametrize("frame", FRAMES)
-def test_a_frame_that_cannot_be_read_closes_the_connection(
+def test_an_unreadable_frame_closes_the_connection(
     frame: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     server = PeerServer(("127.0.0.1", 0), lambda _request: Ack(True), 10)
     server.start()
     address = server.address
-    with gevent.Timeout(PATIENT_S):
+    with gevent.Timeout(LONG_DEADLINE_S):
         connection = socket.create_connection(address)
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
         assert connection.recv(1) == b""
         connection.close()
-        assert PeerClient(address).request(JobStatusQuery("run-1"), PATIENT_S) == Ack(True)
+        assert PeerClient(address).request(JobStatusQuery("run-1"), LONG_DEADLINE_S) == Ack(True)
     server.stop()
     assert sum("event=unreadable-frame" in r.getMessage() for r in caplog.records) == 1
 
 
 @pytest.mark.parametrize("frame", FRAMES)
-def test_an_unreadable_response_of_a_peer_counts_as_none(frame: bytes) -> None:
+def test_an_unreadable_response_of_a_peer_counts_as_missing(frame: bytes) -> None:
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(1)
@@ -226,7 +227,7 @@
         connection.sendall(len(frame).to_bytes(4, "big") + frame)
 
     answering = gevent.spawn(answer)
-    with gevent.Timeout(PATIENT_S), pytest.raises(PeerUnavailableError):
-        PeerClient(listener.getsockname()).request(JobStatusQuery("run-1"), PATIENT_S)
+    with gevent.Timeout(LONG_DEADLINE_S), pytest.raises(PeerUnavailableError):
+        PeerClient(listener.getsockname()).request(JobStatusQuery("run-1"), LONG_DEADLINE_S)
     answering.kill()
     listener.close()
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -1,4 +1,4 @@
-"""Users' requests and the store's rate: what they cause leaves room for everything else."""
+"""The limit on the share of the store's rate that users' requests may use."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 JOBS = 75
 USUAL_POLLS_PER_S = JOBS / 5.0
-STORM = 8
-POLLS_A_STEP = round(4 * STORM * USUAL_POLLS_PER_S * STEP_S)
-"""As many as 300 jobs would cause."""
+POLL_RATE_FACTOR = 8
+POLLS_PER_STEP = round(4 * POLL_RATE_FACTOR * USUAL_POLLS_PER_S * STEP_S)
+"""The polls of 300 jobs at POLL_RATE_FACTOR times the usual rate."""
 
 
-class RateLimit:
-    """Holds a cluster's store to its rate, and counts its requests by who caused them."""
+class RateLimitedStore:
+    """Enforces the rate limit of a cluster's store, and counts its requests by their cause."""
 
     def __init__(self, cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch) -> None:
         self.rps = cluster.settings.params.state.rps
-        self.made: Counter[str] = Counter()
+        self.requests: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
         self._bucket = TokenBucket(self.rps, self.rps, cluster.clock)
         self._cause = "service"
@@ -45,7 +45,7 @@
 
         def limited_check(link: StoreLink) -> None:
             check(link)
-            self.made[self._cause] += 1
+            self.requests[self._cause] += 1
             if not self._bucket.try_acquire():
                 self.refused[self._cause] += 1
                 if link.on_throttled is not None:
@@ -66,7 +66,7 @@
 
 
 def before_each_step(cluster: SimulatedCluster, act: Callable[[], None]) -> None:
-    """Let users come first in every step, when the rate has just been refilled."""
+    """Send users' requests first in every step, when the rate limit has just been refilled."""
     expire_leases = cluster.store.expire_leases
 
     def act_and_expire_leases() -> None:
@@ -76,10 +76,10 @@
     cluster.store.expire_leases = act_and_expire_leases  # type: ignore[method-assign]
 
 
-def test_polls_leave_room_for_the_next_leader(
+def test_polls_leave_enough_of_the_rate_for_electing_a_leader(
     cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found on a day whose leader froze: 54,588 of 80,362 requests to the store were refused."""
+    """On a day on which the leader froze, 54,588 of 80,362 requests to the store were refused."""
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}")
     cluster.run(4.0)
@@ -88,39 +88,39 @@
         for ref in refs[start : start + 5]:
             assert cluster.submit(CONTROLLERS[0], ref) == 201
         cluster.run(1.0)
-    limit = RateLimit(cluster, monkeypatch)
+    store = RateLimitedStore(cluster, monkeypatch)
     cluster.frozen.add(CONTROLLERS[0])
-    leaderless: Counter[int] = Counter()
-    submitted: list[int] = []
+    leaderless_polls: Counter[int] = Counter()
+    submissions: list[int] = []
 
-    def users() -> None:
-        at = len(submitted)
-        led = any(cluster.leader(name) is not None for name in CONTROLLERS[1:])
-        for number in range(POLLS_A_STEP):
+    def send_user_requests() -> None:
+        step = len(submissions)
+        has_leader = any(cluster.leader(name) is not None for name in CONTROLLERS[1:])
+        for number in range(POLLS_PER_STEP):
             status = cluster.poll(CONTROLLERS[1 + number % 2], refs[number % JOBS])
-            if not led:
-                leaderless[status] += 1
-        submitted.append(cluster.submit(CONTROLLERS[1 + at % 2], f"run-{1000 + at}"))
+            if not has_leader:
+                leaderless_polls[status] += 1
+        submissions.append(cluster.submit(CONTROLLERS[1 + step % 2], f"run-{1000 + step}"))
 
-    before_each_step(cluster, users)
+    before_each_step(cluster, send_user_requests)
     seconds = 10.0
     cluster.run(seconds)
     assert cluster.leader_name in CONTROLLERS[1:]
-    assert not limit.refused
-    assert limit.made["users"] <= USER_SHARE * limit.rps * (seconds + 1.0)
-    assert set(leaderless) == {200, 503}
-    assert leaderless[503] > leaderless[200]
-    assert submitted == [201] * len(submitted)
+    assert not store.refused
+    assert store.requests["users"] <= USER_SHARE * store.rps * (seconds + 1.0)
+    assert set(leaderless_polls) == {200, 503}
+    assert leaderless_polls[503] > leaderless_polls[200]
+    assert submissions == [201] * len(submissions)
 
 
-def test_the_share_shrinks_while_the_store_refuses_and_comes_back() -> None:
-    """The store may take less than the settings say."""
+def test_the_share_shrinks_while_the_store_throttles_and_recovers_after() -> None:
+    """The store's rate limit may be lower than in the settings."""
     now = [T0]
     limiter = UserRequestLimiter(120.0, 3, lambda: now[0])
     full = USER_SHARE * 120.0 / 3
 
     def admitted(seconds: float) -> int:
-        """Count what passes in some seconds, asked every 10 ms."""
+        """Return how many reads are admitted in some seconds, with an attempt every 10 ms."""
         count = 0
         for _ in range(round(seconds / 0.01)):
             now[0] = MonotonicTime(now[0] + 0.01)
@@ -135,7 +135,7 @@
     admitted(2.0)
     assert admitted(1.0) == pytest.approx(full, abs=1)
     for _ in range(10):
-        limiter.shrink()  # one sign, however many refusals
+        limiter.shrink()  # refusals at the same time shrink the share only once
     assert admitted(0.25) <= 0.25 * full * (0.5 + 0.25 * RECOVERY_PER_S) + 1
     for _ in range(10):
         now[0] = MonotonicTime(now[0] + 0.5)
@@ -146,7 +146,9 @@
 
 
 @pytest.mark.parametrize(("request_kind", "passes"), [("read", False), ("write", True)])
-def test_writes_pass_where_reads_have_used_their_share(request_kind: str, passes: bool) -> None:
+def test_writes_are_admitted_after_reads_have_used_their_share(
+    request_kind: str, passes: bool
+) -> None:
     limiter = UserRequestLimiter(120.0, 3, lambda: T0)
     used = round((1.0 - WRITE_RESERVE) * USER_SHARE * 120.0 / 3)
     for _ in range(used):
@@ -160,13 +162,13 @@
         assert refused.value.retry_s > 0
 
 
-def test_what_is_refused_names_when_there_is_room(cluster: SimulatedCluster) -> None:
+def test_a_refusal_states_when_the_request_would_be_admitted(cluster: SimulatedCluster) -> None:
     cluster.run(2.0)
     cluster.frozen.add(CONTROLLERS[0])
     cluster.submit(CONTROLLERS[1], "run-1")
     limiter = cluster.nodes[CONTROLLERS[1]].user_limiter
     for _ in range(500):
-        limiter.charge()  # a debt of half a minute
+        limiter.charge()  # takes half a minute to refill
     headers: list[dict[str, str]] = []
     environ = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/run-1"}
     cluster.apis[CONTROLLERS[1]](environ, lambda _status, found: headers.append(dict(found)))
