--- a/tests/api/test_polls.py
+++ b/tests/api/test_polls.py
@@ -72,7 +72,7 @@
 ) -> None:
     refs = start_jobs(cluster)
     for worker in cluster.workers.values():
-        cluster.end(worker)
+        cluster.finish_tasks(worker)
     cluster.run(4.0)
     counter = RequestCounter(monkeypatch)
     poll_all(cluster, refs)
