--- a/src/ryewing/api/job_queries.py
+++ b/src/ryewing/api/job_queries.py
@@ -82,7 +82,7 @@
         """Read a job's status from the store; None if the job was never accepted.
 
         The live key is read before the final key, because a job moves from the live to the final
-        key and never back: read in the other order, a job that moves in between would be missed.
+        key and never back. In the other order, a job that moves between the reads would be missed.
         """
         try:
             live = self._store.read(live_key(job))
@@ -125,7 +125,7 @@
     def require_readable(self, record: T | None) -> T:
         """Return a record; raise RefusedError with a 503 if it is None, that is, unreadable.
 
-        A 404 would be wrong: the job exists, and other nodes may be able to read its record.
+        A 404 would be wrong, because the job exists and other controllers may know it.
         """
         if record is None:
             raise RefusedError(unavailable(self._controller.policy, "the record can't be read"))
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -130,8 +130,8 @@
     def _refuse_unless_known(self, job: JobId, refusal: Response) -> Response:
         """Refuse a submission, or respond with the job's status if it was accepted before.
 
-        The status is returned whatever the repeated submission contains, also if its record would
-        be too large under the current limits, as the limits may have been higher at the time.
+        The status is returned whatever the repeated submission contains. Its record may even be too
+        large under the current limits, because the job was accepted under earlier ones.
         """
         status = self._queries.status_from_store(job)
         return refusal if status is None else self._queries.status_response(status)
--- a/src/ryewing/clients/cloud.py
+++ b/src/ryewing/clients/cloud.py
@@ -91,7 +91,7 @@
     def release(self, machines: Sequence[MachineId]) -> None:
         """Release up to MAX_MACHINES_PER_RELEASE machines.
 
-        After the response, they and everything on them are gone.
+        After the response, the machines and everything on them no longer exist.
         """
         body = msgspec.json.encode(
             MachineNames([str(m) for m in machines[:MAX_MACHINES_PER_RELEASE]])
--- a/src/ryewing/clients/user_request_limiter.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -15,7 +15,7 @@
 from ryewing.clients.token_bucket import TokenBucket
 from ryewing.units import MonotonicTime, monotonic_now
 
-USER_SHARE = 0.5
+USER_RATE_SHARE = 0.5
 """The share of `state.rps` for users' requests of all controllers together."""
 WRITE_RESERVE = 0.5
 """The share of the burst that is reserved for submissions and cancels, which users wait for."""
@@ -50,7 +50,7 @@
     def __init__(
         self, store_rps: float, controllers: int, clock: Callable[[], MonotonicTime] = monotonic_now
     ) -> None:
-        self._full_rate = USER_SHARE * store_rps / controllers
+        self._full_rate = USER_RATE_SHARE * store_rps / controllers
         self._bucket = TokenBucket(self._full_rate, self._full_rate, clock)
         self._clock = clock
         self._factor = 1.0
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture
-def silent() -> Iterator[Address]:
+def unresponsive_peer() -> Iterator[Address]:
     """The address of a hung controller: connections are accepted, but nothing is read."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
@@ -46,9 +46,9 @@
     return server
 
 
-def test_requests_to_a_silent_peer_are_bounded(silent: Address) -> None:
+def test_requests_to_an_unresponsive_peer_are_bounded(unresponsive_peer: Address) -> None:
     """Each request in flight takes a socket and a greenlet until its deadline."""
-    peer = PeerClient(silent)
+    peer = PeerClient(unresponsive_peer)
     outcomes: list[str] = []
 
     def send() -> None:
@@ -85,8 +85,8 @@
     server.stop()
 
 
-def test_a_request_past_its_deadline_frees_its_connection(silent: Address) -> None:
-    peer = PeerClient(silent)
+def test_a_request_past_its_deadline_frees_its_connection(unresponsive_peer: Address) -> None:
+    peer = PeerClient(unresponsive_peer)
     with pytest.raises(PeerUnavailableError):
         peer.request(JobStatusQuery("run-1"), SHORT_DEADLINE_S)
     assert peer.in_flight == 0
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -17,7 +17,7 @@
 from ryewing.clients.user_request_limiter import (
     MIN_FACTOR,
     RECOVERY_PER_S,
-    USER_SHARE,
+    USER_RATE_SHARE,
     WRITE_RESERVE,
     RateLimitExceededError,
     UserRequest,
@@ -107,7 +107,7 @@
     cluster.run(seconds)
     assert cluster.leader_name in CONTROLLERS[1:]
     assert not store.refused
-    assert store.requests["users"] <= USER_SHARE * store.rps * (seconds + 1.0)
+    assert store.requests["users"] <= USER_RATE_SHARE * store.rps * (seconds + 1.0)
     assert set(leaderless_polls) == {200, 503}
     assert leaderless_polls[503] > leaderless_polls[200]
     assert submissions == [201] * len(submissions)
@@ -117,7 +117,7 @@
     """The store's rate limit may be lower than in the settings."""
     now = [T0]
     limiter = UserRequestLimiter(120.0, 3, lambda: now[0])
-    full = USER_SHARE * 120.0 / 3
+    full = USER_RATE_SHARE * 120.0 / 3
 
     def admitted(seconds: float) -> int:
         """Return how many reads are admitted in some seconds, with an attempt every 10 ms."""
@@ -150,7 +150,7 @@
     request_kind: str, passes: bool
 ) -> None:
     limiter = UserRequestLimiter(120.0, 3, lambda: T0)
-    used = round((1.0 - WRITE_RESERVE) * USER_SHARE * 120.0 / 3)
+    used = round((1.0 - WRITE_RESERVE) * USER_RATE_SHARE * 120.0 / 3)
     for _ in range(used):
         limiter.admit(UserRequest.READ)
         limiter.charge()
