--- a/tests/support/api_client.py
+++ b/tests/support/api_client.py
@@ -1,4 +1,4 @@
-"""A client of the HTTP API, over a fake node, leader and store; no sockets are opened."""
+"""A WSGI client of the HTTP API over a fake node, leader and store, without sockets."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from support.fakes import CPU, GPU, FakeStore, job_spec, policy, protocol_keys, settings, submission
 
 UNBOUNDED_RPS = 1e9
-"""The rate of the store has tests of its own (`test_user_request_limiter.py`)."""
+"""High enough to disable the limiter, which `test_user_request_limiter.py` tests."""
 
 
 class FakeLeader:
-    """A leader that knows the status of some jobs."""
+    """A leader that returns the job statuses set by the test and rejects every heartbeat."""
 
     def __init__(self) -> None:
         self.statuses: dict[str, JobStatus] = {}
@@ -35,7 +35,7 @@
 
 
 class FakeNode:
-    """The `Controller` protocol of the interface, without a process."""
+    """Implements the API's `Controller` protocol with values set by the test."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
@@ -46,9 +46,11 @@
         self.teams = {team.name: team for team in settings().params.teams}
         self.machine_types = {"c32": CPU, "g4": GPU}
         self.cancel_acknowledged = True
+        """Whether the leader confirms that it knows about a cancel."""
         self.is_job_memory_full = False
         self.remote_leader_name: str | None = "n-1"
         self.remote_statuses: dict[str, JobStatus] = {}
+        """By job, the status that a leader on another controller returns."""
 
     def healthy(self) -> bool:
         return True
@@ -79,7 +81,7 @@
 
 
 class Client:
-    """Calls the API as a WSGI server does."""
+    """Calls the API as a WSGI server would, and keeps the headers of the last response."""
 
     def __init__(self) -> None:
         self.node = FakeNode()
@@ -87,10 +89,10 @@
         self.headers: dict[str, str] = {}
 
     def __call__(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        seen: list[str] = []
+        statuses: list[str] = []
 
         def start_response(status: str, headers: list[tuple[str, str]]) -> None:
-            seen.append(status)
+            statuses.append(status)
             self.headers = dict(headers)
 
         environ = {
@@ -98,8 +100,8 @@
             "PATH_INFO": path,
             "wsgi.input": io.BytesIO(body),
         }
-        answer = b"".join(self.api(environ, start_response))
-        return int(seen[0].split()[0]), msgspec.json.decode(answer)
+        response = b"".join(self.api(environ, start_response))
+        return int(statuses[0].split()[0]), msgspec.json.decode(response)
 
     def submit(self, **changes: Any) -> tuple[int, Any]:
         body = {**submission(), **protocol_keys(changes)}
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -1,6 +1,6 @@
-"""Clocks that a test moves: each module that reads a clock gets one in place of its own.
+"""Replaces the clocks of `ryewing` modules by one clock that the test advances.
 
-The lists name the modules of `ryewing` that read a clock; a new one has to be added here.
+The tuples list the modules that read a clock; a new module that reads one must be added here.
 """
 
 from __future__ import annotations
@@ -62,26 +62,29 @@
 )
 
 
-def replace_monotonic_clock(monkeypatch: pytest.MonkeyPatch, *parts: str) -> Clock:
-    """Replace the monotonic clock of some modules by one that the test moves; return it."""
+def replace_monotonic_clock(monkeypatch: pytest.MonkeyPatch, *modules: str) -> Clock:
+    """Replace the monotonic clock of the modules by one that the test advances; return it."""
     clock = Clock()
-    for part in parts:
-        monkeypatch.setattr(f"ryewing.{part}.monotonic_now", clock)
+    for module in modules:
+        monkeypatch.setattr(f"ryewing.{module}.monotonic_now", clock)
     return clock
 
 
 def replace_cluster_clocks(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    """Replace all clocks of several controllers by one; no loop of a leader starts by itself."""
+    """Replace all clocks of a simulated cluster by one, and return it.
+
+    Leaders don't start their loops, and `gevent.sleep` returns at once.
+    """
     clock = replace_monotonic_clock(monkeypatch, *TERM_MODULES, *NODE_MODULES, *SHARDING_MODULES)
-    for part in WALL_CLOCK_MODULES:
-        monkeypatch.setattr(f"ryewing.{part}.wall_now", clock)
+    for module in WALL_CLOCK_MODULES:
+        monkeypatch.setattr(f"ryewing.{module}.wall_now", clock)
     monkeypatch.setattr("ryewing.leader.leader.Leader.start", lambda leader: None)
     monkeypatch.setattr("gevent.sleep", lambda _seconds: None)
     return clock
 
 
 def divided_cluster_factory(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
-    """Return a function that makes a simulated cluster with a fleet divided by zones."""
+    """Return a function that creates a simulated cluster whose zones are divided into shards."""
     clock = replace_cluster_clocks(monkeypatch)
 
     def make(count: int = 2, **settings: Any) -> SimulatedCluster:
--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -1,6 +1,6 @@
-"""The verdict on a simulated cluster: faults end, and the rules of the protocol must hold.
+"""Checks the rules of the protocol on a simulated cluster after all faults have ended.
 
-No accepted job may be forgotten, and none may wait although a machine that fits has room.
+No accepted job may be lost, and no job may wait while an idle machine that fits it exists.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from support.simulated_cluster import SimulatedCluster
 
-PATIENCE_S = 10.0
-"""How long a user who is refused asks again; the rules allow 75 s."""
+RETRY_TIMEOUT_S = 10.0
+"""How long a user retries a poll answered with 503; the rules allow 75 s."""
 
 
 def settle(cluster: SimulatedCluster, seconds: float = 60.0) -> None:
-    """End all faults, start all controllers, and let some time pass."""
+    """End all faults, restart the stopped controllers, and let `seconds` pass."""
     cluster.store.down = cluster.cloud_down = False
     cluster.partitions.clear()
     cluster.frozen.clear()
@@ -38,8 +38,8 @@
     cluster.run(seconds)
 
 
-def jobs_waiting_beside_room(cluster: SimulatedCluster) -> list[str]:
-    """Return the jobs that wait although an idle machine fits, each with the machine."""
+def jobs_waiting_despite_idle_machines(cluster: SimulatedCluster) -> list[str]:
+    """Return each job that waits although an idle machine fits it, with the machine."""
     leaders = cluster.latest_leaders()
     assert len(leaders) == len(cluster.nodes[CONTROLLERS[0]].electors)
     jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
@@ -55,9 +55,9 @@
             limit = leader.term.teams[need.team].gpus_max
             if job.shortfall <= 0 or job.backoff_s:
                 continue
-            # A gang waits for all it needs of the limit, an array for one task's part.
-            max_in_flight = job.shortfall if job.is_gang else 1
-            if limit and used[need.team] + max_in_flight * need.gpus > limit:
+            # A gang needs quota for all its missing tasks at once, an array for a single task.
+            min_tasks = job.shortfall if job.is_gang else 1
+            if limit and used[need.team] + min_tasks * need.gpus > limit:
                 continue
             found += [
                 f"{job.id} beside {name}" for name in _idle_machines_that_fit(cluster, leader, need)
@@ -66,12 +66,12 @@
 
 
 def _jobs_still_waiting_after(cluster: SimulatedCluster, seconds: float) -> list[str]:
-    """Return the jobs that wait beside room during all of a time."""
-    found = jobs_waiting_beside_room(cluster)
+    """Return the jobs that wait despite idle machines at every check over `seconds`."""
+    found = jobs_waiting_despite_idle_machines(cluster)
     until = cluster.clock() + seconds
     while found and cluster.clock() < until:
         cluster.run(2.0)
-        waiting = {text.split()[0] for text in jobs_waiting_beside_room(cluster)}
+        waiting = {text.split()[0] for text in jobs_waiting_despite_idle_machines(cluster)}
         found = [text for text in found if text.split()[0] in waiting]
     return found
 
@@ -89,8 +89,8 @@
 
 
 def _poll_until_answered(cluster: SimulatedCluster, node: str, job: str) -> int:
-    """Ask as a user does who gets a 503 and asks again; give up after `PATIENCE_S`."""
-    for _ in range(round(PATIENCE_S / STEP_S)):
+    """Poll a job as a user who retries on 503, for at most `RETRY_TIMEOUT_S`; return the status."""
+    for _ in range(round(RETRY_TIMEOUT_S / STEP_S)):
         status = cluster.poll(node, job)
         if status != 503:
             break
@@ -98,15 +98,15 @@
     return status
 
 
-def violations_after_settling(cluster: SimulatedCluster, patience_s: float = 0.0) -> list[str]:
-    """End all faults and return the rules that were broken.
+def violations_after_settling(cluster: SimulatedCluster, max_wait_s: float = 0.0) -> list[str]:
+    """End all faults, let the cluster settle, and return all violations of the rules.
 
-    A job may wait beside room for no longer than `patience_s`.
+    A job that still waits despite idle machines after another `max_wait_s` is a violation.
     """
     settle(cluster)
     for job in sorted(cluster.rules.accepted):
         answers = {_poll_until_answered(cluster, name, job) for name in CONTROLLERS}
         if answers != {200}:
             cluster.rules.add_violation("forgotten", f"{job}: {answers}")
-    waits = [f"waits: {text}" for text in _jobs_still_waiting_after(cluster, patience_s)]
+    waits = [f"waits: {text}" for text in _jobs_still_waiting_after(cluster, max_wait_s)]
     return cluster.rules.violations + waits
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -1,7 +1,7 @@
-"""Fakes of store, cloud and workers in memory, for tests and for the quick start.
+"""In-memory fakes of the store, the cloud and workers, for tests and for the quick start.
 
-They follow the protocol as far as tests need it. Nothing happens by itself: no lease expires, no
-task ends and no machine boots until a test says so.
+They implement the protocol as far as tests need it. Leases expire, tasks end and machines boot only
+when the test calls for it.
 """
 
 from __future__ import annotations
@@ -73,17 +73,17 @@
 
 
 def settings() -> Settings:
-    """Return settings for tests."""
+    """Return `RAW_SETTINGS` as decoded settings."""
     return msgspec.convert(RAW_SETTINGS, Settings)
 
 
 def policy() -> Policy:
-    """Give the default policy for these settings."""
+    """Return the default policy for `settings()`."""
     return default_policy(settings())
 
 
 def job_spec(ref: str = "run-1", **changes: Any) -> JobSpec:
-    """Return a job spec: an array of four small tasks, unless changed."""
+    """Return the spec of an array of four small tasks, with the given fields changed."""
     fields: dict[str, Any] = {
         "id": ref,
         "job_class": "scan",
@@ -105,15 +105,15 @@
 
 
 def protocol_keys(changes: dict[str, Any]) -> dict[str, Any]:
-    """Rename the fields of a submission to their JSON keys; unknown names stay."""
+    """Rename fields of `JobSpec` to their JSON keys; other names stay."""
     keys = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
     return {keys.get(name, name): value for name, value in changes.items()}
 
 
 def submission(ref: str = "run-1", **changes: Any) -> dict[str, Any]:
-    """Return the body of a submission, with the flags that a stored job leaves out."""
-    left_out = {"together": False, "spread": False, "loaner": False}
-    return {**left_out, **msgspec.to_builtins(job_spec(ref, **changes))}
+    """Return the body of a submission, with the required flags that a stored spec omits."""
+    required_flags = {"together": False, "spread": False, "loaner": False}
+    return {**required_flags, **msgspec.to_builtins(job_spec(ref, **changes))}
 
 
 def job(ref: str = "run-1", at: float = 0.0, **changes: Any) -> Job:
@@ -122,7 +122,7 @@
 
 
 class Clock:
-    """A monotonic clock that the test moves."""
+    """A monotonic clock that the test advances by setting `now`, in seconds."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -132,19 +132,22 @@
 
 
 class FakeStore:
-    """The store in memory, with switches for its faults; leases expire only by `expire`."""
+    """An in-memory store that can inject faults; leases expire only through `expire`."""
 
     def __init__(self) -> None:
         self.limits = settings().params.state
         self.rejected: list[str] = []
-        """Why requests were refused: a value too large, or too many changes at once."""
+        """Reasons for rejected transactions: a value too large, or too many changes."""
         self.data: dict[str, tuple[bytes, int, int | None]] = {}
+        """By key: encoded value, version, and the lease it is attached to."""
         self.revision = 0
         self.log: list[Change] = []
         self.leases: set[int] = set()
-        self.granted = 0
+        self.last_lease = 0
         self.down = False
+        """Every request fails."""
         self.lose_answers = False
+        """Transactions are applied, but their callers get an error."""
         self.writes = 0
 
     def _check(self) -> None:
@@ -207,9 +210,9 @@
 
     def grant(self, ttl_s: float) -> int:
         self._check()
-        self.granted += 1  # a lease's number is never given out again
-        self.leases.add(self.granted)
-        return self.granted
+        self.last_lease += 1  # lease numbers are never reused
+        self.leases.add(self.last_lease)
+        return self.last_lease
 
     def renew(self, lease: int, deadline_s: float) -> None:
         self._check()
@@ -217,7 +220,7 @@
             raise LeaseLostError(str(lease))
 
     def expire(self, lease: int) -> None:
-        """Expire a lease, and remove the keys that hang on it."""
+        """Expire or revoke a lease, and remove the keys attached to it."""
         self.leases.discard(lease)
         for key in [k for k, v in self.data.items() if v[2] == lease]:
             del self.data[key]
@@ -237,12 +240,13 @@
 
 
 class FakeCloud:
-    """The cloud in memory: it grants machines up to a capacity, all of them at once."""
+    """An in-memory cloud that grants all requested machines at once, up to its capacity."""
 
     def __init__(self) -> None:
         self.capacity = 100
         self.requests: list[RentalRequest] = []
         self.answers: dict[str, list[MachineId]] = {}
+        """By rental id, the machines granted; a repeated request gets the same answer."""
         self.released: list[MachineId] = []
         self.listed: list[ListedMachine] = []
 
@@ -257,8 +261,8 @@
         if not count:
             raise NoCapacityError
         self.capacity -= count
-        at = sum(len(names) for names in self.answers.values())
-        names = [MachineId(f"i-{at + n:06d}") for n in range(count)]
+        first = sum(len(names) for names in self.answers.values())
+        names = [MachineId(f"i-{first + n:06d}") for n in range(count)]
         self.answers[request.id] = names
         return names
 
@@ -271,7 +275,7 @@
 
 
 class FakeWorker:
-    """A worker that executes commands as the protocol says; its tasks end only by a call."""
+    """A worker that executes commands as the protocol says; only the test ends its tasks."""
 
     def __init__(self, name: str, machine_type: str = "c32", zone: str = "a", spot: bool = False):
         self.name = name
@@ -282,6 +286,7 @@
         self.incarnation = 1
         self.sequence = 0
         self.notice_s: float | None = None
+        """Seconds until the cloud reclaims the spot machine, once announced."""
         self.tasks: dict[tuple[str, int], ReportedTask] = {}
 
     def heartbeat(self) -> Heartbeat:
@@ -300,7 +305,7 @@
         )
 
     def execute(self, token: int, commands: list[Command]) -> bool:
-        """Execute a response's commands; False if the token is too low."""
+        """Execute the commands of a response; return False if its fencing token is too low."""
         if token < self.token:
             return False
         self.token = token
@@ -320,18 +325,18 @@
         return True
 
     def finish(self, cause: str = "done") -> None:
-        """End all tasks of this worker."""
+        """End all tasks with a cause."""
         for key, reported in self.tasks.items():
             if reported.status != "ended":
                 self.end_task(key, cause)
 
     def end_task(self, key: tuple[str, int], cause: str = "done") -> None:
-        """End one task."""
+        """End one task attempt with a cause."""
         self.tasks[key] = ReportedTask(*key, "ended", cause)
 
 
 def leadership(term: int = 5, lease_validity: LeaseValidity | None = None) -> Leadership:
-    """Return a won term whose lease was confirmed just now."""
+    """Return the leadership of a won term; the default validity has no confirmed renewal."""
     if lease_validity is None:
         lease_validity = LeaseValidity(3.0, 15.0)
     return Leadership(TermNumber(term), KeyVersion(0), 1, lease_validity)
--- a/tests/support/fault_injector.py
+++ b/tests/support/fault_injector.py
@@ -1,4 +1,4 @@
-"""Random faults for a simulated cluster: of controllers, the store, the network and machines."""
+"""Injects random faults of controllers, the store, the network and machines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class FaultInjector:
     """Injects one random fault at a time into a simulated cluster.
 
-    A fault lasts until `heal` happens to end it, or until the cluster settles at the end of a test.
+    A fault lasts until `heal` ends it at random or `cluster_verdict.settle` ends all faults.
     """
 
     def __init__(self, cluster: SimulatedCluster, rng: random.Random) -> None:
@@ -28,19 +28,19 @@
             self.lose_transaction_answers,
             self.delay_transactions,
             self.hang_machine,
-            self.mute_machine,
+            self.lose_heartbeats,
             self.lose_machine,
-            self.announce_spot_loss,
+            self.announce_spot_reclaim,
             self.end_tasks,
             self.cancel_job,
         ]
 
     def inject(self) -> None:
-        """Inject one fault, chosen at random."""
+        """Inject one randomly chosen fault; faults already in force continue."""
         self._rng.choice(self._faults)()
 
     def heal(self) -> None:
-        """End each fault that is in force with a probability of one half."""
+        """End each active fault with a probability of one half."""
         cluster, rng = self._cluster, self._rng
         if rng.random() < 0.5:
             cluster.partitions.clear()
@@ -61,72 +61,72 @@
                 worker.hangs = worker.heartbeats_lost = False
                 worker.unreachable.clear()
 
-    def _node(self) -> str:
+    def _random_node(self) -> str:
         return self._rng.choice(CONTROLLERS)
 
-    def _worker(self) -> TimedWorker:
+    def _random_worker(self) -> TimedWorker:
         return self._rng.choice(list(self._cluster.workers.values()))
 
     def kill_controller(self) -> None:
-        """End a controller's process, and start it again at once with a probability of one half."""
-        name = self._node()
+        """Kill a controller's process, and restart it at once with a probability of one half."""
+        name = self._random_node()
         self._cluster.dead.add(name)
         if self._rng.random() < 0.5:
             self._cluster.boot(name)
 
     def freeze_controller(self) -> None:
-        """Stop a controller's process without ending it."""
-        self._cluster.frozen.add(self._node())
+        """Suspend a controller's process, as SIGSTOP does."""
+        self._cluster.frozen.add(self._random_node())
 
     def refuse_store_requests(self) -> None:
-        """Let the store refuse all requests of one controller."""
-        self._cluster.links[self._node()].refused = True
+        """Make the store reject all requests of one controller."""
+        self._cluster.links[self._random_node()].refused = True
 
     def partition_peers(self) -> None:
-        """Cut two controllers off from each other."""
+        """Cut the connection between two controllers."""
         self._cluster.partitions.add(frozenset(self._rng.sample(CONTROLLERS, 2)))
 
     def partition_workers(self) -> None:
-        """Cut one controller off from all workers."""
-        name = self._node()
+        """Cut the connections between one controller and all workers."""
+        name = self._random_node()
         for worker in self._cluster.workers.values():
             worker.unreachable.add(name)
 
     def stop_store(self) -> None:
-        """Let the store refuse all requests."""
+        """Make the store reject all requests."""
         self._cluster.store.down = True
 
     def lose_transaction_answers(self) -> None:
-        """Let one controller's transactions be carried out without an answer."""
-        self._cluster.links[self._node()].loses_answers = True
+        """Apply one controller's transactions, but lose their responses."""
+        self._cluster.links[self._random_node()].loses_answers = True
 
     def delay_transactions(self) -> None:
-        """Let one controller's transactions be carried out only when it is healed."""
-        self._cluster.links[self._node()].delays_transactions = True
+        """Apply one controller's transactions only when `heal` ends the fault."""
+        self._cluster.links[self._random_node()].delays_transactions = True
 
     def hang_machine(self) -> None:
-        """Let a machine neither send nor receive anything."""
-        self._worker().hangs = True
+        """Make a machine neither send nor receive messages."""
+        self._random_worker().hangs = True
 
-    def mute_machine(self) -> None:
-        """Let a machine's heartbeats be lost; direct commands still reach it."""
-        self._worker().heartbeats_lost = True
+    def lose_heartbeats(self) -> None:
+        """Lose a machine's heartbeats; direct commands still reach it."""
+        self._random_worker().heartbeats_lost = True
 
     def lose_machine(self) -> None:
-        """Take a machine away, as long as more than nine are left."""
+        """Remove a machine if there are more than nine."""
         if len(self._cluster.workers) > 9:
-            self._cluster.workers.pop(self._worker().name)
+            self._cluster.workers.pop(self._random_worker().name)
 
-    def announce_spot_loss(self) -> None:
-        """Let the cloud give notice that it takes a machine back."""
-        self._worker().notice_s = 10.0
+    def announce_spot_reclaim(self) -> None:
+        """Make the cloud announce that it will reclaim a spot machine in 10 s."""
+        self._random_worker().notice_s = 10.0
 
     def end_tasks(self) -> None:
-        """Let all tasks of a machine finish."""
-        self._cluster.finish_tasks(self._worker())
+        """Finish all tasks of a machine."""
+        self._cluster.finish_tasks(self._random_worker())
 
     def cancel_job(self) -> None:
-        """Let a user cancel a job."""
+        """Cancel a random accepted job as a user."""
         if self._cluster.rules.accepted:
             job = self._rng.choice(sorted(self._cluster.rules.accepted))
-            self._cluster.cancel(self._node(), job)
+            self._cluster.cancel(self._random_node(), job)
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,8 +1,7 @@
-"""One leader over a fake store, cloud and workers, driven step by step by the test's clock.
+"""One leader with a fake store, cloud and workers, run step by step by the test.
 
-There is no election and no greenlet: the term is won from the start, and each of the leader's loops
-runs only when the test calls it. Direct commands reach a worker at once, and only when a test sends
-them.
+There are no elections and no greenlets: the leader starts with a won term, and each of its loops
+runs only when the test calls it. Direct commands are sent only by the test, and arrive at once.
 """
 
 from __future__ import annotations
@@ -35,14 +34,14 @@
 
 
 def use_cloud(leader: Leader, cloud: Any) -> None:
-    """Give all parts of a leader that make requests to the cloud a fake of it."""
+    """Replace the cloud client in all parts of a leader that call the cloud."""
     autoscaler = leader.autoscaler
     autoscaler.rentals.cloud = autoscaler.releaser.cloud = cloud
     autoscaler.inventory.listing.cloud = autoscaler.machine_type_refresher.cloud = cloud
 
 
 class DirectWorkers:
-    """Direct commands to fake workers, in place of `clients.workers.Workers`."""
+    """Delivers direct commands to fake workers, in place of `clients.workers.Workers`."""
 
     def __init__(self, workers: dict[str, FakeWorker]) -> None:
         self.workers = workers
@@ -58,21 +57,22 @@
         return worker.heartbeat()
 
     def disconnect(self, address: str) -> None:
-        """Do nothing: no connections are kept."""
+        """Do nothing, because there are no connections."""
 
 
 class LeaderHarness:
-    """One leader with its fakes; what workers and users do is a method."""
+    """One leader with its fakes, and methods for the actions of workers and users."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.settings = settings()
         self.store = FakeStore()
         self.may_reject = False
-        """Whether the store may refuse a request as too large: else that fails the test."""
+        """Whether the store may reject transactions; if not, a rejection fails the test."""
         self.cloud = FakeCloud()
         self.workers: dict[str, FakeWorker] = {}
         self.end_reasons: list[str] = []
+        """Why terms ended, in order."""
         self.final_states: dict[JobId, str] = {}
         self.scope = WHOLE_FLEET
         self.leader = self.new_leader(5)
@@ -101,7 +101,7 @@
         return leader
 
     def announce_store_limits(self, **limits: Any) -> None:
-        """Announce the store's next limits to leaders that start from now on."""
+        """Announce future limits of the store to leaders created from now on."""
         params = self.settings.params
         state = msgspec.structs.replace(params.state, next=NextLimits(**limits))
         self.settings = msgspec.structs.replace(
@@ -109,16 +109,18 @@
         )
 
     def lower_store_limits(self, **limits: Any) -> None:
-        """Lower the store's limits."""
+        """Change the limits that the store enforces."""
         self.store.limits = msgspec.structs.replace(self.store.limits, **limits)
 
     def later(self, seconds: float, renewed: bool = True) -> None:
+        """Advance the clock, and confirm the leader's lease and its knowledge of the jobs."""
         self.clock.now += seconds
         if renewed:
             self.leader.term.lease_validity.confirm_renewal(self.clock())
             self.leader.term.lease_validity.confirm_jobs(self.clock())
 
     def accept(self, ref: str = "run-1", **changes: Any) -> JobId:
+        """Write a job record to the store, and let the leader read it."""
         record = JobRecord(job_spec(ref, **changes), 0.0, shard=self.scope.shard)
         result = self.store.txn({}, [Put(live_key(JobId(ref)), record)])
         entry = self.store.get(live_key(JobId(ref)))
@@ -127,23 +129,25 @@
         return JobId(ref)
 
     def worker(self, name: str = "i-000001", **kind: Any) -> FakeWorker:
+        """Add a worker of which the leader has not heard yet."""
         worker = FakeWorker(name, **kind)
         self.workers[name] = worker
         return worker
 
     def exchange(self, worker: FakeWorker) -> list[Command]:
-        """Send one heartbeat, execute the response and return its commands."""
+        """Send one heartbeat of a worker, execute the response and return its commands."""
         answer = self.leader.on_heartbeat(worker.heartbeat())
         assert answer is not None
         worker.execute(answer.token, answer.commands)
         return answer.commands
 
     def write(self) -> None:
+        """Write all pending changes of the leader to the store."""
         while self.leader.writer.write_once():
             pass
 
     def ready(self, *workers: FakeWorker) -> None:
-        """Let workers send heartbeats until they are recorded and acknowledge the term."""
+        """Exchange heartbeats until the workers are recorded and the leader is reconciled."""
         for worker in workers * 2:
             self.exchange(worker)
         self.write()
@@ -152,39 +156,42 @@
         assert self.leader.scheduler.check_reconciled()
 
     def ready_worker(self) -> FakeWorker:
-        """Add a worker to which tasks may be given."""
+        """Add a worker on which tasks can be placed."""
         worker = self.worker()
         self.ready(worker)
         return worker
 
     def ready_workers(self, count: int) -> list[FakeWorker]:
-        """Add several workers to which tasks may be given."""
+        """Add several workers on which tasks can be placed."""
         workers = [self.worker(f"i-{number:06d}") for number in range(count)]
         self.ready(*workers)
         return workers
 
     def start_job(self, worker: FakeWorker, *names: str, **changes: Any) -> JobId:
-        """Accept a job, run a scheduling cycle and let the worker fetch its starts."""
+        """Accept a job, run a scheduling cycle and deliver the start commands to the worker."""
         job = self.accept(*names, **changes)
         self.place()
         self.exchange(worker)
         return job
 
     def finish_tasks(self, worker: FakeWorker) -> None:
-        """Finish all tasks of a worker, and let it send a heartbeat."""
+        """Finish all tasks of a worker, and report them by a heartbeat."""
         worker.finish()
         self.exchange(worker)
 
     def place(self) -> None:
+        """Run one scheduling cycle."""
         assert self.leader.scheduler.check_reconciled()
         self.leader.scheduler.run_cycle()
 
     def assignments(self, name: str = "i-000001") -> dict[str, str]:
+        """Return the phase of each task that the leader has assigned to a machine."""
         machine = self.leader.term.cluster.machines[MachineId(name)]
         return {str(task): assignment.phase for task, assignment in machine.assignments.items()}
 
 
 def starts(commands: list[Command]) -> list[str]:
+    """Return the ids of the tasks that commands start."""
     return sorted(command.task_id for command in commands if command.verb == "start")
 
 
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -353,6 +353,9 @@
         }
         return len(there) == int(self.rules.job_specs[task.job].task_count)
 
-    def violations_after_settling(self, patience_s: float = 0.0) -> list[str]:
-        """End all faults, and return the rules that were broken (`cluster_verdict`)."""
-        return cluster_verdict.violations_after_settling(self, patience_s)
+    def violations_after_settling(self, max_wait_s: float = 0.0) -> list[str]:
+        """End all faults, let the cluster settle, and return all violations of the rules.
+
+        See `cluster_verdict.violations_after_settling`.
+        """
+        return cluster_verdict.violations_after_settling(self, max_wait_s)
