--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -108,12 +108,12 @@
             self.settings, params=msgspec.structs.replace(params, state=state)
         )
 
-    def lower_store_limits(self, **limits: Any) -> None:
+    def set_store_limits(self, **limits: Any) -> None:
         """Change the limits that the store enforces."""
         self.store.limits = msgspec.structs.replace(self.store.limits, **limits)
 
     def later(self, seconds: float, renewed: bool = True) -> None:
-        """Advance the clock, and confirm the leader's lease and its knowledge of the jobs."""
+        """Advance the clock; if `renewed`, confirm the leader's lease and its knowledge of jobs."""
         self.clock.now += seconds
         if renewed:
             self.leader.term.lease_validity.confirm_renewal(self.clock())
