--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,22 +1,24 @@
 #!/usr/bin/env python3
-"""A small cluster on loopback for the quick start: store, cloud, workers and controllers.
+"""Runs a small cluster on loopback for the quick start: store, cloud, workers and controllers.
 
     python3 tests/support/loopback.py --controllers 3 --port 18000
 
-It writes the controllers' settings files, starts them as processes of their own, and simulates the
-rest in this one, by the real clock. Tasks run for their job's `guess_s`, replicas of a `daemon`
-until stopped; images take no time, and neither the store nor the cloud limits its requests. The
-cloud's port also injects faults, to be tried by hand:
+The program writes settings files, starts the controllers as child processes, and simulates the
+store, the cloud and the workers in its own process, in real time. Tasks run for their job's
+`guess_s`, replicas of a `daemon` until they are stopped. Image fetches take no time, and the store
+and the cloud have no rate limits. Faults can be injected through the cloud's port:
 
     curl -X POST "http://127.0.0.1:18001/trouble/end?piece=run-000001/0&cause=error"
     curl -X POST "http://127.0.0.1:18001/trouble/lose?host=i-000000"
 
-With `--upgrade-from DIR` the controllers begin with the program of another checkout, and are
-replaced by this one's one after the other; then the store's limits fall. Ctrl-C ends it all.
+With `--upgrade-from DIR` the controllers first run the program of another checkout, and are
+restarted with this one's, one after the other; then the store lowers its limits. Ctrl-C ends all
+processes.
 
-With `--shards zones:2` the controllers share the fleet; `--folder DIR` keeps the settings files
-there, for `run.py shards DIR/n-0.json`. `GET /trouble/starts` tells how often each task was
-started, `/trouble/observed` what else is counted.
+With `--shards zones:2` the fleet is divided into two shards. `--folder DIR` writes the settings
+files to that directory, for `run.py shards DIR/n-0.json`. `GET /trouble/starts` returns how often
+each task was started, `/trouble/observed` the numbers of store requests and writes and the time and
+zone of each task start.
 """
 
 from __future__ import annotations
@@ -67,14 +69,14 @@
 
 
 def serve(port: int, handler: Handler) -> WSGIServer:
-    """Serve JSON on a loopback port."""
+    """Start an HTTP server on a loopback port that answers in JSON; return the server."""
 
     def application(environ: dict[str, Any], start: Any) -> Iterable[bytes]:
         body = environ["wsgi.input"].read()
         query = {k: v[0] for k, v in parse_qs(environ["QUERY_STRING"]).items()}
-        status, answer = handler(environ["REQUEST_METHOD"], environ["PATH_INFO"], query, body)
+        status, response = handler(environ["REQUEST_METHOD"], environ["PATH_INFO"], query, body)
         start(f"{status} -", [("Content-Type", "application/json")])
-        return [msgspec.json.encode(answer)]
+        return [msgspec.json.encode(response)]
 
     server = WSGIServer(("127.0.0.1", port), application, log=None)
     server.start()
@@ -82,7 +84,7 @@
 
 
 class LoopbackCluster:
-    """The simulated store, cloud and workers of the controllers."""
+    """Simulates the store, the cloud and the workers for the controllers."""
 
     def __init__(self, port: int, controllers: int) -> None:
         self.port = port
@@ -90,21 +92,23 @@
         self.cloud = FakeCloud()
         self.controllers = [f"n-{n}" for n in range(controllers)]
         self.api = {name: port + 10 + 2 * n for n, name in enumerate(self.controllers)}
-        self.renewals: dict[int, gevent.Greenlet] = {}
+        self.expiries: dict[int, gevent.Greenlet] = {}
+        """By lease, the greenlet that expires it."""
         self.ttl_s: dict[int, float] = {}
         self.starts: Counter[str] = Counter()
         self.store_requests = 0
-        self.started: list[tuple[float, str]] = []
-        """When and in which zone each task was started."""
-        self.live: dict[str, FakeWorker] = {}
+        self.start_events: list[tuple[float, str]] = []
+        """Time and zone of each task start."""
+        self.live_workers: dict[str, FakeWorker] = {}
+        """By machine id, the workers that have booted and were neither lost nor released."""
 
     def start(self) -> None:
-        """Open the ports of store and cloud."""
+        """Start the HTTP servers of the store and the cloud."""
         serve(self.port, self.on_store)
         serve(self.port + 1, self.on_cloud)
 
     def settings(self, name: str) -> dict[str, Any]:
-        """Return the settings of one controller."""
+        """Return the content of a controller's settings file."""
         raw: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(RAW_SETTINGS))
         raw.update(
             node=name,
@@ -126,48 +130,48 @@
 
     # -- the store --------------------------------------------------------------------------
 
-    def _expiry(self, tenancy: int, ttl_s: float) -> None:
+    def _expire_after(self, lease: int, ttl_s: float) -> None:
         gevent.sleep(ttl_s)
-        self.store.expire(tenancy)
+        self.store.expire(lease)
 
     def on_store(
         self, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
-        """Answer as the store."""
+        """Handle a request to the store; return the HTTP status and the body."""
         store = self.store
         self.store_requests += 1
         if path == "/holds":
             ttl_s = msgspec.json.decode(body)["ttl_ms"] / 1000
-            tenancy = store.grant(ttl_s)
-            self.ttl_s[tenancy] = ttl_s
-            self.renewals[tenancy] = gevent.spawn(self._expiry, tenancy, ttl_s)
-            return 200, {"tenancy": tenancy}
+            lease = store.grant(ttl_s)
+            self.ttl_s[lease] = ttl_s
+            self.expiries[lease] = gevent.spawn(self._expire_after, lease, ttl_s)
+            return 200, {"tenancy": lease}
         if path.startswith("/holds/"):
-            tenancy = int(path.split("/")[2])
+            lease = int(path.split("/")[2])
             try:
-                store.renew(tenancy, 1.0)
+                store.renew(lease, 1.0)
             except LeaseLostError:
                 return 404, {}
-            self.renewals[tenancy].kill()
+            self.expiries[lease].kill()
             if method == "DELETE":
-                store.expire(tenancy)
+                store.expire(lease)
             else:
-                self.renewals[tenancy] = gevent.spawn(self._expiry, tenancy, self.ttl_s[tenancy])
+                self.expiries[lease] = gevent.spawn(self._expire_after, lease, self.ttl_s[lease])
             return 200, {}
         if path == "/txn":
-            ask = msgspec.json.decode(body)
+            request = msgspec.json.decode(body)
             writes = [
                 Put(w["set"], w["data"], w.get("tenancy")) if "set" in w else Remove(w["remove"])
-                for w in ask["writes"]
+                for w in request["writes"]
             ]
             try:
-                result = store.txn({c["k"]: KeyVersion(c["stamp"]) for c in ask["if"]}, writes)
+                result = store.txn({c["k"]: KeyVersion(c["stamp"]) for c in request["if"]}, writes)
             except LeaseLostError:
                 return 400, {"error": "no such lease"}
             except RejectedError as error:
                 return 400, {"error": str(error)}
-            answer = {"epoch": result.revision, "failed": sorted(result.failed_keys)}
-            return (200 if result.ok else 409), answer
+            response = {"epoch": result.revision, "failed": sorted(result.failed_keys)}
+            return (200 if result.ok else 409), response
         if path == "/changes":
             for _ in range(int(query.get("wait_ms", "0")) // 20 + 1):
                 changes = store.watch(query["starts"], Revision(int(query["since"])), 0.0)
@@ -176,8 +180,8 @@
                 gevent.sleep(0.02)
             return 200, changes
         if path == "/store":
-            pairs, revision = store.listing(query.get("starts", ""))
-            return 200, {"pairs": pairs, "has_next": False, "epoch": revision}
+            entries, revision = store.listing(query.get("starts", ""))
+            return 200, {"pairs": entries, "has_next": False, "epoch": revision}
         entry = store.get(path.removeprefix("/store/"))
         return (200, entry) if entry is not None else (404, {"epoch": store.revision})
 
@@ -186,22 +190,22 @@
     def on_cloud(
         self, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
-        """Answer as the cloud."""
+        """Handle a request to the cloud, or inject a fault; return the HTTP status and the body."""
         if path == "/machine_types":
             return 200, MachineTypeList(self.cloud.machine_types())
         if path == "/machines" and method == "POST":
             request = msgspec.json.decode(body, type=RentalRequest)
-            known = request.id in self.cloud.answers
+            repeated = request.id in self.cloud.answers
             try:
                 names = self.cloud.rent(request)
             except NoCapacityError:
                 return 503, {"error": "no capacity"}
-            for name in () if known else names:
+            for name in () if repeated else names:
                 worker = FakeWorker(str(name), request.machine_type, request.zone, request.spot)
-                gevent.spawn(self.work, worker)
+                gevent.spawn(self.run_worker, worker)
             return 200, MachineNames([str(name) for name in names])
         if path == "/trouble/end":
-            for worker in self.live.values():
+            for worker in self.live_workers.values():
                 for key, reported in worker.tasks.items():
                     if reported.task_id == query["piece"] and reported.status == "running":
                         worker.tasks[key] = ReportedTask(*key, "ended", query["cause"])
@@ -213,22 +217,23 @@
                 "now": time.monotonic(),
                 "store_requests": self.store_requests,
                 "store_writes": self.store.writes,
-                "starts": self.started,
+                "starts": self.start_events,
             }
         if path == "/trouble/lose":
-            return 200, {"lost": self.live.pop(query["host"], None) is not None}
+            return 200, {"lost": self.live_workers.pop(query["host"], None) is not None}
         if path == "/machines/release":
-            for gone in msgspec.json.decode(body, type=MachineNames).machines:
-                self.live.pop(gone, None)
+            for machine in msgspec.json.decode(body, type=MachineNames).machines:
+                self.live_workers.pop(machine, None)
             return 200, {}
         listed = [
-            ListedMachine(w.name, w.machine_type, w.zone, "running") for w in self.live.values()
+            ListedMachine(w.name, w.machine_type, w.zone, "running")
+            for w in self.live_workers.values()
         ]
         return 200, MachinePage(listed)
 
     # -- the workers ------------------------------------------------------------------------
 
-    def _run(self, worker: FakeWorker, key: tuple[str, int]) -> None:
+    def _run_task(self, worker: FakeWorker, key: tuple[str, int]) -> None:
         entry = self.store.get(live_key(JobId(key[0].split("/")[0])))
         if entry is not None:
             if msgspec.json.decode(entry.data, type=JobRecord).spec.shape == SERVICE:
@@ -238,18 +243,18 @@
         if reported is not None and reported.status == "running":
             worker.tasks[key] = ReportedTask(reported.task_id, reported.attempt, "ended", "done")
 
-    def _obey(self, worker: FakeWorker, token: int, commands: list[Any]) -> None:
+    def _execute(self, worker: FakeWorker, token: int, commands: list[Any]) -> None:
         before = set(worker.tasks)
         worker.execute(token, commands)
         for key in set(worker.tasks) - before:
             self.starts[key[0]] += 1
-            self.started.append((time.monotonic(), worker.zone))
-            gevent.spawn(self._run, worker, key)
+            self.start_events.append((time.monotonic(), worker.zone))
+            gevent.spawn(self._run_task, worker, key)
 
-    def work(self, worker: FakeWorker) -> None:
-        """Simulate one machine: boot, serve direct commands, send heartbeats."""
+    def run_worker(self, worker: FakeWorker) -> None:
+        """Simulate a machine (boot, commands, heartbeats) until it is lost or released."""
         gevent.sleep(BOOT_S)
-        self.live[worker.name] = worker
+        self.live_workers[worker.name] = worker
         port = self.port + 100 + int(worker.name[2:])
 
         def heartbeat() -> Any:
@@ -259,30 +264,30 @@
 
         def commands(method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, Any]:
             if path == "/orders":
-                ask = msgspec.json.decode(body, type=DirectCommands)
-                if ask.token < worker.token or ask.incarnation != worker.incarnation:
+                sent = msgspec.json.decode(body, type=DirectCommands)
+                if sent.token < worker.token or sent.incarnation != worker.incarnation:
                     return 409, heartbeat()
-                self._obey(worker, ask.token, ask.commands)
+                self._execute(worker, sent.token, sent.commands)
             return 200, heartbeat()
 
         server = serve(port, commands)
         clients = {name: HttpClient(("127.0.0.1", api), 1) for name, api in self.api.items()}
-        at = self.controllers[0]
-        while worker.name in self.live:
+        node = self.controllers[0]
+        while worker.name in self.live_workers:
             try:
-                reply = clients[at].request(
+                reply = clients[node].request(
                     "POST", "/v1/report", msgspec.json.encode(heartbeat()), 4.0
                 )
             except UnreachableError:
                 reply = None
             if reply is not None and reply.status == 200:
-                answer = msgspec.json.decode(reply.body, type=HeartbeatResponse)
-                self._obey(worker, answer.token, answer.commands)
+                response = msgspec.json.decode(reply.body, type=HeartbeatResponse)
+                self._execute(worker, response.token, response.commands)
             elif reply is not None and reply.status == 421:
-                at = msgspec.json.decode(reply.body).get("foreman") or at
+                node = msgspec.json.decode(reply.body).get("foreman") or node
                 continue
             else:
-                at = self.controllers[(self.controllers.index(at) + 1) % len(self.controllers)]
+                node = self.controllers[(self.controllers.index(node) + 1) % len(self.controllers)]
             gevent.sleep(REPORT_S)
         server.stop(timeout=0)
 
@@ -290,7 +295,7 @@
 def upgrade(
     cluster: LoopbackCluster, processes: list[subprocess.Popen[bytes]], commands: list[list[str]]
 ) -> None:
-    """Replace the controllers one after the other; then the store's limits fall."""
+    """Restart the controllers one after the other by `commands`; then lower the store's limits."""
     for n, command in enumerate(commands):
         gevent.sleep(UPGRADE_EVERY_S)
         processes[n].kill()
@@ -299,42 +304,42 @@
         processes[n] = subprocess.Popen(command, env=os.environ.copy())
     gevent.sleep(UPGRADE_EVERY_S)
     cluster.store.limits = msgspec.structs.replace(cluster.store.limits, **NEXT_LIMITS)
-    print("the store's limits have fallen", flush=True)
+    print("the store's limits are lowered", flush=True)
 
 
 def main() -> None:
-    """Run the cluster until it is interrupted."""
-    # A shell lets what it starts in the background ignore Ctrl-C, and children inherit that.
+    """Run the cluster until Ctrl-C."""
+    # Shells start background processes with SIGINT ignored, and child processes inherit that.
     signal.signal(signal.SIGINT, signal.default_int_handler)
-    options = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    options.add_argument("--controllers", type=int, default=3)
-    options.add_argument("--port", type=int, default=18000)
-    options.add_argument("--upgrade-from", type=Path, metavar="DIR")
-    options.add_argument("--shards", metavar="FILE|zones:N")
-    options.add_argument("--folder", type=Path, metavar="DIR")
-    chosen = options.parse_args()
-    cluster = LoopbackCluster(chosen.port, chosen.controllers)
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--controllers", type=int, default=3)
+    parser.add_argument("--port", type=int, default=18000)
+    parser.add_argument("--upgrade-from", type=Path, metavar="DIR")
+    parser.add_argument("--shards", metavar="FILE|zones:N")
+    parser.add_argument("--folder", type=Path, metavar="DIR")
+    arguments = parser.parse_args()
+    cluster = LoopbackCluster(arguments.port, arguments.controllers)
     cluster.start()
     processes: list[subprocess.Popen[bytes]] = []
     commands: list[list[str]] = []
     with tempfile.TemporaryDirectory() as folder:
         for name in cluster.controllers:
-            file = (chosen.folder or Path(folder)) / f"{name}.json"
+            file = (arguments.folder or Path(folder)) / f"{name}.json"
             file.write_bytes(msgspec.json.encode(cluster.settings(name)))
-            division = ["--shards", chosen.shards] if chosen.shards else []
+            shards_option = ["--shards", arguments.shards] if arguments.shards else []
             commands.append(
-                [sys.executable, str(ROOT / "run.py"), *division, "--config", str(file)]
+                [sys.executable, str(ROOT / "run.py"), *shards_option, "--config", str(file)]
             )
             command = list(commands[-1])
-            if chosen.upgrade_from is not None:
-                command[1] = str(chosen.upgrade_from / "run.py")
+            if arguments.upgrade_from is not None:
+                command[1] = str(arguments.upgrade_from / "run.py")
             processes.append(subprocess.Popen(command, env=os.environ.copy()))
             print(
                 f"{name}: users at http://127.0.0.1:{cluster.api[name]}, "
                 f"process {processes[-1].pid}",
                 flush=True,
             )
-        if chosen.upgrade_from is not None:
+        if arguments.upgrade_from is not None:
             gevent.spawn(upgrade, cluster, processes, commands)
         try:
             while True:
