--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -28,7 +28,7 @@
     cluster.after_load = None
     for link in cluster.links.values():
         link.refused = link.watch_hangs = link.loses_answers = False
-        link.stale_watch = link.before_answer = None
+        link.max_watch_revision = link.before_answer = None
         link.apply_delayed()
     for name in list(cluster.dead):
         cluster.boot(name)
@@ -107,6 +107,6 @@
     for job in sorted(cluster.rules.accepted):
         answers = {_poll_until_answered(cluster, name, job) for name in CONTROLLERS}
         if answers != {200}:
-            cluster.rules.add_violation("forgotten", f"{job}: {answers}")
+            cluster.rules.add_violation("job_lost", f"{job}: {answers}")
     waits = [f"waits: {text}" for text in _jobs_still_waiting_after(cluster, max_wait_s)]
     return cluster.rules.violations + waits
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -1,7 +1,7 @@
-"""Machines and jobs for tests of scheduling cycles and of the order of jobs.
+"""Machines and jobs for tests of scheduling cycles and of the queue order.
 
-There is a cluster state and a job table but no leader: no store, no heartbeats and no time that
-passes. A plan is computed and returned, and never sent to workers.
+`World` has a cluster state and a job table, but no leader, store, heartbeats or clock. Plans are
+returned to the test, and not applied.
 """
 
 from __future__ import annotations
@@ -53,14 +53,17 @@
     def machine(
         self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
     ) -> Machine:
+        """Add a machine on which tasks can be placed."""
         machine = self.cluster.add(MachineId(name), machine_type, Zone(zone), spot, T0)
         machine.acknowledged_bump, machine.recorded = 0, True
         return machine
 
     def job(self, ref: str, **changes: Any) -> Job:
+        """Add a job with all tasks unassigned."""
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def run_tasks(self, one: Job, machine: Machine, count: int) -> None:
+        """Mark tasks of a job as running on a machine."""
         for index in one.dequeue(count):
             self.cluster.assign(machine, TaskId(one.id, index), Attempt(1), TaskPhase.RUNNING, T0)
 
@@ -74,6 +77,11 @@
         moving: Sequence[Assignment] = (),
         **snapshot_fields: Any,
     ) -> scheduling.Plan:
+        """Run one scheduling cycle over the jobs, and return its plan.
+
+        `now` counts seconds from `T0`; `unreconciled` are CPUs and GPUs of unreconciled machines,
+        which count against each team; `moving` are replicas that should run elsewhere.
+        """
         gpu_reserve = NO_RESERVE
         for one in self.job_table:
             gpu_reserve = gpu_reserve.including(one)
@@ -95,6 +103,7 @@
 
 
 def tasks_by_machine(plan: scheduling.Plan) -> Counter[str]:
+    """Return how many tasks a plan places on each machine."""
     counts: Counter[str] = Counter()
     for batch in plan.batches:
         for machine, count in batch.parts:
@@ -103,6 +112,7 @@
 
 
 def queue_order(jobs: list[Job], total: float, now: float) -> list[str]:
+    """Return the ids of jobs in queue order, for a supply of `total` CPUs at the time `now`."""
     supply = queueing.Supply(total, 0.0)
     ordered = queueing.order(jobs, settings().params.objectives, supply, supply, WallTime(now))
     return [one.id for one in ordered]
--- a/tests/support/planner_inputs.py
+++ b/tests/support/planner_inputs.py
@@ -1,4 +1,4 @@
-"""Random inputs for the planner of shards."""
+"""Random inputs for the shard planner, which assigns shards to controllers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def random_inputs(rng: random.Random, shards: int, nodes: int) -> PlanInputs:
-    """Return random loads, owners, pins and rooms; some shards have just moved."""
+    """Return shards with random load, owner, pin and last move, and nodes with random room."""
     names = [NodeName(f"n-{number}") for number in range(nodes)]
     return PlanInputs(
         [
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""What tests of whole processes share: the repository's root, free ports and HTTP requests."""
+"""Helpers for tests that start processes: paths, free ports and HTTP requests."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 LOOPBACK = ROOT / "tests" / "support" / "loopback.py"
-"""The program that simulates store, cloud and workers, and starts controllers."""
+"""The program that simulates the store, the cloud and workers, and starts controllers."""
 TIMEOUT_S = 90.0
-"""Far above what is needed: a slow machine must not fail a test."""
+"""Far longer than needed, so that tests pass on a slow machine."""
 
 
 def find_free_ports() -> int:
-    """Return the first port of a range whose ports are free."""
+    """Return a base port; the ports that the loopback program opens from there on are free."""
     for base in range(21000, 60000, 500):
         try:
             for port in (base, base + 1, base + 10, base + 14, base + 100):
@@ -32,7 +32,7 @@
 
 
 def fetch(url: str, body: bytes | None = None) -> tuple[int, Any]:
-    """Do one request; return status and decoded answer, or status 0 without an answer."""
+    """Send a GET, or a POST if there is a body; return status and JSON body, or status 0."""
     request = urllib.request.Request(url, body, method="POST" if body is not None else "GET")
     try:
         with urllib.request.urlopen(request, timeout=5) as reply:
@@ -44,12 +44,12 @@
 
 
 def wait_for_status(url: str, wanted: str, body: bytes | None = None) -> Any:
-    """Repeat a request until the job has the wanted status; return the answer."""
-    end = time.monotonic() + TIMEOUT_S
-    answer: Any = None
-    while time.monotonic() < end:
-        status, answer = fetch(url, body)
-        if status in (200, 201) and answer["status"] == wanted:
-            return answer
+    """Repeat a request until the job has the wanted status; return the last response body."""
+    deadline = time.monotonic() + TIMEOUT_S
+    response: Any = None
+    while time.monotonic() < deadline:
+        status, response = fetch(url, body)
+        if status in (200, 201) and response["status"] == wanted:
+            return response
         time.sleep(0.2)
-    raise AssertionError(f"{url}: last answer {answer}")
+    raise AssertionError(f"{url}: not {wanted!r} in time, last response {response}")
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,7 +1,14 @@
-"""Checks what users were told and what workers ran against the rules of the protocol.
+"""Checks responses to users and tasks on workers against the rules of the protocol.
 
-The rules are named as in violations: `forgotten`, `went_back`, `not_done`, `ran_cancelled`,
-`ran_twice`, `counted_twice` and `quota`.
+The names of the rules, as they appear in violations:
+
+- `job_lost`: a controller answered 404 for an accepted job.
+- `final_state_changed`: a job had another status after a final state.
+- `not_done`: a job was reported as done before all its tasks had finished.
+- `ran_cancelled`: a task started after its job was reported as cancelled, or ran on for too long.
+- `ran_twice`: a task started while another attempt of it was on a machine.
+- `two_leaders`: two leaders that may both start tasks had the same machine.
+- `quota`: the running tasks of a team used more GPUs than its limit.
 """
 
 from __future__ import annotations
@@ -19,38 +26,40 @@
 
 
 class RuleChecker:
-    """Records answers to users and starts of tasks, and collects violations of the rules."""
+    """Records responses to users and starts of tasks, and collects violations of the rules."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self.accepted: set[str] = set()
         self.final_states: dict[str, str] = {}
-        """By job, the first final state that a user was told."""
+        """By job, the first final state in a response to a user."""
         self.cancelled_at: dict[str, float] = {}
-        """By job, when a user was first told that it is cancelled."""
+        """By job, when a response first said that it is cancelled."""
         self.violations: list[str] = []
         self.ended_done: dict[str, set[int]] = {}
         """By job, the tasks that have finished on a machine."""
         self.job_specs: dict[str, Any] = {}
-        """By job, what was submitted first under its id."""
+        """By job, the spec that was first submitted under its id."""
         self.starts: Counter[str] = Counter()
-        """By task, how often it was started."""
+        """By task id, how often it was started."""
         self.stopped_tasks: list[str] = []
-        """Tasks that a command stopped while they ran."""
+        """Ids of tasks that a command stopped while they ran."""
 
-    def add_violation(self, rule: str, what: str) -> None:
+    def add_violation(self, rule: str, detail: str) -> None:
         """Record a violation, with the seconds since the simulation began."""
-        self.violations.append(f"{rule} at {self._cluster.clock() - 1000:.2f}: {what}")
+        self.violations.append(f"{rule} at {self._cluster.clock() - 1000:.2f}: {detail}")
 
-    def record_answer(self, node: str, job: str, status: int, answer: Any) -> None:
-        """Record and check an answer to a user."""
+    def record_response(self, node: str, job: str, status: int, body: Any) -> None:
+        """Record and check a response to a user about a job."""
         if status == 404 and job in self.accepted:
-            self.add_violation("forgotten", f"{node}: {job}")
+            self.add_violation("job_lost", f"{node}: {job}")
         if status not in (200, 201):
             return
-        state = answer["status"]
+        state = body["status"]
         if job in self.final_states and state != self.final_states[job]:
-            self.add_violation("went_back", f"{node}: {job} {self.final_states[job]} -> {state}")
+            self.add_violation(
+                "final_state_changed", f"{node}: {job} {self.final_states[job]} -> {state}"
+            )
         self.accepted.add(job)
         if state in FINAL_STATES:
             self.final_states.setdefault(job, state)
@@ -62,7 +71,7 @@
             self.add_violation("not_done", f"{node}: {job}")
 
     def record_start(self, worker: TimedWorker, key: tuple[str, int]) -> None:
-        """Record and check the start of a task attempt."""
+        """Record and check the start of a task attempt, by task id and attempt number."""
         task = parse_task_id(key[0])
         assert task is not None
         self.starts[key[0]] += 1
@@ -82,8 +91,8 @@
                     self.add_violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
 
     def _check_machine_owners(self) -> None:
-        """Check that no machine belongs to two leaders that may both start tasks."""
-        owners: dict[str, list[str]] = {}
+        """Check that no machine is in the state of two leaders that may both start tasks."""
+        leaders: dict[str, list[str]] = {}
         for name, node in self._cluster.nodes.items():
             if name in self._cluster.dead:
                 continue
@@ -92,13 +101,13 @@
                 if leader is None or not leader.term.has_authority():
                     continue
                 for machine in leader.term.cluster.machines:
-                    owners.setdefault(machine, []).append(f"{name}/{elector.shard}")
-        for machine_id, names in owners.items():
+                    leaders.setdefault(machine, []).append(f"{name}/{elector.shard}")
+        for machine_id, names in leaders.items():
             if len(names) > 1:
-                self.add_violation("counted_twice", f"{machine_id} by {', '.join(names)}")
+                self.add_violation("two_leaders", f"{machine_id}: {', '.join(names)}")
 
     def check(self) -> None:
-        """Check what runs on the machines now."""
+        """Check the tasks that are on machines now, and record those that have finished."""
         cluster = self._cluster
         self._check_machine_owners()
         cancel_s = cluster.settings.params.workers.cancel_s
@@ -111,11 +120,11 @@
                     if found.cause == EndCause.DONE:
                         self.ended_done.setdefault(task.job, set()).add(task.number)
                     continue
-                told = self.cancelled_at.get(task.job)
-                if told is not None and cluster.clock() > told + cancel_s:
+                cancelled_at = self.cancelled_at.get(task.job)
+                if cancelled_at is not None and cluster.clock() > cancelled_at + cancel_s:
                     self.add_violation("ran_cancelled", f"{reported} on {worker.name}")
-                wanted = self.job_specs[task.job]
-                used[wanted.team] += wanted.gpus
+                spec = self.job_specs[task.job]
+                used[spec.team] += spec.gpus
         for team in cluster.settings.params.teams:
             if team.gpus_max and used[team.name] > team.gpus_max:
-                self.add_violation("quota", f"{team.name}: {used[team.name]} cards")
+                self.add_violation("quota", f"{team.name}: {used[team.name]} GPUs")
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -1,7 +1,7 @@
-"""What scenarios have in common: how a simulated cluster is started.
+"""Common first steps of the scenarios that tests run on a simulated cluster.
 
-A scenario is a function that lets things happen to a cluster. It states what it needs to be true on
-its way; the test that runs it checks the rules of the protocol afterwards.
+A scenario is a function that applies a sequence of events to a cluster, and asserts the conditions
+on which later events depend. The test that runs it checks the rules of the protocol at the end.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def start_leader(cluster: SimulatedCluster, machines: int = 1) -> TimedWorker:
-    """Start a leader and machines that may be given work; return the first machine."""
+    """Add machines and wait until n-0 leads; return the worker of the first machine."""
     for number in range(1, machines + 1):
         cluster.worker(f"i-{number:06d}")
     cluster.run(4.0)
@@ -24,7 +24,7 @@
 
 
 def start_job(cluster: SimulatedCluster, ref: str = "run-1") -> TimedWorker:
-    """Start a leader, and a job of one task that runs on a machine; return the machine."""
+    """Start a leader, and a job whose single task runs on a machine; return its worker."""
     worker = start_leader(cluster)
     cluster.submit(CONTROLLERS[0], ref)
     cluster.run(8.0)
--- a/tests/support/services.py
+++ b/tests/support/services.py
@@ -1,6 +1,7 @@
-"""A service (a job of replicas that run until it is cancelled) for tests with the leader harness.
+"""Services for tests with the leader harness.
 
-Replicas start at once: their image takes no time to fetch here.
+A service is a job whose replicas run until it is cancelled. Here they start at once, because the
+fake workers fetch images in no time.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def start_service(harness: LeaderHarness, *workers: FakeWorker, **changes: Any) -> JobId:
-    """Start a service, and let the workers report its replicas as running."""
+    """Accept a service, place its replicas, and let the workers report them as running."""
     name = harness.accept(**{**SERVICE, "image": "img-s", **changes})
     harness.place()
     for worker in workers * 2:
@@ -31,5 +32,5 @@
 
 
 def replicas(harness: LeaderHarness, name: JobId) -> dict[int, str]:
-    """Return the machine of each live replica, by its number."""
+    """Return the machine of each live replica, by replica number."""
     return dict(harness.leader.term.job_table.jobs[name].assigned_tasks)
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -1,10 +1,10 @@
-"""A simulated cluster: three controllers, store, workers and users, stepped by the test's clock.
+"""A simulated cluster of three controllers, a store, workers and users, run in discrete steps.
 
-The code of the service runs: records in the store, heartbeats and their responses, messages
-between controllers, requests of users. Simulated are the store, the network and the workers, with
-switches for their faults. Left out are sockets, latency and greenlets: each loop of a controller
-runs once in a step, in a fixed order, and direct commands are sent within the step. `RuleChecker`
-records what users were told and what workers ran.
+The controllers run the real code, and their store records, heartbeats, peer messages and user
+requests are encoded as in production. The store, the network and the workers are simulated, and
+faults can be injected into them. There are no sockets, no latency and no greenlets: each loop of a
+controller runs once per step, in a fixed order, and direct commands are delivered within the step.
+`RuleChecker` checks responses to users and tasks on workers.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class FakePeer:
-    """Requests from one controller to another, encoded and decoded as on the wire."""
+    """Sends requests from one controller to another, encoded and decoded as on the wire."""
 
     def __init__(self, cluster: SimulatedCluster, here: str, there: str) -> None:
         self._cluster = cluster
@@ -59,22 +59,22 @@
             frozenset((self._here, self._there)) in cluster.partitions
             or self._there in cluster.dead
         ):
-            raise PeerUnavailableError("cut")
+            raise PeerUnavailableError("partitioned")
         if self._there in cluster.frozen or self._here in cluster.frozen:
             raise PeerUnavailableError("deadline")
         sent = msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=Request)
         answer = cluster.nodes[self._there].peer_requests.handle(sent)
-        interrupt = cluster.before_peer_answer.pop(self._there, None)
-        if interrupt is not None:
-            interrupt()
+        hook = cluster.before_peer_answer.pop(self._there, None)
+        if hook is not None:
+            hook()
         return msgspec.msgpack.decode(msgspec.msgpack.encode(answer), type=Response)
 
 
 class SimulatedCluster:
     """Three controllers with their store, workers and users.
 
-    `partitions` are pairs of controllers that can't reach each other, `dead` are controllers whose
-    process has ended, and `frozen` those whose process stands still.
+    `partitions` holds pairs of controllers that can't reach each other, `dead` the controllers
+    whose process has ended, and `frozen` those whose process is suspended.
     """
 
     def __init__(self, clock: Clock, shards: ShardSettings | None = None) -> None:
@@ -90,15 +90,16 @@
         self.dead: set[str] = set()
         self.frozen: set[str] = set()
         self.before_peer_answer: dict[str, Callable[[], None]] = {}
+        """By controller, called once after it has handled a peer request, before the response."""
         self.workers: dict[str, TimedWorker] = {}
         self.rules = RuleChecker(self)
         self.links: dict[str, StoreLink] = {}
         self.nodes: dict[str, Node] = {}
         self.apis: dict[str, Api] = {}
         self.state_limits: dict[str, float] = {}
-        """Limits of the store that differ from the settings, for controllers booted from now on."""
+        """Store limits that override the settings of controllers booted from now on."""
         self.after_load: Callable[[], None] | None = None
-        """Called when a new leader has read the store, before anything else."""
+        """Called when a new leader has loaded its state, before it does anything else."""
         types = msgspec.to_builtins(MachineTypeList([CPU, GPU]))
         self.store.txn({}, [Put("flavours", types)])
         for name in CONTROLLERS:
@@ -114,10 +115,12 @@
         params = {**RAW_SETTINGS["params"]}
         params["state"] = {**params["state"], **self.state_limits}
         raw = {**RAW_SETTINGS, "node": name, "members": members, "params": params}
-        own = msgspec.convert(raw, Settings)
+        node_settings = msgspec.convert(raw, Settings)
         shards = self.shards
         node = Node(
-            own, default_policy(own), ShardDivision(shards, random.Random(1)) if shards else None
+            node_settings,
+            default_policy(node_settings),
+            ShardDivision(shards, random.Random(1)) if shards else None,
         )
         link = StoreLink(self.store)
         link.on_throttled = node.store.on_throttled
@@ -137,7 +140,7 @@
     # -- time -------------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Let time pass, in steps of `STEP_S`."""
+        """Simulate `seconds`, in steps of `STEP_S`."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.now += STEP_S
             self.store.expire_leases()
@@ -150,42 +153,42 @@
 
     def _step_node(self, name: str, node: Node) -> None:
         if name in self.coordinators:
-            self._coordinate(name)
+            self._step_coordinator(name)
         for elector in node.electors.values():
-            self._step_term(node, elector)
+            self._step_elector(node, elector)
 
-    def _coordinate(self, name: str) -> None:
+    def _step_coordinator(self, name: str) -> None:
         try:
             self.coordinators[name].step()
         except (StoreUnavailableError, DivisionDiffersError):
             pass
 
-    def _step_term(self, node: Node, elector: LeaderElector) -> None:
+    def _step_elector(self, node: Node, elector: LeaderElector) -> None:
         if elector.leader is None:
-            self._follow(node, elector)
+            self._campaign(node, elector)
         leader = elector.leader
         if leader is None:
             return
         if not leader.term.state_loaded.is_set() and not self.load(leader):
             leader.lease_keeper.renew_once()
             return
-        for act in (
+        for step in (
             leader.lease_keeper.renew_once,
             leader.job_watcher.watch_once,
-            self._writing(leader),
+            self._write_step(leader),
             leader.maintenance.run_once,
-            self._dividing_limits(leader),
-            self._placing(leader),
-            self._giving_up(leader),
+            self._team_limits_step(leader),
+            self._scheduling_step(leader),
+            self._release_step(leader),
         ):
             if elector.leader is leader:
                 try:
-                    act()
+                    step()
                 except (StoreUnavailableError, CloudUnavailableError):
                     pass
 
     def load(self, leader: Leader) -> bool:
-        """Let a new leader read the store; return whether it could."""
+        """Let a new leader load its state; return False if the store is unavailable."""
         try:
             leader.load()
         except StoreUnavailableError:
@@ -198,7 +201,7 @@
                 leader.direct_messages.schedule(machine)
         return True
 
-    def _writing(self, leader: Leader) -> Callable[[], None]:
+    def _write_step(self, leader: Leader) -> Callable[[], None]:
         def write() -> None:
             for _ in range(8):
                 if not leader.term.has_authority() or not leader.writer.write_once():
@@ -206,18 +209,18 @@
 
         return write
 
-    def _placing(self, leader: Leader) -> Callable[[], None]:
-        def place() -> None:
+    def _scheduling_step(self, leader: Leader) -> Callable[[], None]:
+        def schedule() -> None:
             if leader.term.may_start_operations() and leader.scheduler.check_reconciled():
                 leader.scheduler.run_cycle()
 
-        return place
+        return schedule
 
-    def _dividing_limits(self, leader: Leader) -> Callable[[], None]:
+    def _team_limits_step(self, leader: Leader) -> Callable[[], None]:
         limits = leader.term.team_limits
         return limits.step if isinstance(limits, ShardTeamLimits) else lambda: None
 
-    def _follow(self, node: Node, elector: LeaderElector) -> None:
+    def _campaign(self, node: Node, elector: LeaderElector) -> None:
         try:
             election = read_election_record(elector.store)
             elector.observe(election)
@@ -229,14 +232,14 @@
         if leader is not None:
             use_cloud(leader, self.cloud)
             leader.writer.bucket = self._bucket(leader.writer.bucket)
-            early = self._bucket(leader.early_heartbeats.bucket)
-            leader.early_heartbeats.bucket = early
+            early_bucket = self._bucket(leader.early_heartbeats.bucket)
+            leader.early_heartbeats.bucket = early_bucket
             leader.scheduler.rng = random.Random(int(leader.term.number))
             leader.direct_messages.workers = DirectLink(self, node.name)  # type: ignore[assignment]
             leader.direct_messages.schedule = leader.direct_messages.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
-        """Return a token bucket by the test's clock, so that a slow machine changes no result."""
+        """Return a token bucket that uses the test's clock, so that real time changes no result."""
         return TokenBucket(bucket.rate, bucket.burst, self.clock)
 
     def _release(self, machines: list[MachineId]) -> None:
@@ -245,33 +248,33 @@
         for name in machines:
             self.workers.pop(name, None)
 
-    def _giving_up(self, leader: Leader) -> Callable[[], None]:
-        def give_up() -> None:
-            gone = leader.autoscaler.unhealthy_machines(self.clock())
-            if gone and leader.term.may_start_operations():
-                leader.autoscaler.releaser.release(gone)
+    def _release_step(self, leader: Leader) -> Callable[[], None]:
+        def release() -> None:
+            unhealthy = leader.autoscaler.unhealthy_machines(self.clock())
+            if unhealthy and leader.term.may_start_operations():
+                leader.autoscaler.releaser.release(unhealthy)
 
-        return give_up
+        return release
 
-    # -- who does what ----------------------------------------------------------------------
+    # -- leaders, workers and users ---------------------------------------------------------
 
     @property
     def leader_name(self) -> str:
-        """Return the controller that holds the latest term."""
+        """Return the controller that leads the latest term of an undivided fleet, or else n-0."""
         return self.leader_of(None)
 
     def leader_of(self, shard: str | None) -> str:
-        """Return the controller that holds the latest term of a shard."""
+        """Return the controller that leads the latest term of a shard, or n-0 if none leads."""
         found = [(self.leader(name, shard), name) for name in CONTROLLERS]
         leading = [(leader.term.number, name) for leader, name in found if leader is not None]
         return max(leading, default=(0, CONTROLLERS[0]))[1]
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
-        """Return the leader in a controller's process, if it leads."""
+        """Return the leader object of a controller, or None if it doesn't lead the shard."""
         return self.nodes[name].electors[ShardName(shard) if shard else None].leader
 
     def latest_leaders(self) -> list[Leader]:
-        """Return the leader of the latest term of each shard."""
+        """Return the leader of the latest term of each shard that has a leader."""
         found = [
             self.leader(self.leader_of(shard), shard)
             for shard in self.nodes[CONTROLLERS[0]].electors
@@ -284,66 +287,68 @@
         return self.workers[name]
 
     def send_heartbeat(self, node: str, heartbeat: Heartbeat) -> tuple[int, Any]:
-        """Deliver a heartbeat, or a copy of one, to a controller; return status and answer."""
+        """Deliver a heartbeat to a controller; return the HTTP status and the decoded body."""
         return self.send_http_request(node, "POST", "/v1/report", msgspec.json.encode(heartbeat))
 
     def submit(self, node: str, ref: str = "run-1", **changes: Any) -> int:
-        """Submit a job as a user, or repeat its submission; return the HTTP status."""
-        wanted = job_spec(ref, **{"task_count": 1, **changes})
-        self.rules.job_specs.setdefault(ref, wanted)
+        """Submit a job as a user, also repeatedly; return the HTTP status, 0 if unreachable."""
+        spec = job_spec(ref, **{"task_count": 1, **changes})
+        self.rules.job_specs.setdefault(ref, spec)
         body = msgspec.json.encode(submission(ref, **{"task_count": 1, **changes}))
-        return self._with_final_state(node, ref, "POST", "/v2/runs", body)
+        return self._send_user_request(node, ref, "POST", "/v2/runs", body)
 
     def poll(self, node: str, ref: str = "run-1") -> int:
-        """Ask for a job's status as a user; return the HTTP status."""
-        return self._with_final_state(node, ref, "GET", f"/v2/runs/{ref}")
+        """Poll a job as a user; return the HTTP status, 0 if unreachable."""
+        return self._send_user_request(node, ref, "GET", f"/v2/runs/{ref}")
 
     def cancel(self, node: str, ref: str = "run-1") -> int:
-        """Cancel a job as a user; return the HTTP status."""
-        return self._with_final_state(node, ref, "POST", f"/v2/runs/{ref}/cancel")
+        """Cancel a job as a user; return the HTTP status, 0 if unreachable."""
+        return self._send_user_request(node, ref, "POST", f"/v2/runs/{ref}/cancel")
 
     def poll_and_resubmit_everywhere(self, ref: str = "run-1") -> None:
-        """Ask every controller for a job's status, and repeat its submission there."""
+        """Poll a job at every controller, and repeat its submission there."""
         for name in CONTROLLERS:
             self.poll(name, ref)
             self.submit(name, ref)
 
     def finish_tasks(self, worker: TimedWorker) -> None:
-        """Finish all tasks of a worker, and let it send a heartbeat in the next step."""
+        """Finish all tasks of a worker, and make its next heartbeat due."""
         worker.finish()
         self.rules.check()
         worker.next_heartbeat_at = self.clock()
 
-    def _with_final_state(
+    def _send_user_request(
         self, node: str, ref: str, method: str, path: str, body: bytes = b""
     ) -> int:
         assert is_job_id(ref)
         if node in self.dead | self.frozen:
             return 0
-        status, answer = self.send_http_request(node, method, path, body)
-        self.rules.record_answer(node, ref, status, answer)
+        status, response = self.send_http_request(node, method, path, body)
+        self.rules.record_response(node, ref, status, response)
         return status
 
     def send_http_request(self, node: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
-        """Do one request at a controller's API; return the status and the decoded answer."""
-        seen: list[str] = []
+        """Send a request to a controller's API; return the HTTP status and the decoded body."""
+        statuses: list[str] = []
         environ = {"REQUEST_METHOD": method, "PATH_INFO": path, "wsgi.input": io.BytesIO(body)}
-        answer = b"".join(self.apis[node](environ, lambda status, _headers: seen.append(status)))
-        return int(seen[0].split()[0]), msgspec.json.decode(answer)
-
-    def is_gang(self, reported: str) -> bool:
-        """Return whether a task is one of a gang, and starts only with the others."""
-        task = parse_task_id(reported)
-        wanted = self.rules.job_specs.get(task.job) if task is not None else None
-        if wanted is None:
+        response = b"".join(
+            self.apis[node](environ, lambda status, _headers: statuses.append(status))
+        )
+        return int(statuses[0].split()[0]), msgspec.json.decode(response)
+
+    def is_gang(self, task_id: str) -> bool:
+        """Return whether a task belongs to a gang of several tasks, which start together."""
+        task = parse_task_id(task_id)
+        spec = self.rules.job_specs.get(task.job) if task is not None else None
+        if spec is None:
             return False
-        return bool(wanted.shape == GANG) and bool(wanted.task_count > 1)
+        return bool(spec.shape == GANG) and bool(spec.task_count > 1)
 
-    def is_complete(self, key: tuple[str, int]) -> bool:
-        """Return whether all tasks of a gang's attempt are on machines, or were."""
+    def is_gang_complete(self, key: tuple[str, int]) -> bool:
+        """Return whether all tasks of a gang's attempt are gathering, running or done."""
         task = parse_task_id(key[0])
         assert task is not None
-        there = {
+        members = {
             other[0]
             for worker in self.workers.values()
             for other, found in worker.tasks.items()
@@ -351,7 +356,7 @@
             and other[0].startswith(f"{task.job}/")
             and (found.status in ("gathering", "running") or found.cause == "done")
         }
-        return len(there) == int(self.rules.job_specs[task.job].task_count)
+        return len(members) == int(self.rules.job_specs[task.job].task_count)
 
     def violations_after_settling(self, max_wait_s: float = 0.0) -> list[str]:
         """End all faults, let the cluster settle, and return all violations of the rules.
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -1,8 +1,8 @@
-"""Simulated workers, which keep to their leases, and direct commands to them.
+"""Simulated workers with leases, and direct commands to them.
 
-Simulated are heartbeats to one controller at a time and their redirections, the lease of a worker
-(its tasks end with it), gangs that wait for their last task, and lost, late or delayed messages.
-Left out are run times (a test ends tasks), images, checkpoints and what tasks use of a machine.
+A worker sends heartbeats to one controller at a time and follows redirects, kills its tasks when
+its lease expires, and lets gangs wait for their last task. Messages can be lost or delayed. Not
+simulated are run times (the test ends tasks), images, checkpoints and the resources of a machine.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class TimedWorker(FakeWorker):
-    """A worker with a lease, which sends its heartbeats to one controller at a time."""
+    """A worker with a lease that sends its heartbeats to one controller at a time."""
 
     def __init__(self, cluster: SimulatedCluster, name: str, **kind: Any) -> None:
         super().__init__(name, **kind)
@@ -38,78 +38,79 @@
         self.lease_renewed_at: float = cluster.clock()
         self.next_heartbeat_at: float = cluster.clock()
         self.hangs = False
+        """It neither sends nor receives messages, and acts on an expired lease only afterwards."""
         self.unreachable: set[str] = set()
-        """Controllers with which it can exchange no messages."""
+        """Controllers that can neither send to it nor receive from it."""
         self.heartbeats_lost = False
         """Its heartbeats are lost; direct commands reach it."""
         self.replies_lost = False
-        """Its heartbeats arrive; the responses and direct commands are lost."""
+        """Its heartbeats arrive, but their responses and direct commands are lost."""
         self.delays_commands = False
-        """Direct commands get no answer, and are executed when `apply_delayed` is called."""
+        """Senders of direct commands time out; `apply_delayed` executes the commands."""
         self._delayed_commands: list[tuple[FencingToken, int, list[Command]]] = []
         self.answer_delay_s = 0.0
         """Seconds until the response to a heartbeat arrives."""
-        self._answer: tuple[float, Callable[[], None]] | None = None
-        self._waiting_since: dict[tuple[str, int], float] = {}
+        self._delayed_answer: tuple[float, Callable[[], None]] | None = None
+        self._gathering_since: dict[tuple[str, int], float] = {}
         self.address = self.heartbeat().address
 
     def execute(self, token: int, commands: list[Command]) -> bool:
         before = dict(self.tasks)
-        done = super().execute(token, commands)
+        accepted = super().execute(token, commands)
         rules = self._cluster.rules
         for key in self.tasks.keys() - before.keys():
             rules.record_start(self, key)
             if self._cluster.is_gang(key[0]):
                 self._set_status(key, "gathering")
-                self._waiting_since[key] = self._cluster.clock()
+                self._gathering_since[key] = self._cluster.clock()
         for key in self.tasks.keys() & before.keys():
             if before[key].status == "running" and self.tasks[key].cause == "stopped":
                 rules.stopped_tasks.append(key[0])
-        return done
+        return accepted
 
     def _set_status(self, key: tuple[str, int], status: str, cause: str | None = None) -> None:
         self.tasks[key] = ReportedTask(*key, status, cause)
         self.next_heartbeat_at = min(self.next_heartbeat_at, self._cluster.clock() + 0.5)
 
     def finish(self, cause: str = "done") -> None:
-        """End all tasks but those that wait for the others of their gang."""
+        """End all tasks except those that wait for the rest of their gang."""
         for key, found in list(self.tasks.items()):
             if found.status not in ("ended", "gathering"):
                 self.end_task(key, cause)
 
     def _step_gangs(self) -> None:
-        """Start the tasks whose gang is complete; end those that have waited for too long."""
+        """Run the tasks whose gang is complete; end those that have waited for `gang_wait_s`."""
         for key, found in list(self.tasks.items()):
             if found.status != "gathering":
                 continue
-            if self._cluster.is_complete(key):
+            if self._cluster.is_gang_complete(key):
                 self._set_status(key, "running")
             elif (
-                self._cluster.clock() - self._waiting_since[key]
+                self._cluster.clock() - self._gathering_since[key]
                 > self._cluster.settings.params.workers.gang_wait_s
             ):
                 self._set_status(key, "ended", "incomplete")
 
     def step(self) -> None:
-        """Send a heartbeat if one is due; begin a new incarnation if the lease has expired."""
+        """Send a heartbeat if one is due; start a new incarnation if the lease has expired."""
         now = self._cluster.clock()
         if self.hangs:
             return
         self._step_gangs()
-        if self._answer is not None and now >= self._answer[0]:
-            arrive, self._answer = self._answer[1], None
-            arrive()
+        if self._delayed_answer is not None and now >= self._delayed_answer[0]:
+            deliver, self._delayed_answer = self._delayed_answer[1], None
+            deliver()
         if now > self.lease_renewed_at + self._cluster.settings.params.workers.lease_s:
             self.incarnation += 1
             self.sequence = 0
             self.tasks.clear()
             self.lease_renewed_at = now
-        if now >= self.next_heartbeat_at and self._answer is None:
+        if now >= self.next_heartbeat_at and self._delayed_answer is None:
             self.next_heartbeat_at = now + self._cluster.settings.params.workers.report_s
             self.send_heartbeat()
 
     def send_heartbeat(self) -> Heartbeat:
-        """Send one heartbeat, execute the response and return the heartbeat."""
+        """Send one heartbeat, execute the response or delay it, and return the heartbeat."""
         cluster = self._cluster
         sent_at = cluster.clock()
         sent = self.heartbeat()
@@ -125,7 +126,7 @@
             return sent
         if self.answer_delay_s:
             incarnation = self.incarnation
-            self._answer = (
+            self._delayed_answer = (
                 sent_at + self.answer_delay_s,
                 lambda: (
                     self._apply_answer(sent_at, status, answer)
@@ -154,7 +155,7 @@
     def delay_commands(
         self, token: FencingToken, incarnation: int, commands: list[Command]
     ) -> None:
-        """Keep direct commands for later, when their sender has stopped waiting."""
+        """Store direct commands until `apply_delayed`, after their sender has timed out."""
         self._delayed_commands.append((token, incarnation, copy.deepcopy(commands)))
 
     def apply_delayed(self) -> None:
@@ -170,7 +171,7 @@
 
 
 class DirectLink:
-    """Direct commands of one controller to all workers, in place of `clients.workers.Workers`."""
+    """Delivers direct commands of one controller, in place of `clients.workers.Workers`."""
 
     def __init__(self, cluster: SimulatedCluster, here: str) -> None:
         self._cluster = cluster
@@ -193,4 +194,4 @@
         return worker.heartbeat()
 
     def disconnect(self, address: str) -> None:
-        """Do nothing: no connections are kept."""
+        """Do nothing, because there are no connections."""
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -48,11 +48,11 @@
     """The leader's watch lags: the notice of the cancel comes before the job itself."""
     start_leader(cluster)
     link = cluster.links["n-0"]
-    link.stale_watch = Revision(cluster.store.revision)
+    link.max_watch_revision = Revision(cluster.store.revision)
     cluster.submit("n-1")
     accepted = Revision(cluster.store.revision)
     cluster.cancel("n-2")
-    link.stale_watch = accepted  # an answer that was made between the two
+    link.max_watch_revision = accepted  # an answer that was made between the two
     cluster.run(1.0)
     cluster.poll_and_resubmit_everywhere()
     cluster.run(5.0)
