--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -1,6 +1,6 @@
-"""Jobs that are cancelled, end or are accepted while other things happen to controllers and store.
+"""Jobs that are cancelled, end or are accepted during faults of controllers and of the store.
 
-Each test case checks the rules of the protocol by what users were told and workers ran.
+Each test case checks the rules of the protocol on responses to users and tasks on workers.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from ryewing.units import Revision
 
 
-def cancelled_while_the_next_leader_reads(cluster: SimulatedCluster) -> None:
-    """A new leader has read the jobs but not yet the rest when it is notified of the cancel."""
+def cancelled_while_the_next_leader_loads(cluster: SimulatedCluster) -> None:
+    """A new leader is notified of the cancel after it has read the jobs, but not the rest."""
     start_job(cluster)
     cluster.submit("n-0", "run-2", cpus=30.0)
     cluster.run(1.0)
     cluster.dead.add("n-0")
 
-    def cancels(key: str) -> None:
+    def cancel_jobs(key: str) -> None:
         if key == "j/":
             cluster.cancel("n-2", "run-1")
             cluster.cancel("n-2", "run-2")
 
-    cluster.links["n-1"].before_answer = cancels
+    cluster.links["n-1"].before_answer = cancel_jobs
 
-    def asked() -> None:
+    def poll_jobs() -> None:
         cluster.poll_and_resubmit_everywhere("run-1")
         cluster.poll_and_resubmit_everywhere("run-2")
 
-    cluster.after_load = asked
-    cluster.links["n-2"].refused = True  # so that the other one takes over
+    cluster.after_load = poll_jobs
+    cluster.links["n-2"].refused = True  # so that n-1 takes over
     cluster.run(3.0)
     cluster.links["n-2"].refused = False
     while cluster.leader("n-1") is None:
@@ -45,63 +45,63 @@
 
 
 def cancelled_before_the_leader_knows_the_job(cluster: SimulatedCluster) -> None:
-    """The leader's watch lags: the notice of the cancel comes before the job itself."""
+    """The leader's watch lags, so it is notified of the cancel before it reads the job."""
     start_leader(cluster)
     link = cluster.links["n-0"]
     link.max_watch_revision = Revision(cluster.store.revision)
     cluster.submit("n-1")
     accepted = Revision(cluster.store.revision)
     cluster.cancel("n-2")
-    link.max_watch_revision = accepted  # an answer that was made between the two
+    link.max_watch_revision = accepted  # shows the submission but not the cancel
     cluster.run(1.0)
     cluster.poll_and_resubmit_everywhere()
     cluster.run(5.0)
 
 
-def cancelled_while_a_watch_brings_the_job(cluster: SimulatedCluster) -> None:
-    """The watch's answer with the job was made before the cancel, and arrives after its notice."""
+def cancelled_while_a_watch_delivers_the_job(cluster: SimulatedCluster) -> None:
+    """A watch response from before the cancel delivers the job after the cancel's notice."""
     start_leader(cluster)
     assert cluster.submit("n-1") == 201
 
-    def cancelled() -> None:
+    def cancel_job() -> None:
         assert cluster.cancel("n-2") == 200
 
-    cluster.links["n-0"].during_watch = cancelled
+    cluster.links["n-0"].during_watch = cancel_job
     leader = cluster.leader("n-0")
     assert leader is not None
     leader.job_watcher.watch_once()
     cluster.poll_and_resubmit_everywhere()
 
 
-def cancelled_before_its_acceptance_is_told(cluster: SimulatedCluster) -> None:
-    """The submission is written, repeated elsewhere and cancelled before its answer arrives."""
+def cancelled_before_the_submission_is_answered(cluster: SimulatedCluster) -> None:
+    """The submission is written, repeated and cancelled before the store's response arrives."""
     start_leader(cluster)
 
-    def cancelled() -> None:
+    def resubmit_and_cancel() -> None:
         assert cluster.submit("n-1") == 200
         assert cluster.cancel("n-1") == 200
 
-    cluster.links["n-1"].after_txn = cancelled
+    cluster.links["n-1"].after_txn = resubmit_and_cancel
     cluster.submit("n-1")
     cluster.poll_and_resubmit_everywhere()
 
 
-def cancelled_beside_a_leader_that_nobody_else_reaches(cluster: SimulatedCluster) -> None:
-    """The leader follows the store all the time; users of other controllers must get an answer."""
+def cancelled_while_peers_cannot_reach_the_leader(cluster: SimulatedCluster) -> None:
+    """The leader still reads the store; users of other controllers must get an answer."""
     worker = start_job(cluster)
-    worker.replies_lost = True  # so that the end of its task can't be written yet
+    worker.replies_lost = True  # so that its task can't end yet
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     for _ in range(16):
         if cluster.cancel("n-1") == 200:
             break
         cluster.run(1.0)
-    assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final_states == {"run-1": "cancelled"}, "the cancel was never confirmed"
     assert worker.tasks
     cluster.poll_and_resubmit_everywhere()
 
 
-def _write_a_cancel_unnoticed(cluster: SimulatedCluster) -> None:
-    """A cancel is in the store, but neither its writer nor the leader knows."""
+def _write_unnoticed_cancel(cluster: SimulatedCluster) -> None:
+    """Write a cancel to the store of which neither its writer nor the leader knows."""
     start_job(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.links["n-1"].loses_answers = True
@@ -109,17 +109,17 @@
     cluster.links["n-1"].loses_answers = False
 
 
-def cancelled_as_a_poll_finds_it(cluster: SimulatedCluster) -> None:
-    """A controller that can't reach the leader reads the store, where the cancel is."""
-    _write_a_cancel_unnoticed(cluster)
+def cancel_found_by_a_poll(cluster: SimulatedCluster) -> None:
+    """A controller that can't reach the leader finds the cancel in the store during a poll."""
+    _write_unnoticed_cancel(cluster)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.poll("n-2")
     cluster.poll("n-0")
 
 
-def cancelled_as_a_repeated_submission_finds_it(cluster: SimulatedCluster) -> None:
-    """A repeated submission finds the cancel in the store, without a request to the leader."""
-    _write_a_cancel_unnoticed(cluster)
+def cancel_found_by_a_repeated_submission(cluster: SimulatedCluster) -> None:
+    """A controller finds the cancel in the store during a repeated submission."""
+    _write_unnoticed_cancel(cluster)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.submit("n-2")
     cluster.submit("n-1")
@@ -127,8 +127,8 @@
     cluster.submit("n-0")
 
 
-def cancelled_while_the_leader_renews_but_hears_no_changes(cluster: SimulatedCluster) -> None:
-    """Its lease is renewed, its watch hangs, and the other controllers can't reach it."""
+def cancelled_while_the_watch_of_the_leader_hangs(cluster: SimulatedCluster) -> None:
+    """The leader renews its lease, but its watch hangs and other controllers can't reach it."""
     start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].watch_hangs = True
@@ -136,11 +136,11 @@
         cluster.cancel("n-1")
         cluster.poll("n-0")
         cluster.run(0.5)
-    assert cluster.rules.final_states == {"run-1": "cancelled"}, "never answered"
+    assert cluster.rules.final_states == {"run-1": "cancelled"}, "the cancel was never confirmed"
 
 
-def a_leader_that_can_renew_but_not_follow(cluster: SimulatedCluster) -> None:
-    """It may do nothing, and while it holds the lease nobody else may: it must resign."""
+def a_leader_resigns_when_its_watch_hangs(cluster: SimulatedCluster) -> None:
+    """It can't lead without its watch, and blocks other leaders by its lease, so it must resign."""
     start_leader(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.run(5.0)
@@ -150,8 +150,8 @@
     assert cluster.workers["i-000001"].tasks
 
 
-def cancelled_by_a_clock_that_is_ahead(cluster: SimulatedCluster) -> None:
-    """The cancel carries a time long past: its transaction is applied late."""
+def cancelled_by_a_transaction_applied_late(cluster: SimulatedCluster) -> None:
+    """The transaction of the cancel is applied 30 s late, so the cancel's timestamp is old."""
     start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     link = cluster.links["n-1"]
@@ -164,19 +164,19 @@
     cluster.poll("n-0")
 
 
-def cancelled_on_its_way_while_a_poll_waits(cluster: SimulatedCluster) -> None:
-    """The leader's answer to a poll arrives after a cancel at the controller that asked."""
+def cancelled_while_a_poll_waits_for_the_leader(cluster: SimulatedCluster) -> None:
+    """The leader's answer to a poll arrives after a cancel at the polling controller."""
     start_job(cluster)
 
-    def cancelled() -> None:
+    def cancel_job() -> None:
         assert cluster.cancel("n-1") == 200
 
-    cluster.before_peer_answer["n-0"] = cancelled
+    cluster.before_peer_answer["n-0"] = cancel_job
     cluster.poll("n-1")
 
 
-def cancelled_during_a_failover(cluster: SimulatedCluster) -> None:
-    """The leader changes several times while users cancel."""
+def cancelled_during_several_failovers(cluster: SimulatedCluster) -> None:
+    """The leader changes several times while users cancel and poll."""
     start_job(cluster)
     for number in range(2, 8):
         cluster.submit("n-1", f"run-{number}", cpus=2.0)
@@ -194,7 +194,7 @@
 
 
 def cancelled_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
-    """The end is being written while users cancel, ask and repeat the submission."""
+    """The final state is written while users cancel, poll and repeat the submission."""
     for number, link in enumerate((cluster.links["n-2"], cluster.links["n-2"]), 1):
         ref = f"run-{number}"
         worker = start_job(cluster, ref)
@@ -202,7 +202,7 @@
         worker.send_heartbeat()
         leader = cluster.leader("n-0")
         assert leader is not None
-        # The end is written after the cancel, and then between its reading and its writing.
+        # First the final state is written after the cancel, then between its read and its write.
         write = leader.writer.write_once
         if number == 1:
             link.after_txn = lambda write=write: write() and None
@@ -216,8 +216,8 @@
     assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
-def asked_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
-    """The end is written while another controller looks for the job in the store."""
+def polled_as_the_last_task_ends(cluster: SimulatedCluster) -> None:
+    """The final state is written while another controller reads the job from the store."""
     worker = start_job(cluster)
     cluster.finish_tasks(worker)
     worker.send_heartbeat()
@@ -225,17 +225,17 @@
     assert leader is not None
     cluster.partitions.add(frozenset(("n-0", "n-2")))
 
-    def ends(_key: str) -> None:
+    def write_final_state(_key: str) -> None:
         leader.writer.write_once()
 
-    cluster.links["n-2"].before_answer = ends
+    cluster.links["n-2"].before_answer = write_final_state
     cluster.poll("n-2")
     cluster.links["n-2"].before_answer = None
     cluster.poll_and_resubmit_everywhere()
 
 
-def ended_by_a_write_that_comes_late(cluster: SimulatedCluster) -> None:
-    """The end's transaction gets no answer, a second one conflicts, then the first is applied."""
+def final_state_written_by_a_delayed_transaction(cluster: SimulatedCluster) -> None:
+    """The final state's first write gets no response, and is applied after a second one fails."""
     worker = start_job(cluster)
     leader = cluster.leader("n-0")
     assert leader is not None
@@ -243,16 +243,16 @@
     link.delays_transactions = True
     cluster.finish_tasks(worker)
     cluster.run(1.0)
-    late, link.delayed_transactions = link.delayed_transactions[:1], []
+    delayed, link.delayed_transactions = link.delayed_transactions[:1], []
     link.delays_transactions = False
-    # A record that another transaction has changed meanwhile makes the next try fail as a whole.
+    # Changing a machine record makes the leader's next transaction fail as a whole.
     key = next(key for key in cluster.store.data if key.startswith("m/"))
     cluster.store.txn({}, [Put(key, msgspec.json.decode(cluster.store.data[key][0]))])
     cluster.worker("i-000002")
     cluster.workers["i-000002"].send_heartbeat()
     cluster.workers["i-000002"].send_heartbeat()
     leader.writer.write_once()
-    for conditions, writes in late:
+    for conditions, writes in delayed:
         cluster.store.txn(conditions, writes)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.poll_and_resubmit_everywhere()
@@ -260,17 +260,17 @@
     cluster.poll("n-0")
 
 
-def accepted_without_an_answer(cluster: SimulatedCluster) -> None:
-    """A submission is applied and only its answer is lost, or it is applied late."""
+def accepted_without_a_response(cluster: SimulatedCluster) -> None:
+    """The response to a submission's transaction is lost, or the transaction is applied late."""
     start_leader(cluster)
-    for ref, lost in (("run-1", True), ("run-2", False)):
+    for ref, response_lost in (("run-1", True), ("run-2", False)):
         link = cluster.links["n-1"]
-        link.loses_answers, link.delays_transactions = lost, not lost
+        link.loses_answers, link.delays_transactions = response_lost, not response_lost
         assert cluster.submit("n-1", ref) == 503
         link.loses_answers = link.delays_transactions = False
         cluster.submit("n-2", ref)
         cluster.poll_and_resubmit_everywhere(ref)
-        if lost:
+        if response_lost:
             cluster.cancel("n-2", ref)
         else:
             cluster.run(6.0)
@@ -278,29 +278,29 @@
             cluster.run(2.0)
         cluster.poll_and_resubmit_everywhere(ref)
         link.apply_delayed()
-        cluster.boot("n-1")  # one that remembers nothing
+        cluster.boot("n-1")  # its memory is empty
         link = cluster.links["n-1"]
         cluster.poll_and_resubmit_everywhere(ref)
     assert cluster.rules.final_states == {"run-1": "cancelled", "run-2": "done"}
 
 
 SCENARIOS: list[Scenario] = [
-    cancelled_while_the_next_leader_reads,
+    cancelled_while_the_next_leader_loads,
     cancelled_before_the_leader_knows_the_job,
-    cancelled_while_a_watch_brings_the_job,
-    cancelled_before_its_acceptance_is_told,
-    cancelled_beside_a_leader_that_nobody_else_reaches,
-    cancelled_as_a_poll_finds_it,
-    cancelled_as_a_repeated_submission_finds_it,
-    cancelled_while_the_leader_renews_but_hears_no_changes,
-    a_leader_that_can_renew_but_not_follow,
-    cancelled_by_a_clock_that_is_ahead,
-    cancelled_on_its_way_while_a_poll_waits,
-    cancelled_during_a_failover,
+    cancelled_while_a_watch_delivers_the_job,
+    cancelled_before_the_submission_is_answered,
+    cancelled_while_peers_cannot_reach_the_leader,
+    cancel_found_by_a_poll,
+    cancel_found_by_a_repeated_submission,
+    cancelled_while_the_watch_of_the_leader_hangs,
+    a_leader_resigns_when_its_watch_hangs,
+    cancelled_by_a_transaction_applied_late,
+    cancelled_while_a_poll_waits_for_the_leader,
+    cancelled_during_several_failovers,
     cancelled_as_the_last_task_ends,
-    asked_as_the_last_task_ends,
-    ended_by_a_write_that_comes_late,
-    accepted_without_an_answer,
+    polled_as_the_last_task_ends,
+    final_state_written_by_a_delayed_transaction,
+    accepted_without_a_response,
 ]
 
 
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -1,7 +1,7 @@
 """Compound failures: several faults of controllers, store, workers and network at once.
 
-Each test case checks the rules of the protocol by what users were told and workers ran.
-`docs/design.md`, "Compound failures", says which test case stands for which failure.
+Each test case checks the rules of the protocol on responses to users and tasks on workers.
+`docs/design.md`, "Compound failures", lists which test case covers which failure.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def test_a_job_runs_to_its_end_without_faults(cluster: SimulatedCluster) -> None:
-    """Every controller answers for a job from its start to its end."""
+    """Every controller returns the status of a job from its start to its end."""
     worker = start_job(cluster)
     cluster.poll_and_resubmit_everywhere()
     cluster.finish_tasks(worker)
@@ -37,13 +37,17 @@
     assert not worker.tasks
 
 
-# -- the leader, refused alone, and an outage -----------------------------------------------------
+# -- the store refuses one controller, then it is down --------------------------------------------
 
 
-def refused_alone(
-    before_s: float, outage_s: float, apart: bool, who: str = "n-0", after: str = ""
+def controller_refused_then_outage(
+    before_s: float, outage_s: float, partitioned: bool, node: str = "n-0", fault: str = ""
 ) -> Scenario:
-    """The store refuses one controller, others confirm cancels, and then the store is down."""
+    """The store refuses one controller, others confirm cancels, and then the store is down.
+
+    `partitioned` cuts the node off from its peers. `fault` is "dies" (the node is down during the
+    outage), "frozen" (it freezes after the outage) or empty.
+    """
 
     def scenario(cluster: SimulatedCluster) -> None:
         start_leader(cluster, machines=3)
@@ -51,32 +55,34 @@
             cluster.submit("n-1", f"run-{number}", cpus=16.0)
         cluster.run(8.0)
         assert sum(len(w.tasks) for w in cluster.workers.values()) == 6
-        cluster.links[who].refused = True
-        if apart:
-            cluster.partitions |= {frozenset((who, other)) for other in CONTROLLERS if other != who}
+        cluster.links[node].refused = True
+        if partitioned:
+            cluster.partitions |= {
+                frozenset((node, other)) for other in CONTROLLERS if other != node
+            }
         cluster.cancel("n-1", "run-1")
         for at in range(round(before_s / 0.5)):
             cluster.cancel("n-2" if at % 2 else "n-1", f"run-{1 + at % 4}")
             cluster.poll("n-0", f"run-{1 + at % 4}")
             cluster.run(0.5)
         cluster.store.down = True
-        if after == "dies":
-            cluster.dead.add(who)
+        if fault == "dies":
+            cluster.dead.add(node)
         for _ in range(round(outage_s)):
             cluster.run(1.0)
             for ref in range(1, 7):
                 cluster.cancel("n-1", f"run-{ref}")
-                if who not in cluster.dead:
-                    cluster.poll(who, f"run-{ref}")
-        if after == "dies":
-            cluster.boot(who)
-        cluster.links[who].refused = False
+                if node not in cluster.dead:
+                    cluster.poll(node, f"run-{ref}")
+        if fault == "dies":
+            cluster.boot(node)
+        cluster.links[node].refused = False
         cluster.store.down = False
-        if after == "frozen":
-            cluster.frozen.add(who)
-        leader = cluster.leader(who)
+        if fault == "frozen":
+            cluster.frozen.add(node)
+        leader = cluster.leader(node)
         if leader is not None:
-            leader.lease_keeper.renew_once()  # before any watch of its own is answered
+            leader.lease_keeper.renew_once()  # before any of its watches is answered
         for _ in range(20):
             for ref in range(1, 7):
                 cluster.cancel("n-1", f"run-{ref}")
@@ -87,8 +93,8 @@
     return scenario
 
 
-def cancelled_at_the_refusal(cluster: SimulatedCluster) -> None:
-    """As above, but the workers can only reach the refused one, and one of them hangs meanwhile."""
+def cancelled_when_the_refused_leader_has_lost_its_lease(cluster: SimulatedCluster) -> None:
+    """The worker can reach only the refused leader, and hangs for a part of the outage."""
     worker = start_job(cluster)
     cluster.partitions |= {frozenset(("n-0", "n-1")), frozenset(("n-0", "n-2"))}
     cluster.links["n-0"].refused = True
@@ -96,7 +102,7 @@
     worker.unreachable |= {"n-1", "n-2"}
     cluster.store.expire_leases()
     cluster.nodes["n-1"].electors[None].leader = None
-    assert cluster.cancel("n-1") == 200  # nobody holds the lease
+    assert cluster.cancel("n-1") == 200  # no controller holds the lease
     cluster.store.down = True
     cluster.run(10.0)
     worker.hangs = True
@@ -110,7 +116,7 @@
 
 
 def an_old_heartbeat_reaches_the_next_leader(cluster: SimulatedCluster) -> None:
-    """Copies of a heartbeat with a task that runs elsewhere by now reach a new leader."""
+    """A new leader gets an old heartbeat with a task that runs on another machine by now."""
     first = start_job(cluster)
     old = copy.deepcopy(first.send_heartbeat())
     second = cluster.worker("i-000002")
@@ -126,7 +132,7 @@
     first.hangs = False
     cluster.run(6.0)
     cluster.dead.add("n-0")
-    first.heartbeats_lost = True  # only the copy comes in its name at first
+    first.heartbeats_lost = True  # at first only the copy arrives
     while not any(cluster.leader(name) for name in CONTROLLERS[1:]):
         cluster.run(0.25)
     second.send_heartbeat()
@@ -138,14 +144,14 @@
     cluster.run(30.0)
 
 
-def an_old_heartbeat_of_a_machine_that_is_gone(cluster: SimulatedCluster) -> None:
-    """The machine must not be added or recorded again, nor keep a job waiting."""
+def an_old_heartbeat_of_a_lost_machine(cluster: SimulatedCluster) -> None:
+    """The lost machine must not be added or recorded again, nor make a job wait."""
     first = start_job(cluster)
     old = copy.deepcopy(first.send_heartbeat())
     del cluster.workers[first.name]
     second = cluster.worker("i-000002")
     cluster.run(30.0)
-    assert second.tasks  # released as silent, or its lease was over
+    assert second.tasks  # the lost machine was released as silent, or its lease expired
     second.tasks.clear()
     second.incarnation += 1
     cluster.dead.add("n-0")
@@ -155,7 +161,7 @@
         for _ in range(3):
             cluster.send_heartbeat(name, copy.deepcopy(old))
     cluster.run(8.0)
-    assert second.tasks, "the job waits for a machine that is gone"
+    assert second.tasks, "the job waits for the lost machine"
     leader = cluster.leader(cluster.leader_name)
     assert leader is not None
     assert first.name not in leader.term.cluster.machines
@@ -166,8 +172,8 @@
     )
 
 
-def a_failover_without_an_answer(cluster: SimulatedCluster) -> None:
-    """The new term is written, and its writer does not know: there must soon be a leader."""
+def a_failover_whose_response_is_lost(cluster: SimulatedCluster) -> None:
+    """A candidate writes its new term but gets no response; it must lead soon all the same."""
     start_job(cluster)
     cluster.dead.add("n-0")
     cluster.links["n-2"].refused = True
@@ -177,13 +183,13 @@
         cluster.run(0.25)
     cluster.links["n-2"].refused = link.loses_answers = False
     cluster.run(1.0)
-    assert cluster.leader("n-1") is not None, "its own failover is not known to it"
+    assert cluster.leader("n-1") is not None, "n-1 does not know that it won the term"
     cluster.cancel("n-2")
     cluster.poll_and_resubmit_everywhere()
 
 
 def leaders_change_ten_times(cluster: SimulatedCluster) -> None:
-    """In two minutes, also during an outage; each controller is back within a second."""
+    """Ten leaders die within two minutes, two of them in an outage; each is back after 0.5 s."""
     start_leader(cluster, machines=2)
     for number in range(1, 9):
         cluster.submit("n-1", f"run-{number}", cpus=16.0)
@@ -201,8 +207,8 @@
     cluster.store.down = False
 
 
-def all_controllers_away(cluster: SimulatedCluster) -> None:
-    """All processes are ended for longer than `lease_s`."""
+def all_controllers_down(cluster: SimulatedCluster) -> None:
+    """All controllers are down for longer than `lease_s`."""
     worker = start_job(cluster)
     cluster.dead |= set(CONTROLLERS)
     cluster.run(25.0)
@@ -213,8 +219,8 @@
     assert worker.tasks
 
 
-def new_machines_while_writes_lag(cluster: SimulatedCluster) -> None:
-    """A machine is up and given work at once, and the leader ends while its writes are late."""
+def new_machines_while_writes_are_delayed(cluster: SimulatedCluster) -> None:
+    """A new machine must not get tasks before it is recorded; then the leader fails."""
     start_leader(cluster)
     cluster.workers["i-000001"].hangs = True
     link = cluster.links["n-0"]
@@ -222,7 +228,7 @@
     cluster.submit("n-1")
     new = cluster.worker("i-000002")
     cluster.run(6.0)
-    assert not new.tasks, "a start without a record"
+    assert not new.tasks, "a task was started before the machine was recorded"
     link.apply_delayed()
     cluster.run(4.0)
     assert new.tasks
@@ -233,21 +239,21 @@
     cluster.run(20.0)
 
 
-def limits_while_leaders_change(cluster: SimulatedCluster) -> None:
-    """A team is at its limit; its jobs are cancelled on machines that can't be reached."""
+def team_limits_during_a_failover(cluster: SimulatedCluster) -> None:
+    """A team is at its limit, and its jobs are cancelled on unreachable machines."""
     for number in range(1, 5):
         cluster.worker(f"i-{number:06d}", machine_type="g4")
     cluster.run(4.0)
     for number in range(1, 3):
         cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(10.0)
-    assignment = [worker for worker in cluster.workers.values() if worker.tasks]
-    assert len(assignment) == 2
+    busy = [worker for worker in cluster.workers.values() if worker.tasks]
+    assert len(busy) == 2
     for number in range(3, 6):
         cluster.submit("n-1", f"run-{number}", gpus=4.0, cpus=1.0)
     cluster.run(2.0)
-    assignment[0].hangs = True
-    assignment[1].unreachable |= set(CONTROLLERS)
+    busy[0].hangs = True
+    busy[1].unreachable |= set(CONTROLLERS)
     cluster.cancel("n-1", "run-1")
     cluster.cancel("n-2", "run-2")
     cluster.cloud_down = True
@@ -255,12 +261,12 @@
     cluster.run(6.0)
     cluster.submit("n-1", "run-6", gpus=4.0, cpus=1.0)
     cluster.run(9.0)
-    assignment[0].hangs = False
+    busy[0].hangs = False
     cluster.run(35.0)
 
 
-def machines_that_hear_or_speak_only(cluster: SimulatedCluster) -> None:
-    """Machines whose heartbeats or replies are lost, cancels, and a change of leader."""
+def machines_that_only_send_or_only_receive(cluster: SimulatedCluster) -> None:
+    """Heartbeats or replies of machines are lost during cancels and a failover."""
     start_leader(cluster, machines=4)
     for number in range(1, 5):
         cluster.submit("n-1", f"run-{number}", cpus=20.0)
@@ -275,8 +281,8 @@
     cluster.run(45.0)
 
 
-def tasks_end_far_apart(cluster: SimulatedCluster) -> None:
-    """One task ends before a change of leader, the other one after it."""
+def tasks_end_before_and_after_a_failover(cluster: SimulatedCluster) -> None:
+    """One task of a job ends before a failover, the other one after it."""
     first = start_leader(cluster, machines=2)
     second = cluster.workers["i-000002"]
     cluster.submit("n-1", task_count=2, cpus=30.0)
@@ -294,8 +300,8 @@
     assert cluster.rules.final_states == {"run-1": "done"}
 
 
-def a_leader_that_stands_still(cluster: SimulatedCluster) -> None:
-    """Its process is frozen while another controller leads and a user cancels; then it goes on."""
+def a_frozen_leader(cluster: SimulatedCluster) -> None:
+    """The leader is frozen while another controller takes over and a user cancels, then resumes."""
     worker = start_job(cluster)
     cluster.frozen.add("n-0")
     cluster.run(5.0)
@@ -307,8 +313,8 @@
     cluster.run(3.0)
 
 
-def apart_from_store_and_peers(cluster: SimulatedCluster) -> None:
-    """Workers and users still reach the old leader while a job is cancelled at the new one."""
+def a_leader_partitioned_from_store_and_peers(cluster: SimulatedCluster) -> None:
+    """The worker and users still reach the old leader while a job is cancelled at the new one."""
     worker = start_job(cluster)
     worker.unreachable |= {"n-1", "n-2"}
     cluster.cloud_down = True
@@ -322,7 +328,7 @@
 
 
 def one_zone_loses_machines(cluster: SimulatedCluster) -> None:
-    """An array is bound to a zone whose machines are lost one after the other."""
+    """An array requires a zone whose machines are lost one after the other."""
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}", zone="b")
     cluster.worker("i-000004", zone="a")
@@ -338,18 +344,18 @@
 
 
 SCENARIOS: list[Scenario] = [
-    cancelled_at_the_refusal,
+    cancelled_when_the_refused_leader_has_lost_its_lease,
     an_old_heartbeat_reaches_the_next_leader,
-    an_old_heartbeat_of_a_machine_that_is_gone,
-    a_failover_without_an_answer,
+    an_old_heartbeat_of_a_lost_machine,
+    a_failover_whose_response_is_lost,
     leaders_change_ten_times,
-    all_controllers_away,
-    new_machines_while_writes_lag,
-    limits_while_leaders_change,
-    machines_that_hear_or_speak_only,
-    tasks_end_far_apart,
-    a_leader_that_stands_still,
-    apart_from_store_and_peers,
+    all_controllers_down,
+    new_machines_while_writes_are_delayed,
+    team_limits_during_a_failover,
+    machines_that_only_send_or_only_receive,
+    tasks_end_before_and_after_a_failover,
+    a_frozen_leader,
+    a_leader_partitioned_from_store_and_peers,
     one_zone_loses_machines,
 ]
 
@@ -364,10 +370,10 @@
 @pytest.mark.parametrize(
     "key", ["j/run-9", "d/7", "d/x", "m/7", "m/x", "h/r-1-1", "flavours/3", "f/run-9"]
 )
-def test_an_unreadable_value_ends_no_term(
+def test_an_unreadable_value_does_not_end_the_term(
     cluster: SimulatedCluster, key: str, garbage: bytes
 ) -> None:
-    """One value in the store is garbage: everything else is served, also by the next leader."""
+    """With one unreadable value, this leader and the next still serve all other jobs."""
     worker = start_job(cluster)
     cluster.store.write_raw(key, garbage)
     cluster.run(2.0)
@@ -386,15 +392,15 @@
 
 
 def test_an_invalid_job_record_is_ignored(cluster: SimulatedCluster) -> None:
-    """It can be decoded, but no controller can have written it."""
+    """The record can be decoded, but its values are ones that no controller writes."""
     start_leader(cluster)
-    senseless: list[dict[str, Any]] = [
+    invalid_fields: list[dict[str, Any]] = [
         {"priority": "vip"},
         {"task_count": 0},
         {"task_count": 10**9},
         {"ref": "run-77"},
     ]
-    for number, changes in enumerate(senseless, 1):
+    for number, changes in enumerate(invalid_fields, 1):
         record = JobRecord(job_spec(**{"ref": f"run-{number}", **changes}), 0.0)
         cluster.store.write_raw(f"j/run-{number}", msgspec.json.encode(record))
     cluster.run(2.0)
@@ -405,10 +411,10 @@
 
 
 @pytest.mark.parametrize("key", ["lead/holder", "lead/term"])
-def test_nobody_takes_over_from_an_unreadable_election_record(
+def test_an_unreadable_election_record_prevents_a_takeover(
     cluster: SimulatedCluster, key: str
 ) -> None:
-    """An unknown holder's lease must expire, and an unknown term number is never raised."""
+    """An unreadable holder's lease must expire first; an unreadable term number is never raised."""
     start_leader(cluster)
     holder = cluster.store.data["lead/holder"]
     cluster.store.write_raw(key, b"[1]", holder[2] if key == "lead/holder" else None)
@@ -417,17 +423,17 @@
     assert all(cluster.leader(name) is None for name in ("n-1", "n-2"))
     cluster.run(6.0)
     led = any(cluster.leader(name) is not None for name in ("n-1", "n-2"))
-    assert led is (key == "lead/holder")  # its lease has ended
+    assert led is (key == "lead/holder")  # the holder's lease has expired
 
 
-def test_single_tasks_four_a_second_at_the_lowest_write_rate(cluster: SimulatedCluster) -> None:
-    """A quarter is cancelled. Each job's end is one write; none is late, and no job waits."""
+def test_four_single_task_jobs_a_second_at_the_lowest_write_rate(cluster: SimulatedCluster) -> None:
+    """A quarter is cancelled. Each job's end is one write; no end is late, and no job waits."""
     cluster.state_limits = {"write_rps": 15.0}
     for name in CONTROLLERS:
         cluster.boot(name)
     start_leader(cluster, machines=4)
     before = cluster.store.writes
-    begun: dict[str, float] = {}
+    first_seen: dict[str, float] = {}
     ended: dict[str, float] = {}
     for number in range(1, 241):
         ref = f"run-{number}"
@@ -437,19 +443,20 @@
             assert cluster.cancel(CONTROLLERS[number % 3], f"run-{number - 2}") == 200
         for worker in cluster.workers.values():
             for (reported, attempt), found in worker.tasks.items():
-                since = begun.setdefault(reported, cluster.clock())
+                since = first_seen.setdefault(reported, cluster.clock())
                 if found.status == "running" and cluster.clock() >= since + 4.0:
-                    over = ReportedTask(reported, attempt, "ended", "done")
-                    worker.tasks[reported, attempt] = over
+                    done = ReportedTask(reported, attempt, "ended", "done")
+                    worker.tasks[reported, attempt] = done
                     ended.setdefault(reported.split("/")[0], cluster.clock())
                     worker.next_heartbeat_at = min(worker.next_heartbeat_at, cluster.clock() + 0.5)
         cluster.rules.check()
         for job, at in list(ended.items()):
             if cluster.clock() >= at + 3.0:
                 assert cluster.poll("n-1", job) == 200
-                assert cluster.rules.final_states.get(job), f"{job} is told late"
+                assert cluster.rules.final_states.get(job), f"the final state of {job} is late"
                 del ended[job]
-    # Accepted: 1; ended: 2 (the live record goes, the final one comes); cancelled: 1 more.
+    # Writes of a job: 1 to accept it, 2 to end it (live record removed, final one added), and 1 to
+    # cancel it.
     assert cluster.store.writes - before <= 240 * 3 + 60 + 8
     assert not [key for key in cluster.store.data if key.startswith("d/run")]
     assert cluster.violations_after_settling() == []
@@ -457,7 +464,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before_s", "outage_s", "apart", "who", "after"),
+    ("before_s", "outage_s", "partitioned", "node", "fault"),
     [
         pytest.param(0.0, 52.0, False, "n-0", "", id="at_once"),
         pytest.param(0.0, 52.0, True, "n-0", "", id="at_once-cut_off"),
@@ -474,8 +481,13 @@
         pytest.param(5.0, 90.0, True, "n-0", "frozen", id="after_5s-cut_off-long_outage-freezes"),
     ],
 )
-def test_the_leader_refused_alone_and_then_an_outage(
-    cluster: SimulatedCluster, before_s: float, outage_s: float, apart: bool, who: str, after: str
+def test_a_controller_is_refused_and_then_the_store_is_down(
+    cluster: SimulatedCluster,
+    before_s: float,
+    outage_s: float,
+    partitioned: bool,
+    node: str,
+    fault: str,
 ) -> None:
-    refused_alone(before_s, outage_s, apart, who, after)(cluster)
+    controller_refused_then_outage(before_s, outage_s, partitioned, node, fault)(cluster)
     assert cluster.violations_after_settling() == []
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -1,6 +1,6 @@
-"""Compound failures on the way to workers: late direct commands, and slow links under overload.
+"""Compound failures between controllers and workers: late direct commands, and slow links.
 
-The rules of the protocol are checked by `RuleChecker`, by what users were told and workers ran.
+`RuleChecker` checks the rules of the protocol on responses to users and tasks on workers.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 DRAIN_ROUNDS = 60
 START_MAX_S = 240.0
-"""Seconds within which even the largest jobs have to start."""
+"""Seconds within which the largest jobs must start."""
 
 
 def start_workers(cluster: SimulatedCluster, count: int, **kind: str) -> list[TimedWorker]:
-    """Start a leader and machines that may be given work; return the machines."""
+    """Add machines and wait until a leader can place tasks on them; return their workers."""
     workers = [cluster.worker(f"i-{number:06d}", **kind) for number in range(1, count + 1)]
     cluster.run(4.0)
     return workers
 
 
-def count_on_machines(cluster: SimulatedCluster, ref: str) -> int:
-    """Count a job's tasks on machines that have not ended."""
+def count_live_tasks(cluster: SimulatedCluster, ref: str) -> int:
+    """Return how many of a job's tasks are on machines and have not ended."""
     return sum(
         found.status != "ended" and reported.startswith(f"{ref}/")
         for worker in cluster.workers.values()
@@ -33,7 +33,7 @@
 
 
 def replace_leader(cluster: SimulatedCluster) -> None:
-    """End the leader's process, wait for another leader, and start the process again."""
+    """Kill the leader's process, wait for another leader, and restart the process."""
     old = cluster.leader_name
     cluster.dead.add(old)
     cluster.run(5.0)
@@ -41,18 +41,18 @@
     cluster.boot(old)
 
 
-# -- direct commands that are held up -------------------------------------------------------------
+# -- delayed direct commands ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("leader_changes", [False, True], ids=["same_leader", "next_leader"])
-def test_a_late_stop_of_a_cancelled_job_hits_nothing_newer(
+def test_a_late_stop_of_a_cancelled_job_stops_no_later_job(
     cluster: SimulatedCluster, leader_changes: bool
 ) -> None:
-    """The stop arrives when another job already runs in the same place."""
+    """The stop command arrives when another job already runs on the machine."""
     [worker] = start_workers(cluster, 1)
     assert cluster.submit(CONTROLLERS[0], "run-1", cpus=30.0) == 201
     cluster.run(6.0)
-    assert count_on_machines(cluster, "run-1") == 1
+    assert count_live_tasks(cluster, "run-1") == 1
     worker.delays_commands = True
     assert cluster.cancel(CONTROLLERS[1], "run-1") == 200
     assert cluster.submit(CONTROLLERS[1], "run-2", cpus=30.0) == 201
@@ -61,65 +61,65 @@
         replace_leader(cluster)
     cluster.run(12.0)
     worker.delays_commands = False
-    assert (count_on_machines(cluster, "run-1"), count_on_machines(cluster, "run-2")) == (0, 1)
+    assert (count_live_tasks(cluster, "run-1"), count_live_tasks(cluster, "run-2")) == (0, 1)
     worker.apply_delayed()
-    assert count_on_machines(cluster, "run-2") == 1
+    assert count_live_tasks(cluster, "run-2") == 1
     cluster.poll_and_resubmit_everywhere("run-1")
     assert cluster.violations_after_settling() == []
-    assert count_on_machines(cluster, "run-2") == 1
+    assert count_live_tasks(cluster, "run-2") == 1
 
 
 @pytest.mark.parametrize("leader_changes", [False, True], ids=["same_leader", "next_leader"])
 def test_a_late_stop_of_a_preempted_task_does_not_stop_its_next_attempt(
     cluster: SimulatedCluster, leader_changes: bool
 ) -> None:
-    """It is preempted, started again later, and then the delayed stop arrives."""
+    """The delayed stop command of the preempted attempt arrives during the next attempt."""
     [worker] = start_workers(cluster, 1)
     assert cluster.submit(CONTROLLERS[0], "run-1", cpus=30.0, priority="idle") == 201
     cluster.run(6.0)
-    assert count_on_machines(cluster, "run-1") == 1
+    assert count_live_tasks(cluster, "run-1") == 1
     worker.delays_commands = True
     assert cluster.submit(CONTROLLERS[0], "run-2", cpus=30.0, priority="urgent") == 201
     cluster.run(8.0)
-    assert (count_on_machines(cluster, "run-1"), count_on_machines(cluster, "run-2")) == (0, 1)
+    assert (count_live_tasks(cluster, "run-1"), count_live_tasks(cluster, "run-2")) == (0, 1)
     cluster.finish_tasks(worker)
     if leader_changes:
         replace_leader(cluster)
     cluster.run(12.0)
-    assert count_on_machines(cluster, "run-1") == 1
+    assert count_live_tasks(cluster, "run-1") == 1
     worker.delays_commands = False
     worker.apply_delayed()
-    assert count_on_machines(cluster, "run-1") == 1
+    assert count_live_tasks(cluster, "run-1") == 1
     assert cluster.violations_after_settling() == []
-    assert count_on_machines(cluster, "run-1") == 1
+    assert count_live_tasks(cluster, "run-1") == 1
 
 
-def test_a_late_stop_of_a_gang_hits_no_later_attempt(cluster: SimulatedCluster) -> None:
-    """A gang is cancelled, and one of the same shape starts on the same machines."""
+def test_a_late_stop_of_a_gang_stops_no_later_gang(cluster: SimulatedCluster) -> None:
+    """Stop commands of a cancelled gang arrive when another gang runs on the same machines."""
     workers = start_workers(cluster, 3)
     gang = {"shape": "group", "task_count": 3, "cpus": 30.0}
     assert cluster.submit(CONTROLLERS[0], "run-1", **gang) == 201
     cluster.run(8.0)
-    assert count_on_machines(cluster, "run-1") == 3
+    assert count_live_tasks(cluster, "run-1") == 3
     for worker in workers:
         worker.delays_commands = True
     assert cluster.submit(CONTROLLERS[0], "run-2", **gang) == 201
     assert cluster.cancel(CONTROLLERS[2], "run-1") == 200
     cluster.run(10.0)
-    assert count_on_machines(cluster, "run-2") == 3
+    assert count_live_tasks(cluster, "run-2") == 3
     replace_leader(cluster)
     for worker in workers:
         worker.delays_commands = False
         worker.apply_delayed()
     assert cluster.violations_after_settling() == []
-    assert count_on_machines(cluster, "run-2") == 3
+    assert count_live_tasks(cluster, "run-2") == 3
 
 
-# -- more work than room, over slow links ---------------------------------------------------------
+# -- overload over slow links ---------------------------------------------------------------------
 
 
 class Overload:
-    """More gangs and arrays, urgent and not, than there is room for, over slow links."""
+    """Submits more gangs and arrays than the machines have room for, over slow links."""
 
     LARGE_GANG, LARGE_ARRAY = "run-1", "run-2"
 
@@ -134,7 +134,7 @@
         self._submitted_at = cluster.clock()
 
     def submit_largest(self) -> None:
-        """Submit a gang that needs every machine, and an array larger than all of them."""
+        """Submit a gang that needs every machine, and an array larger than the whole fleet."""
         self._submitted_at = self.cluster.clock()
         gang = {"shape": "group", "task_count": 6, "cpus": 20.0, "same_zone": True}
         self._submit(self.LARGE_GANG, priority="urgent", **gang)
@@ -144,7 +144,7 @@
         assert self.cluster.submit(CONTROLLERS[0], ref, **{"cpus": 4.0, **changes}) == 201
 
     def run_overloaded(self, seconds: float, submit: bool = True, run_s: float = 20.0) -> None:
-        """Let time pass while small urgent gangs and arrays are submitted all the time."""
+        """Simulate `seconds`; if `submit`, add a small urgent gang and a small array every 5 s."""
         for second in range(round(seconds)):
             if submit and second % 5 == 0:
                 self._count += 2
@@ -154,13 +154,13 @@
             self._end_finished_tasks(run_s)
 
     def finish_all(self) -> None:
-        """Let all remaining jobs finish."""
+        """Run until all jobs have finished."""
         for _ in range(DRAIN_ROUNDS):
             leader = self.cluster.leader(self.cluster.leader_name)
             if leader is not None and not leader.term.job_table.jobs:
                 return
             self.run_overloaded(10.0, submit=False)
-        raise AssertionError("jobs are left")
+        raise AssertionError("unfinished jobs are left")
 
     def _end_finished_tasks(self, run_s: float) -> None:
         now = self.cluster.clock()
@@ -186,17 +186,17 @@
 def test_the_largest_jobs_start_over_slow_links(
     cluster: SimulatedCluster, answer_delay_s: float, leader_changes: bool
 ) -> None:
-    """Responses take up to what a worker waits for them; the largest jobs still start in time."""
-    load = Overload(cluster, answer_delay_s)
-    load.run_overloaded(25.0)
-    load.submit_largest()
-    load.run_overloaded(60.0)
+    """Responses take up to as long as workers wait; the largest jobs must still start in time."""
+    overload = Overload(cluster, answer_delay_s)
+    overload.run_overloaded(25.0)
+    overload.submit_largest()
+    overload.run_overloaded(60.0)
     if leader_changes:
         replace_leader(cluster)
-    load.run_overloaded(START_MAX_S - 60.0)
-    for largest in (load.LARGE_GANG, load.LARGE_ARRAY):
-        assert load.started_after_s.get(largest, START_MAX_S) < START_MAX_S
-    for worker in load.workers:
+    overload.run_overloaded(START_MAX_S - 60.0)
+    for largest in (overload.LARGE_GANG, overload.LARGE_ARRAY):
+        assert overload.started_after_s.get(largest, START_MAX_S) < START_MAX_S
+    for worker in overload.workers:
         worker.answer_delay_s = 0.0
-    load.finish_all()
+    overload.finish_all()
     assert cluster.violations_after_settling() == []
--- a/tests/system/test_whole.py
+++ b/tests/system/test_whole.py
@@ -1,4 +1,4 @@
-"""The quick start of the README, as processes on loopback with real clocks."""
+"""Tests the quick start of the README: processes on loopback, in real time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def base() -> Iterator[int]:
-    """Run the quick start; the base of its ports."""
+    """Run the quick start; yield the first of its ports."""
     port = find_free_ports()
     process = subprocess.Popen(
         [sys.executable, str(LOOPBACK), "--port", str(port)],
@@ -31,7 +31,7 @@
         process.wait(30)
 
 
-def test_any_controller_takes_answers_for_and_cancels_any_job(base: int) -> None:
+def test_every_controller_accepts_polls_and_cancels_any_job(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
     body = msgspec.json.encode(submission("run-000001", estimated_s=0.5, task_count=5, spot=True))
     wait_for_status(first, "queued", body)
@@ -50,37 +50,37 @@
     assert fetch(f"{first}/run-000099")[0] == 404
     assert fetch(f"{first}/run-000099/cancel", b"")[0] == 404
     assert fetch(first, b"[1]")[0] == 400
-    assert fetch(first, b"x" * 70_000)[0] in (413, 0)  # the connection is closed on the sender
+    assert fetch(first, b"x" * 70_000)[0] in (413, 0)  # 0 if the connection is closed while sending
     assert fetch(first, msgspec.json.encode(submission("run-000003", team="nobody")))[0] == 422
 
 
-def until_serving(url: str, count: int) -> None:
-    """Ask until the service runs with this count of replicas."""
-    end = time.monotonic() + TIMEOUT_S
-    answer: Any = None
-    while time.monotonic() < end:
-        status, answer = fetch(url)
-        if status == 200 and (answer["status"], answer.get("running")) == ("running", count):
+def wait_for_replicas(url: str, count: int) -> None:
+    """Poll a service until `count` of its replicas run."""
+    deadline = time.monotonic() + TIMEOUT_S
+    response: Any = None
+    while time.monotonic() < deadline:
+        status, response = fetch(url)
+        if status == 200 and (response["status"], response.get("running")) == ("running", count):
             return
         time.sleep(0.2)
-    raise AssertionError(f"{url}: last answer {answer}")
+    raise AssertionError(f"{url}: not {count} replicas in time, last response {response}")
 
 
-def test_a_service_keeps_its_replicas_through_failures_until_it_is_cancelled(base: int) -> None:
+def test_a_service_replaces_failed_replicas_until_it_is_cancelled(base: int) -> None:
     first, last = (f"http://127.0.0.1:{base + at}/v2/runs" for at in (10, 14))
-    faults = f"http://127.0.0.1:{base + 1}/trouble"
+    fault_url = f"http://127.0.0.1:{base + 1}/trouble"
     service = submission(
         "run-000004", shape="daemon", priority="production", estimated_s=0.0, cpus=1.0, spread=True
     )
     wait_for_status(first, "queued", msgspec.json.encode(service))
-    until_serving(f"{last}/run-000004", 4)
+    wait_for_replicas(f"{last}/run-000004", 4)
     for cause in ("error", "done"):
-        assert fetch(f"{faults}/end?piece=run-000004/1&cause={cause}", b"")[0] == 200
-        time.sleep(1.5)  # until the worker's next heartbeat
-        until_serving(f"{last}/run-000004", 4)
+        assert fetch(f"{fault_url}/end?piece=run-000004/1&cause={cause}", b"")[0] == 200
+        time.sleep(1.5)  # longer than the interval of heartbeats
+        wait_for_replicas(f"{last}/run-000004", 4)
     _, machines = fetch(f"http://127.0.0.1:{base + 1}/machines")
-    assert fetch(f"{faults}/lose?host={machines['hosts'][0]['ref']}", b"")[1] == {"lost": True}
-    until_serving(f"{last}/run-000004", 4)
+    assert fetch(f"{fault_url}/lose?host={machines['hosts'][0]['ref']}", b"")[1] == {"lost": True}
+    wait_for_replicas(f"{last}/run-000004", 4)
     wait_for_status(f"{last}/run-000004/cancel", "cancelled", b"")
     assert wait_for_status(f"{first}/run-000004", "cancelled")["status"] == "cancelled"
 
@@ -97,7 +97,7 @@
         pytest.param([], 2, "--config", id="no_arguments"),
     ],
 )
-def test_the_command_line_ends_with_code_and_message(
+def test_the_command_line_exits_with_code_and_message(
     tmp_path: Path, arguments: list[str], code: int, text: str
 ) -> None:
     (tmp_path / "GOOD").write_bytes(msgspec.json.encode(RAW_SETTINGS))
