--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -19,7 +19,7 @@
 
 
 def find_free_ports() -> int:
-    """Return a base port; the ports that the loopback program opens from there on are free."""
+    """Return a base port for the loopback program such that the ports it opens are free."""
     for base in range(21000, 60000, 500):
         try:
             for port in (base, base + 1, base + 10, base + 14, base + 100):
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -118,7 +118,7 @@
 
 
 def cancel_found_by_a_repeated_submission(cluster: SimulatedCluster) -> None:
-    """A controller finds the cancel in the store during a repeated submission."""
+    """A repeated submission finds the cancel in the store, without a request to the leader."""
     _write_unnoticed_cancel(cluster)
     cluster.partitions.add(frozenset(("n-0", "n-2")))
     cluster.submit("n-2")
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -373,7 +373,7 @@
 def test_an_unreadable_value_does_not_end_the_term(
     cluster: SimulatedCluster, key: str, garbage: bytes
 ) -> None:
-    """With one unreadable value, this leader and the next still serve all other jobs."""
+    """With one unreadable value, this leader and the next still serve everything else."""
     worker = start_job(cluster)
     cluster.store.write_raw(key, garbage)
     cluster.run(2.0)
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -1,8 +1,8 @@
-"""Measures what a leader's work costs as the fleet grows, over the tests' stand-ins.
+"""Measures the cost of a leader's operations by fleet size, with the tests' fakes.
 
     PYTHONPATH=src:tests python3 tools/measure_fleet.py 600 1200 2500 4000 6000
 
-Processor time of this machine, best of several; no part of CI.
+The figures are CPU times on the current machine, the best of several runs. CI does not run this.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 from ryewing.units import WallTime
 
 REPEATS = 7
-TASKS_A_MACHINE = 8
+TASKS_PER_MACHINE = 8
 IMAGES = 40
 GANG_MEMBERS = 12
 
 
 class Sample:
-    """What one fleet size costs, by name."""
+    """The figures measured for one fleet size, by name."""
 
     def __init__(self, machines: int) -> None:
         self.figures: dict[str, float] = {"machines": machines}
 
-    def time_ms(self, name: str, act: Callable[[], object], repeats: int = REPEATS) -> None:
-        """Measure the best of several calls, in milliseconds of processor time."""
+    def time_ms(self, name: str, operation: Callable[[], object], repeats: int = REPEATS) -> None:
+        """Record the lowest CPU time of several calls, in milliseconds."""
         best = float("inf")
         for _ in range(repeats):
-            began = time.process_time()
-            act()
-            best = min(best, time.process_time() - began)
+            started = time.process_time()
+            operation()
+            best = min(best, time.process_time() - started)
         self.figures[name] = round(1000 * best, 3)
 
 
 def make_workers(harness: LeaderHarness, count: int) -> list[FakeWorker]:
-    """Put up a quarter of machines with GPUs, in three zones, a fifth of them spot."""
+    """Add workers in three zones, a quarter with GPUs and a fifth on spot machines."""
     workers = [
         harness.worker(
             f"i-{number:06d}",
@@ -60,12 +60,12 @@
 
 
 def fill(harness: LeaderHarness, workers: list[FakeWorker]) -> None:
-    """Keep the fleet busy with small tasks of many images, and let a backlog wait."""
+    """Fill the fleet with small tasks of many images, and add a backlog of waiting jobs."""
     count = len(workers)
     for number in range(count // 15):
         harness.accept(
             f"run-{number}",
-            task_count=15 * TASKS_A_MACHINE,
+            task_count=15 * TASKS_PER_MACHINE,
             image=f"img-{number % IMAGES}",
             image_gb=1.0,
             priority="idle" if number % 3 == 0 else "standard",
@@ -100,7 +100,7 @@
 
 
 def measure(count: int, clock: Clock) -> Sample:
-    """Measure one fleet."""
+    """Measure a leader with a fleet of `count` machines."""
     sample = Sample(count)
     harness = LeaderHarness(clock)
     harness.settings = msgspec.convert(_unlimited(), type(harness.settings))
@@ -151,18 +151,18 @@
 
 
 def main() -> None:
-    """Measure the sizes asked for, a line each."""
+    """Measure each fleet size of the arguments, and print its figures as a line of JSON."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("machines", type=int, nargs="+")
     sizes: list[int] = parser.parse_args().machines
     clock = Clock()
-    clocks = [mock.patch(f"ryewing.{part}.monotonic_now", clock) for part in TERM_MODULES]
-    for patched in (
+    clocks = [mock.patch(f"ryewing.{module}.monotonic_now", clock) for module in TERM_MODULES]
+    for patch in (
         *clocks,
         mock.patch("ryewing.leader.plan_applier.wall_now", return_value=WallTime(0.0)),
         mock.patch("ryewing.leader.scheduler.wall_now", return_value=WallTime(0.0)),
     ):
-        patched.start()
+        patch.start()
     for size in sizes:
         print(msgspec.json.encode(measure(size, clock).figures).decode(), flush=True)
 
--- a/tools/measure_planner.py
+++ b/tools/measure_planner.py
@@ -1,4 +1,4 @@
-"""Measures the planner of shards: the solver against the greedy way, by cost and time.
+"""Compares the shard planner's solver with its greedy fallback, by cost and time.
 
 PYTHONPATH=src:tests python3 tools/measure_planner.py
 """
@@ -15,30 +15,32 @@
 
 CASES = 40
 SIZES = ((6, 3), (12, 3), (24, 7), (60, 7))
-LIMIT_S = 1.0
+SOLVER_LIMIT_S = 1.0
 
 
 def main() -> None:
-    """Print a line for each number of shards and controllers."""
+    """Print a comparison for each number of shards and controllers."""
     for shards, nodes in SIZES:
-        worse = saved_moves = 0
-        extra = slowest = greedy_s = 0.0
+        costlier_cases = saved_moves = 0
+        max_extra = max_solver_s = max_greedy_s = 0.0
         for seed in range(CASES):
             inputs = random_inputs(random.Random(seed), shards, nodes)
-            began = time.perf_counter()
-            by_hand = greedy.assign(inputs)
-            between = time.perf_counter()
-            solved = exact.assign(inputs, LIMIT_S)
-            slowest = max(slowest, time.perf_counter() - between)
-            greedy_s = max(greedy_s, between - began)
-            gap = cost(inputs, by_hand) / cost(inputs, solved) - 1.0
-            worse += gap > 1e-3
-            extra = max(extra, gap)
-            saved_moves += len(moved_shards(inputs, by_hand)) - len(moved_shards(inputs, solved))
+            started = time.perf_counter()
+            by_greedy = greedy.assign(inputs)
+            greedy_done = time.perf_counter()
+            by_solver = exact.assign(inputs, SOLVER_LIMIT_S)
+            max_solver_s = max(max_solver_s, time.perf_counter() - greedy_done)
+            max_greedy_s = max(max_greedy_s, greedy_done - started)
+            extra = cost(inputs, by_greedy) / cost(inputs, by_solver) - 1.0
+            costlier_cases += extra > 1e-3
+            max_extra = max(max_extra, extra)
+            saved_moves += len(moved_shards(inputs, by_greedy)) - len(
+                moved_shards(inputs, by_solver)
+            )
         print(
-            f"{shards} shards, {nodes} controllers: greedy dearer in {worse} of {CASES},"
-            f" by {extra:.1%} at the most, {saved_moves} more moves in all;"
-            f" solver at most {1000 * slowest:.0f} ms, greedy {1000 * greedy_s:.1f} ms"
+            f"{shards} shards, {nodes} controllers: greedy costlier in {costlier_cases} of {CASES},"
+            f" by at most {max_extra:.1%}, with {saved_moves} more moves in total;"
+            f" solver at most {1000 * max_solver_s:.0f} ms, greedy {1000 * max_greedy_s:.1f} ms"
         )
 
 
