--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -60,7 +60,8 @@
             if limit and used[need.team] + min_tasks * need.gpus > limit:
                 continue
             found += [
-                f"{job.id} beside {name}" for name in _idle_machines_that_fit(cluster, leader, need)
+                f"{job.id} while {name} is idle"
+                for name in _idle_machines_that_fit(cluster, leader, need)
             ]
     return found
 
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -43,13 +43,13 @@
         return 0, None
 
 
-def wait_for_status(url: str, wanted: str, body: bytes | None = None) -> Any:
-    """Repeat a request until the job has the wanted status; return the last response body."""
+def wait_for_status(url: str, expected: str, body: bytes | None = None) -> Any:
+    """Repeat a request until the job has the expected status; return the last response body."""
     deadline = time.monotonic() + TIMEOUT_S
     response: Any = None
     while time.monotonic() < deadline:
         status, response = fetch(url, body)
-        if status in (200, 201) and response["status"] == wanted:
+        if status in (200, 201) and response["status"] == expected:
             return response
         time.sleep(0.2)
-    raise AssertionError(f"{url}: not {wanted!r} in time, last response {response}")
+    raise AssertionError(f"{url}: not {expected!r} in time, last response {response}")
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -82,15 +82,11 @@
                 if (
                     reported == key[0]
                     and found.status != "ended"
-                    and (other, attempt)
-                    != (
-                        worker,
-                        key[1],
-                    )
+                    and (other, attempt) != (worker, key[1])
                 ):
                     self.add_violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
 
-    def _check_machine_owners(self) -> None:
+    def _check_machine_leaders(self) -> None:
         """Check that no machine is in the state of two leaders that may both start tasks."""
         leaders: dict[str, list[str]] = {}
         for name, node in self._cluster.nodes.items():
@@ -109,7 +105,7 @@
     def check(self) -> None:
         """Check the tasks that are on machines now, and record those that have finished."""
         cluster = self._cluster
-        self._check_machine_owners()
+        self._check_machine_leaders()
         cancel_s = cluster.settings.params.workers.cancel_s
         used: Counter[str] = Counter()
         for worker in cluster.workers.values():
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -49,22 +49,22 @@
 class FakePeer:
     """Sends requests from one controller to another, encoded and decoded as on the wire."""
 
-    def __init__(self, cluster: SimulatedCluster, here: str, there: str) -> None:
+    def __init__(self, cluster: SimulatedCluster, sender: str, receiver: str) -> None:
         self._cluster = cluster
-        self._here, self._there = here, there
+        self._sender, self._receiver = sender, receiver
 
     def request(self, request: Request, _deadline_s: float) -> Response:
         cluster = self._cluster
         if (
-            frozenset((self._here, self._there)) in cluster.partitions
-            or self._there in cluster.dead
+            frozenset((self._sender, self._receiver)) in cluster.partitions
+            or self._receiver in cluster.dead
         ):
             raise PeerUnavailableError("partitioned")
-        if self._there in cluster.frozen or self._here in cluster.frozen:
+        if self._receiver in cluster.frozen or self._sender in cluster.frozen:
             raise PeerUnavailableError("deadline")
         sent = msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=Request)
-        answer = cluster.nodes[self._there].peer_requests.handle(sent)
-        hook = cluster.before_peer_answer.pop(self._there, None)
+        answer = cluster.nodes[self._receiver].peer_requests.handle(sent)
+        hook = cluster.before_peer_answer.pop(self._receiver, None)
         if hook is not None:
             hook()
         return msgspec.msgpack.decode(msgspec.msgpack.encode(answer), type=Response)
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -173,9 +173,9 @@
 class DirectLink:
     """Delivers direct commands of one controller, in place of `clients.workers.Workers`."""
 
-    def __init__(self, cluster: SimulatedCluster, here: str) -> None:
+    def __init__(self, cluster: SimulatedCluster, node: str) -> None:
         self._cluster = cluster
-        self._here = here
+        self._node = node
 
     def send(
         self, address: str, token: FencingToken, incarnation: int, commands: list[Command]
@@ -184,7 +184,7 @@
         if not found:
             raise WorkerUnavailableError("deadline")
         [worker] = found
-        if worker.hangs or worker.replies_lost or self._here in worker.unreachable:
+        if worker.hangs or worker.replies_lost or self._node in worker.unreachable:
             raise WorkerUnavailableError("deadline")
         if worker.delays_commands:
             worker.delay_commands(token, incarnation, commands)
--- a/tools/measure_planner.py
+++ b/tools/measure_planner.py
@@ -1,4 +1,4 @@
-"""Compares the shard planner's solver with its greedy fallback, by cost and time.
+"""Compares the exact and the greedy assignment of shards to controllers, by cost and time.
 
 PYTHONPATH=src:tests python3 tools/measure_planner.py
 """
