--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -2,7 +2,7 @@
 
 The names of the rules, as they appear in violations:
 
-- `job_lost`: a controller answered 404 for an accepted job.
+- `job_lost`: a controller answered 404 for an accepted job, or did not answer 200 at the end.
 - `final_state_changed`: a job had another status after a final state.
 - `not_done`: a job was reported as done before all its tasks had finished.
 - `ran_cancelled`: a task started after its job was reported as cancelled, or ran on for too long.
