--- a/src/ryewing/sharding/exact.py
+++ b/src/ryewing/sharding/exact.py
@@ -49,7 +49,7 @@
         )
     for controller in inputs.nodes:
         terms = [
-            (shard.load / controller.room) * ownership_vars[shard.name, controller.name]
+            (shard.load / controller.capacity) * ownership_vars[shard.name, controller.name]
             for shard in inputs.shards
             if (shard.name, controller.name) in ownership_vars
         ]
--- a/src/ryewing/sharding/greedy.py
+++ b/src/ryewing/sharding/greedy.py
@@ -50,7 +50,7 @@
     inputs: PlanInputs, owners: dict[ShardName, NodeName], unowned: list[ShardLoad]
 ) -> None:
     """Assign shards by decreasing load, each to the controller that is least utilized with it."""
-    capacity = {node.name: node.room for node in inputs.nodes}
+    capacity = {node.name: node.capacity for node in inputs.nodes}
     loads = dict.fromkeys(capacity, 0.0)
     for shard in inputs.shards:
         if shard.name in owners:
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -1,6 +1,6 @@
 """The input of the planners, and the cost by which they compare assignments of shards.
 
-Pure functions. Loads and capacities ("room") have the same unit, which the caller chooses: for
+Pure functions. Loads and capacities have the same unit, which the caller chooses: for
 example, a fraction of a core. A controller's utilization is its load divided by its capacity.
 """
 
@@ -35,18 +35,18 @@
     """When the owner last changed, if that is known."""
 
 
-class NodeRoom(msgspec.Struct, frozen=True):
+class NodeCapacity(msgspec.Struct, frozen=True, rename={"capacity": "room"}):
     """One healthy controller and its capacity, in the unit of the loads."""
 
     name: NodeName
-    room: float
+    capacity: float
 
 
 class PlanInputs(msgspec.Struct, frozen=True):
     """All inputs that decide which controller should own which shard."""
 
     shards: Sequence[ShardLoad]
-    nodes: Sequence[NodeRoom]
+    nodes: Sequence[NodeCapacity]
     now: MonotonicTime
     settle_s: float
     """How many seconds a shard stays with its owner after a move."""
@@ -76,7 +76,7 @@
     loads = {node.name: 0.0 for node in inputs.nodes}
     for shard in inputs.shards:
         loads[owners[shard.name]] += shard.load
-    return {node.name: loads[node.name] / node.room for node in inputs.nodes}
+    return {node.name: loads[node.name] / node.capacity for node in inputs.nodes}
 
 
 def moved_shards(inputs: PlanInputs, owners: Assignment) -> list[ShardName]:
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from ryewing.sharding import greedy
-from ryewing.sharding.load import Assignment, NodeRoom, PlanInputs, ShardLoad
+from ryewing.sharding.load import Assignment, NodeCapacity, PlanInputs, ShardLoad
 from ryewing.sharding.ownership import Phase
 from ryewing.sharding.planner import next_move
 from ryewing.sharding.registry import RegistrySnapshot
@@ -98,5 +98,7 @@
                     observed.since if observed is not None else None,
                 )
             )
-        rooms = [NodeRoom(node, EQUAL_LOAD) for node in sorted(nodes)]
-        return PlanInputs(loads, rooms, monotonic_now(), self._settings.settle_s, moves_allowed)
+        capacities = [NodeCapacity(node, EQUAL_LOAD) for node in sorted(nodes)]
+        return PlanInputs(
+            loads, capacities, monotonic_now(), self._settings.settle_s, moves_allowed
+        )
--- a/tests/support/planner_inputs.py
+++ b/tests/support/planner_inputs.py
@@ -4,14 +4,14 @@
 
 import random
 
-from ryewing.sharding.load import NodeRoom, PlanInputs, ShardLoad
+from ryewing.sharding.load import NodeCapacity, PlanInputs, ShardLoad
 from ryewing.units import MonotonicTime, NodeName, ShardName
 
 NOW = MonotonicTime(1000.0)
 
 
 def random_inputs(rng: random.Random, shards: int, nodes: int) -> PlanInputs:
-    """Return shards with random load, owner, pin and last move, and nodes with random room."""
+    """Return shards with random load, owner, pin and last move, and nodes with random capacity."""
     names = [NodeName(f"n-{number}") for number in range(nodes)]
     return PlanInputs(
         [
@@ -24,7 +24,7 @@
             )
             for number in range(shards)
         ],
-        [NodeRoom(name, rng.choice((0.4, 0.8))) for name in names],
+        [NodeCapacity(name, rng.choice((0.4, 0.8))) for name in names],
         NOW,
         60.0,
         rng.random() < 0.9,
