--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -32,5 +32,5 @@
 
 
 @pytest.fixture
-def divided(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
+def make_divided_cluster(monkeypatch: pytest.MonkeyPatch) -> Callable[..., SimulatedCluster]:
     return divided_cluster_factory(monkeypatch)
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -58,9 +58,9 @@
 
 
 @pytest.fixture
-def cluster_with_limit(divided: MakeCluster) -> SimulatedCluster:
+def cluster_with_limit(make_divided_cluster: MakeCluster) -> SimulatedCluster:
     """Return a cluster of two shards, each with more GPUs than the team may use."""
-    cluster = divided(moves_allowed=False)
+    cluster = make_divided_cluster(moves_allowed=False)
     add_machines(cluster, 0, with_gpus=12)
     cluster.run(12.0)
     assert cluster.leader_of(SHARD_1) == "n-0"
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS_IN_CI))
-def test_moves_under_faults_break_no_rule(divided: MakeCluster, seed: int) -> None:
-    cluster = divided(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
+def test_moves_under_faults_break_no_rule(make_divided_cluster: MakeCluster, seed: int) -> None:
+    cluster = make_divided_cluster(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
     assert simulate_moves(cluster, seed) > 0
     assert violations_after_settling(cluster) == [], seed
 
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -29,8 +29,8 @@
 from ryewing.units import MonotonicTime, NodeName
 
 
-def test_two_shards_are_led_by_two_controllers(divided: MakeCluster) -> None:
-    cluster = divided()
+def test_two_shards_are_led_by_two_controllers(make_divided_cluster: MakeCluster) -> None:
+    cluster = make_divided_cluster()
     start_divided_fleet(cluster)
     assert {cluster.leader_of(SHARD_1), cluster.leader_of(SHARD_2)} == {"n-0", "n-1"}
     submit_random_jobs(cluster, random.Random(1), 0, 12)
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize(("shards", "seed"), [(2, 1), (2, 2), (3, 3), (3, 4)])
 def test_moves_without_faults_stop_and_restart_no_task(
-    divided: MakeCluster, shards: int, seed: int
+    make_divided_cluster: MakeCluster, shards: int, seed: int
 ) -> None:
     """A hundred moves in all, while gangs are starting, tasks end and jobs are submitted."""
-    cluster = divided(shards, moves_allowed=False)
+    cluster = make_divided_cluster(shards, moves_allowed=False)
     rng = random.Random(seed)
     add_machines(cluster, 9, with_gpus=9)
     cluster.run(12.0)
@@ -113,10 +113,10 @@
 @pytest.mark.parametrize("phase", list(Phase))
 @pytest.mark.parametrize("failed", CONTROLLERS)
 def test_jobs_continue_when_a_controller_fails_at_any_step_of_a_move(
-    divided: MakeCluster, failed: str, phase: Phase, restart: str
+    make_divided_cluster: MakeCluster, failed: str, phase: Phase, restart: str
 ) -> None:
     """The source, the target or the third controller fails: each shard soon has a leader."""
-    cluster = divided(moves_allowed=False)
+    cluster = make_divided_cluster(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     if phase is Phase.OWNED:
         assert request_move(cluster, SHARD_1, "n-2")
@@ -137,9 +137,9 @@
 @pytest.mark.parametrize("controller", CONTROLLERS)
 @pytest.mark.parametrize("fault", ["loses_answers", "delays_transactions", "refused"])
 def test_jobs_continue_when_steps_of_a_move_are_unanswered_late_or_refused(
-    divided: MakeCluster, controller: str, fault: str
+    make_divided_cluster: MakeCluster, controller: str, fault: str
 ) -> None:
-    cluster = divided(moves_allowed=False)
+    cluster = make_divided_cluster(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     assert request_move(cluster, SHARD_1, "n-2")
     link = cluster.links[controller]
@@ -296,16 +296,20 @@
         owner_freezes,
     ],
 )
-def test_events_during_a_move_break_no_rule(divided: MakeCluster, scenario: Scenario) -> None:
-    cluster = divided(moves_allowed=False)
+def test_events_during_a_move_break_no_rule(
+    make_divided_cluster: MakeCluster, scenario: Scenario
+) -> None:
+    cluster = make_divided_cluster(moves_allowed=False)
     start_jobs_in_both_shards(cluster)
     scenario(cluster)
     assert violations_after_settling(cluster) == []
 
 
-def test_shards_of_a_failed_controller_return_after_its_restart(divided: MakeCluster) -> None:
+def test_shards_of_a_failed_controller_return_after_its_restart(
+    make_divided_cluster: MakeCluster,
+) -> None:
     """The planner moves them once, after `settle_s` at the other controllers has passed."""
-    cluster = divided(3, settle_s=20.0)
+    cluster = make_divided_cluster(3, settle_s=20.0)
     start_divided_fleet(cluster)
     cluster.dead.add("n-1")
     cluster.run(10.0)
@@ -323,17 +327,17 @@
 
 @pytest.mark.parametrize("first", [1, 2], ids=["undivided_first", "divided_first"])
 def test_controllers_with_a_different_division_do_not_lead(
-    divided: MakeCluster, first: int
+    make_divided_cluster: MakeCluster, first: int
 ) -> None:
     """Only the controllers that start first ever lead, also if either group has no division."""
-    cluster = divided(first)
+    cluster = make_divided_cluster(first)
     if first == 1:
         cluster.shards = None
         for name in CONTROLLERS:
             cluster.coordinators.pop(name)
             cluster.boot(name)
     start_divided_fleet(cluster)
-    other = divided(3 if first == 1 else 1)
+    other = make_divided_cluster(3 if first == 1 else 1)
     other.store = cluster.store
     if first == 2:
         other.shards = None
@@ -346,9 +350,11 @@
     assert len(cluster.latest_leaders()) == first
 
 
-def test_jobs_continue_when_two_controllers_plan_differently(divided: MakeCluster) -> None:
+def test_jobs_continue_when_two_controllers_plan_differently(
+    make_divided_cluster: MakeCluster,
+) -> None:
     """Two controllers see different sets of healthy ones: each shard still has one owner."""
-    cluster = divided(3, settle_s=0.0)
+    cluster = make_divided_cluster(3, settle_s=0.0)
     start_jobs_in_both_shards(cluster)
     cluster.dead.add("n-2")
     cluster.run(10.0)
