--- a/src/ryewing/autoscaling/booting_room.py
+++ b/src/ryewing/autoscaling/booting_room.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from ryewing.scheduling.machine_suitability import allows
+from ryewing.scheduling.machine_suitability import allows_machine
 from ryewing.state.jobs import Job
 from ryewing.state.machine import Machine
 from ryewing.state.resources import EPSILON, count_fitting
@@ -105,6 +105,8 @@
         )
         suitable = self._machines_by_requirements.get(requirements)
         if suitable is None:
-            suitable = [booting for booting in self._machines if allows(spec, booting.machine)]
+            suitable = [
+                booting for booting in self._machines if allows_machine(spec, booting.machine)
+            ]
             self._machines_by_requirements[requirements] = suitable
         return suitable
--- a/src/ryewing/autoscaling/scale_in.py
+++ b/src/ryewing/autoscaling/scale_in.py
@@ -10,7 +10,7 @@
 from ryewing.autoscaling.options import price
 from ryewing.config.policy import Policy
 from ryewing.scheduling import Unplaced
-from ryewing.scheduling.machine_suitability import allows
+from ryewing.scheduling.machine_suitability import allows_machine
 from ryewing.state.machine import Machine
 from ryewing.state.resources import fits_machine_type
 from ryewing.units import MachineId, MonotonicTime
@@ -88,7 +88,7 @@
         if now - machine.idle_since < policy.idle_return_s and not machine.quarantined:
             continue
         if not machine.quarantined and any(
-            allows(job.spec, machine)
+            allows_machine(job.spec, machine)
             and fits_machine_type(job.spec, machine.machine_type)
             and (job.spec.gpus > 0 or not machine.machine_type.gpus)
             for job, _tasks in unplaced
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -10,7 +10,7 @@
 
 from ryewing.leader.term_context import TermContext
 from ryewing.leader.terminations import TaskTerminator
-from ryewing.scheduling.machine_suitability import allows
+from ryewing.scheduling.machine_suitability import allows_machine
 from ryewing.state.attempts import TaskPhase
 from ryewing.state.failure_detector import MACHINE_AVOIDANCE_S
 from ryewing.state.jobs import Job
@@ -107,6 +107,6 @@
 def _may_hold_tasks(job: Job, unreconciled_kinds: Sequence[Machine]) -> bool:
     """Return whether an unreconciled machine could run tasks of the job."""
     return any(
-        allows(job.spec, machine) and fits_machine_type(job.spec, machine.machine_type)
+        allows_machine(job.spec, machine) and fits_machine_type(job.spec, machine.machine_type)
         for machine in unreconciled_kinds
     )
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -12,7 +12,7 @@
 from ryewing.scheduling.image_survey import LONG_FETCH_S, ImageSurvey
 from ryewing.scheduling.job_limits import JobLimits
 from ryewing.scheduling.machine_capacity import MachineCapacity
-from ryewing.scheduling.machine_suitability import allows, fetch_s
+from ryewing.scheduling.machine_suitability import allows_machine, fetch_s
 from ryewing.scheduling.plan import Batch, BatchPart, Plan
 from ryewing.scheduling.snapshot import SchedulingSnapshot
 from ryewing.state.jobs import Job
@@ -85,7 +85,7 @@
                 [
                     capacity
                     for members in self._by_kind.values()
-                    if allows(spec, members[0].machine)
+                    if allows_machine(spec, members[0].machine)
                     for capacity in members
                 ]
             )
--- a/src/ryewing/scheduling/machine_suitability.py
+++ b/src/ryewing/scheduling/machine_suitability.py
@@ -12,7 +12,7 @@
 """The least fetch rate assumed for a machine type; avoids a division by zero."""
 
 
-def allows(spec: JobSpec, machine: Machine) -> bool:
+def allows_machine(spec: JobSpec, machine: Machine) -> bool:
     """Return whether the spec permits the machine's type and zone, and spot if it is a spot one."""
     return (
         (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
