--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -88,11 +88,11 @@
             quota=quota,
             now=now,
             rng=rng,
-            sample=self._term.policy.sample,
+            sample_size=self._term.policy.sample,
             gpu_reserve=self._gpu_reserve,
             gpus_kept=gpus_kept,
-            avoid=self._eligibility.avoids,
-            fetches_share=cluster.is_fetch_rate_shared(),
+            avoids=self._eligibility.avoids,
+            is_fetch_rate_shared=cluster.is_fetch_rate_shared(),
             recent_specs=tuple(self._recent_specs.values()),
             next_heartbeat_in_s=lambda machine: self._early_heartbeats.next_heartbeat_in_s(
                 machine, now
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -155,8 +155,8 @@
         if reservation is not None and delays_reservation(job, reservation.wait_s):
             candidates = candidates.unreserved()
         if job.failed_on:
-            avoid = self._snapshot.avoid
-            not_avoided = [c for c in candidates.capacities if not avoid(job, c.machine)]
+            avoids = self._snapshot.avoids
+            not_avoided = [c for c in candidates.capacities if not avoids(job, c.machine)]
             candidates = self._state.narrowed(candidates, not_avoided)
         return candidates
 
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -110,7 +110,7 @@
 
         Each cycle draws a new sample. A gang needs several machines at once, so it gets all.
         """
-        size = self.snapshot.sample
+        size = self.snapshot.sample_size
         if job.is_gang or len(capacities) <= size:
             self.plan.machines_examined += len(capacities)
             return capacities
@@ -120,7 +120,7 @@
 
     def may_use(self, job: Job, capacity: MachineCapacity) -> bool:
         """Return whether a job neither avoids a machine nor would delay its reservation."""
-        if self.snapshot.avoid(job, capacity.machine):
+        if self.snapshot.avoids(job, capacity.machine):
             return False
         wait_s = capacity.reservation_wait_s
         return wait_s is None or not delays_reservation(job, wait_s)
@@ -158,7 +158,9 @@
         fetch = machine.fetches.get(spec.image)
         if fetch is not None and machine.images_in_use[spec.image]:
             return max(MIN_REMAINING_FETCH_S, whole_fetch_s - (self.now - fetch.started_at))
-        shares_rate = self.snapshot.fetches_share and capacity.fetches_other_image(spec.image)
+        shares_rate = self.snapshot.is_fetch_rate_shared and capacity.fetches_other_image(
+            spec.image
+        )
         return whole_fetch_s * (SHARED_FETCH_FACTOR if shares_rate else 1.0)
 
     def meets_image_limits(self, spec: JobSpec, capacity: MachineCapacity) -> bool:
@@ -203,7 +205,7 @@
             return spec.task_count
         if warmth == FETCHING:
             return spec.task_count if self.all_jobs_tried else 0
-        if self.snapshot.fetches_share and capacity.fetches_other_image(spec.image):
+        if self.snapshot.is_fetch_rate_shared and capacity.fetches_other_image(spec.image):
             return 0  # fetches that share the rate take as long as one after the other
         return 0 if spec.image in capacity.images_placed else 1
 
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -50,7 +50,7 @@
         (_drain_s(job, capacity, state.now), number, capacity)
         for number, capacity in enumerate(capacities)
         if (zone is None or capacity.machine.zone == zone)
-        and not state.snapshot.avoid(job, capacity.machine)
+        and not state.snapshot.avoids(job, capacity.machine)
     ]
     chosen: list[MachineCapacity] = []
     remaining = job.spec.task_count
--- a/src/ryewing/scheduling/snapshot.py
+++ b/src/ryewing/scheduling/snapshot.py
@@ -17,7 +17,11 @@
 from ryewing.wire.jobs import JobSpec
 
 
-class SchedulingSnapshot(msgspec.Struct, frozen=True):
+class SchedulingSnapshot(
+    msgspec.Struct,
+    frozen=True,
+    rename={"sample_size": "sample", "avoids": "avoid", "is_fetch_rate_shared": "fetches_share"},
+):
     """The input of a cycle, which claims resources from the capacities and the quota."""
 
     capacities: Sequence[MachineCapacity]
@@ -25,14 +29,14 @@
     quota: TeamQuota
     now: MonotonicTime
     rng: random.Random
-    sample: int
+    sample_size: int
     """How many machines are examined for one array or service at most."""
     gpu_reserve: GpuReserve = NO_RESERVE
     gpus_kept: float = math.inf
     """How many free GPUs are kept usable for work expected soon."""
-    avoid: Callable[[Job, Machine], bool] = lambda _job, _machine: False
+    avoids: Callable[[Job, Machine], bool] = lambda _job, _machine: False
     """Whether a job avoids a machine where its tasks failed."""
-    fetches_share: bool = True
+    is_fetch_rate_shared: bool = True
     """Whether concurrent fetches share a machine's fetch rate."""
     recent_specs: Sequence[JobSpec] = ()
     """One recent job spec of each class; replicas leave resources for such tasks."""
