--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -103,7 +103,7 @@
         """Return the machines that never booted, are silent or don't acknowledge their token."""
         return unhealthy_machines(
             self._term.cluster.machines.values(),
-            self._term.began_at,
+            self._term.started_at,
             self._term.settings.params.workers,
             self._term.policy,
             now,
--- a/src/ryewing/leader/direct_messages.py
+++ b/src/ryewing/leader/direct_messages.py
@@ -157,6 +157,8 @@
         for machine in list(self._term.cluster.machines.values()):
             if machine.lease_expires_by is None:
                 continue
-            silent_since = machine.heard_at if machine.heard_at is not None else self._term.began_at
+            silent_since = (
+                machine.heard_at if machine.heard_at is not None else self._term.started_at
+            )
             if not machine.acknowledged_term or now - silent_since > late_after_s:
                 self.schedule(machine)
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -171,7 +171,7 @@
             len(self.term.job_table.jobs),
             len(self.term.cluster.machines),
             len(self.autoscaler.rentals.pending),
-            monotonic_now() - self.term.began_at,
+            monotonic_now() - self.term.started_at,
         )
 
     def _on_record(self, key: str, data: msgspec.Raw, key_version: KeyVersion) -> None:
--- a/src/ryewing/leader/lease_keeper.py
+++ b/src/ryewing/leader/lease_keeper.py
@@ -57,7 +57,7 @@
             term.scheduling_needed.set()
             term.writes_needed.set()
         term.lease_validity.confirm_renewal(sent_at)
-        jobs_known_at = max(term.lease_validity.jobs_known_at or term.began_at, term.began_at)
+        jobs_known_at = max(term.lease_validity.jobs_known_at or term.started_at, term.started_at)
         if term.settings.members and sent_at - jobs_known_at > JOBS_NOT_FOLLOWED_S:
             # This leader holds the lease but may not act, while another node may be able to read
             # the jobs.
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -36,7 +36,7 @@
         self._lease_keeper = lease_keeper
         self._state_log = StateLog(term.job_table, term.cluster, scheduler)
         self.reachability = WorkerReachability(
-            term.cluster, term.settings.params.workers.report_s, term.began_at
+            term.cluster, term.settings.params.workers.report_s, term.started_at
         )
 
     def maintenance_loop(self) -> None:
--- a/src/ryewing/leader/replica_moves.py
+++ b/src/ryewing/leader/replica_moves.py
@@ -86,7 +86,7 @@
             if job.is_service and job.spec.job_class == job_class
         )
         interval_s = MOVE_DOWNTIME_S / (MOVE_DOWNTIME_SHARE * max(1, running))
-        return now - self._moved_at.get(job_class, self._term.began_at) >= interval_s
+        return now - self._moved_at.get(job_class, self._term.started_at) >= interval_s
 
 
 def _only_replicas_prevent_release(machine: Machine, now: MonotonicTime) -> bool:
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -66,7 +66,7 @@
         self.rng = random.Random()
         self.plan_applier = PlanApplier(term, terminator, early_heartbeats)
         self._has_guarantees = any(team.cpus or team.gpus for team in term.settings.params.teams)
-        self._gpu_demand = GpuDemand(term.cluster, term.began_at)
+        self._gpu_demand = GpuDemand(term.cluster, term.started_at)
         self._eligibility = JobEligibility(term, terminator)
         self._replica_moves = ReplicaMoves(term)
         self._snapshot_builder = SnapshotBuilder(term, early_heartbeats, self._eligibility)
@@ -96,7 +96,7 @@
         """
         if self.reconciled:
             return True
-        waited_s = monotonic_now() - self.term.began_at
+        waited_s = monotonic_now() - self.term.started_at
         if waited_s < self.term.policy.gather_s and any(
             True for _ in self.term.cluster.unreconciled()
         ):
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -75,7 +75,7 @@
         """The teams by name, with the limits of the settings."""
         self.team_limits: TeamLimits = SettingsLimits(self.teams)
         # The progress of the term, and the signals between its loops:
-        self.began_at = monotonic_now()
+        self.started_at = monotonic_now()
         self.state_loaded = Event()
         """Set once the state has been loaded from the store."""
         self.scheduling_needed = Event()
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -19,10 +19,10 @@
 class WorkerReachability:
     """Decides whether the workers can be reached, by how many of them are silent."""
 
-    def __init__(self, cluster: ClusterState, report_s: float, began_at: MonotonicTime) -> None:
+    def __init__(self, cluster: ClusterState, report_s: float, started_at: MonotonicTime) -> None:
         self._cluster = cluster
         self._silent_after_s = PROBE_AFTER_INTERVALS * report_s + PROBE_ANSWER_S
-        self._last_round_at = self._running_since = began_at
+        self._last_round_at = self._running_since = started_at
 
     def record_round(self, now: MonotonicTime) -> None:
         """Record a maintenance round, to detect that the process was paused between two rounds."""
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -298,7 +298,7 @@
     gpu_workers = [harness.worker(f"i-{n:06d}", machine_type="g4") for n in range(2)]
     harness.ready(*gpu_workers)
     start_service(harness, *gpu_workers, task_count=8)
-    harness.leader.term.began_at = MonotonicTime(harness.clock() - 10_000.0)
+    harness.leader.term.started_at = MonotonicTime(harness.clock() - 10_000.0)
     cpu_worker = harness.worker("i-000009")
     harness.ready(cpu_worker)
     cluster = harness.leader.term.cluster
