--- a/src/ryewing/state/assignment_table.py
+++ b/src/ryewing/state/assignment_table.py
@@ -32,9 +32,9 @@
         self.machines: dict[MachineId, Machine] = {}
         """All machines that this leader knows, by id."""
         self.team_cpus: dict[TeamName, float] = {}
-        """CPUs taken by each team's assignments, including planned ones."""
+        """CPUs used by each team's assignments, including planned ones."""
         self.team_gpus: dict[TeamName, float] = {}
-        """GPUs taken by each team's assignments, including planned ones."""
+        """GPUs used by each team's assignments, including planned ones."""
         self._planned: set[Assignment] = set()
         """Assignments that were planned and not dropped. `drop_stale_plans` removes those that
         have been sent in the meantime."""
@@ -45,7 +45,7 @@
         """Add a task attempt to a machine.
 
         A task of an unknown job, or with a number that its job does not have, is added without a
-        job: it takes no resources and does not count against any team's limit.
+        job: it uses no resources and does not count against any team's limit.
         """
         job = self.job_table.get(task.job)
         if job is not None and not 0 <= task.number < job.spec.task_count:
@@ -99,9 +99,10 @@
                 self.drop(assignment, now)
 
     def drop_stale_plans(self, now: MonotonicTime, max_age_s: float) -> None:
-        """Drop planned assignments older than `max_age_s`: their machine has not sent a heartbeat.
+        """Drop planned assignments that are older than `max_age_s`.
 
-        Their starts were not sent, so they can be dropped without waiting for the worker.
+        Their machines have sent no heartbeat since, so their starts were not sent, and they can be
+        dropped without waiting for the worker.
         """
         for assignment in list(self._planned):
             if assignment.phase != TaskPhase.PLANNED:
@@ -126,7 +127,7 @@
 
     def assignments_of(self, job: Job) -> list[Assignment]:
         """Return a job's assignments on all machines; duplicates of a task come last."""
-        found = []
+        assignments = []
         duplicates = [
             (number, machine_id)
             for number, machine_ids in job.duplicates.items()
@@ -138,8 +139,8 @@
                 machine.assignments.get(TaskId(job.id, number)) if machine is not None else None
             )
             if assignment is not None:
-                found.append(assignment)
-        return found
+                assignments.append(assignment)
+        return assignments
 
     def _allocate_resources(self, machine: Machine, spec: JobSpec) -> None:
         """Add one task of a job to the usage of its machine and its team."""
--- a/src/ryewing/state/failure_detector.py
+++ b/src/ryewing/state/failure_detector.py
@@ -80,9 +80,9 @@
     ) -> None:
         """Process the end of a replica; a replica that was stable can run again at once, anywhere.
 
-        Replicas never finish, so the number of finished tasks does not show whether a service is at
-        fault: a healthy service was blamed for a few faulty machines. The stable replicas on other
-        machines are used instead.
+        Replicas never finish, so the number of finished tasks can't show that a service is healthy:
+        failures on a few faulty machines were attributed to a healthy service. Stable replicas on
+        other machines are the evidence instead.
         """
         machine = assignment.machine
         was_stable = is_stable(assignment, now)
@@ -130,7 +130,7 @@
         log.warning("job=%s machine=%s event=refused cause=%s", job.id, machine.id, cause)
 
     def _task_failed(self, job: Job, assignment: Assignment, now: MonotonicTime) -> None:
-        """Attribute a failure to its job if that fails on several machines, else to its machine."""
+        """Attribute a failure to the job if it fails on several machines, else to the machine."""
         machine = assignment.machine
         if machine.id not in job.failed_on and not job.backoff_s:
             log.warning("job=%s machine=%s event=task-failed", job.id, machine.id)
@@ -148,8 +148,8 @@
         } - job.failed_on.keys()
         if len(job.failed_on) > len(runs_elsewhere):
             # A job that has finished tasks, or runs on at least as many machines as it failed on,
-            # does not back off. A large array on hundreds of machines meets several faulty ones at
-            # once; a backoff would clear the failures of these machines.
+            # does not back off. A large array on hundreds of machines can run on several faulty
+            # ones at once; a backoff would clear the failures of these machines.
             self._back_off(job, now)
 
     # -- backoff ----------------------------------------------------------------------------
--- a/src/ryewing/state/image_fetches.py
+++ b/src/ryewing/state/image_fetches.py
@@ -1,7 +1,7 @@
 """Image fetches in progress, and whether concurrent fetches share a machine's rate.
 
-The protocol only allows that they share it (PROTOCOL, "GET /machine_types"), so the leader
-estimates it from observed fetches.
+The protocol allows, but does not require, that they share it (PROTOCOL, "GET /machine_types"), so
+the leader estimates from observed fetches whether they do.
 """
 
 from __future__ import annotations
--- a/src/ryewing/state/machine.py
+++ b/src/ryewing/state/machine.py
@@ -178,8 +178,8 @@
     """The newest incarnation that has certainly ended. Heartbeats of it, or of an earlier one, are
     delayed copies and are ignored."""
     lease_expires_by: MonotonicTime | None
-    """The latest time at which the worker's lease can expire; None if the worker was never answered
-    or the lease has expired."""
+    """The latest time at which the worker's lease can expire; None if the lease has expired, or if
+    this leader knows of no heartbeat that was answered."""
     notice_s: float | None
     """Seconds until the cloud reclaims the machine, as of the newest heartbeat; None without a
     reclaim notice."""
@@ -220,7 +220,7 @@
     idle_since: MonotonicTime
     """When the last assignment was dropped, or when the leader added the machine if it had none."""
     free_cpus: float
-    """CPUs that are not taken by assignments, including planned ones. `free_gpus` and
+    """CPUs that are not used by assignments, including planned ones. `free_gpus` and
     `free_memory_gb` are defined in the same way."""
     free_gpus: float
     free_memory_gb: float
--- a/src/ryewing/state/machine_type_catalogue.py
+++ b/src/ryewing/state/machine_type_catalogue.py
@@ -29,12 +29,12 @@
     Blocks on the store. Raises `StoreUnavailableError`.
     """
     entries, _ = store.listing(KEY)
-    found: dict[str, MachineType] = {}
+    by_name: dict[str, MachineType] = {}
     for entry in entries:
         stored = decode_stored(entry.data, MachineTypeList, entry.key)
         for machine_type in stored.machine_types if stored is not None else ():
-            found[machine_type.name] = machine_type
-    return list(found.values())
+            by_name[machine_type.name] = machine_type
+    return list(by_name.values())
 
 
 def write(
--- a/src/ryewing/state/paged_records.py
+++ b/src/ryewing/state/paged_records.py
@@ -9,11 +9,11 @@
 docs/design.md).
 
 A record stays in the page that it was first put into, with one exception: some records of a page
-that exceeds the store's value size (it was written under wider limits, or has grown) are moved to
+that exceeds the store's value size (it was written under larger limits, or has grown) are moved to
 other pages. The other pages are written first, or in the same transaction, so a crash in between
 can duplicate a record but can't lose it. A reader that finds a record twice merges both copies
-(the union of the finished tasks; a machine was heard if either copy says so). It therefore does not
-matter which copy an earlier version of this program has updated.
+(the union of the finished tasks; a machine has sent a heartbeat if either copy says so). It
+therefore does not matter which copy an earlier version of this program has updated.
 
 Nothing in this module blocks: the caller gets the transactions to write, executes them, and reports
 the results.
@@ -65,7 +65,7 @@
     records: list[tuple[str, msgspec.Raw]]
     """All records with their names, in the order in which their pages were written."""
     duplicated: set[str]
-    """The names of records that were found twice. The caller has to merge the copies and put them
+    """The names of records that were in two pages. The caller has to merge the copies and put them
     again."""
 
 
@@ -131,7 +131,7 @@
         return loaded
 
     def _load_page(self, number: int, entry: Entry, loaded: LoadedRecords) -> None:
-        """Load one page. Of a record found twice, only the page of higher number keeps a copy."""
+        """Load one page. Of a record in two pages, only the page of higher number keeps a copy."""
         records = {name: msgspec.Raw(bytes(record)) for name, record in _records(entry).items()}
         loaded.records.extend(records.items())
         page = self._pages.setdefault(number, _Page())
