--- a/src/ryewing/sharding/ownership.py
+++ b/src/ryewing/sharding/ownership.py
@@ -24,7 +24,8 @@
     SEALED = "sealed"
     """The owner no longer starts tasks or rents machines, but still answers workers."""
     SETTLED = "settled"
-    """The owner has no write in flight and has resigned: the target may lead."""
+    """The owner has resigned or is not healthy, so the target may lead. A healthy owner of a sealed
+    shard first waits, for a limited time, until it has no start or write in flight."""
 
 
 class MoveRefusedError(ShardingError):
@@ -46,8 +47,8 @@
     def may_hold_lease(self, node: NodeName) -> bool:
         """Return whether a controller should hold or campaign for the shard's lease.
 
-        Any other holder resigns. Otherwise the owner could wait forever: in a test, a move was
-        undone while its target, presumed dead, had acquired the lease.
+        Any other holder resigns. Otherwise the owner could wait for the lease indefinitely: in a
+        test, a move was undone while its target, presumed dead, had acquired the lease.
         """
         if self.phase is Phase.SETTLED:
             return self.target == node
@@ -73,9 +74,9 @@
 def begin_move(record: Ownership, target: NodeName, healthy: set[NodeName]) -> Ownership:
     """Seal a shard for its move to another controller; raise MoveRefusedError if it can't move."""
     if record.phase is not Phase.OWNED:
-        raise MoveRefusedError(f"it is already moving from {record.owner} to {record.target}")
+        raise MoveRefusedError(f"already moving from {record.owner} to {record.target}")
     if target == record.owner:
-        raise MoveRefusedError(f"{target} owns it already")
+        raise MoveRefusedError(f"{target} already owns the shard")
     if target not in healthy:
         raise MoveRefusedError(f"{target} is unknown or not healthy")
     return _next_step(record, phase=Phase.SEALED, target=target)
--- a/tests/sharding/test_sharded_loopback.py
+++ b/tests/sharding/test_sharded_loopback.py
@@ -107,7 +107,7 @@
         (("--move", "west", "--to", target), 3, "unknown shard 'west'"),
         (("--move", "shard-1", "--to", "n-9"), 3, "n-9 is unknown or not healthy"),
         (("--move", "shard-1", "--to", victim), 3, "is unknown or not healthy"),
-        (("--move", "shard-1", "--to", target), 3, "owns it already"),
+        (("--move", "shard-1", "--to", target), 3, "already owns the shard"),
         (("--move", "shard-1"), 2, "go together"),
     ):
         refused = processes.shards(*arguments)
