--- a/src/ryewing/sharding/allowance.py
+++ b/src/ryewing/sharding/allowance.py
@@ -113,22 +113,22 @@
     Only the shard's leader may call this. `in_use` must include what unreachable machines may hold,
     since their tasks may still be running.
     """
-    present = record.part_of(shard)
-    kept = present.at_most(requested.at_least(in_use))
-    return None if kept == present else record.with_part(shard, kept)
+    current = record.part_of(shard)
+    lowered = current.at_most(requested.at_least(in_use))
+    return None if lowered == current else record.with_part(shard, lowered)
 
 
 def raise_part(
     record: Allowances, shard: ShardName, requested: Amount, limit: Amount
 ) -> Allowances | None:
     """Raise a shard's part by unassigned amounts of the limit; None if nothing changes."""
-    present = record.part_of(shard)
+    current = record.part_of(shard)
     unassigned = limit - record.total()
-    missing = requested - present
-    more = Amount(min(unassigned.cpus, missing.cpus), min(unassigned.gpus, missing.gpus))
-    if max(more.cpus, more.gpus) < MIN_CHANGE:
+    missing = requested - current
+    added = Amount(min(unassigned.cpus, missing.cpus), min(unassigned.gpus, missing.gpus))
+    if max(added.cpus, added.gpus) < MIN_CHANGE:
         return None
-    return record.with_part(shard, present + more)
+    return record.with_part(shard, current + added)
 
 
 def fair_share(
--- a/src/ryewing/sharding/allowance_change.py
+++ b/src/ryewing/sharding/allowance_change.py
@@ -70,9 +70,9 @@
     ) -> Allowances:
         """Raise the part to the first of the amounts that fits in the limit."""
         for amount in amounts:
-            more = raise_part(record, self._shard, amount, limit)
-            if more is not None and more.part_of(self._shard).at_least(amount) == amount:
-                return more
+            raised = raise_part(record, self._shard, amount, limit)
+            if raised is not None and raised.part_of(self._shard).at_least(amount) == amount:
+                return raised
         return record
 
 
@@ -82,8 +82,8 @@
     An amount of 0 is similar only to 0.
     """
     return all(
-        abs(a - b) <= SMALL_FRACTION * most and (a > 0) == (b > 0)
-        for a, b, most in (
+        abs(a - b) <= SMALL_FRACTION * resource_limit and (a > 0) == (b > 0)
+        for a, b, resource_limit in (
             (one.cpus, other.cpus, limit.cpus),
             (one.gpus, other.gpus, limit.gpus),
         )
--- a/src/ryewing/sharding/check.py
+++ b/src/ryewing/sharding/check.py
@@ -18,4 +18,4 @@
         yield f"{text}: jobs that are spread over zones are refused (422): every shard has one zone"
     elif single_zone:
         yield f"{text}: jobs that are spread over zones never run in {', '.join(single_zone)}"
-    yield f"{text}: a job runs in one shard, so a gang is no larger than a shard's room"
+    yield f"{text}: a job runs in one shard, so a gang must fit into the capacity of one shard"
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -61,8 +61,8 @@
         names = [node.name for node in self.nodes]
         if shard.pinned_to in names:
             return [name for name in names if name == shard.pinned_to]
-        settling = shard.moved_at is not None and self.now - shard.moved_at < self.settle_s
-        if shard.owner in names and (settling or not self.moves_allowed):
+        moved_recently = shard.moved_at is not None and self.now - shard.moved_at < self.settle_s
+        if shard.owner in names and (moved_recently or not self.moves_allowed):
             return [name for name in names if name == shard.owner]
         return names
 
--- a/src/ryewing/sharding/owner_choice.py
+++ b/src/ryewing/sharding/owner_choice.py
@@ -58,9 +58,11 @@
                 self._observed_owners[name] = _ObservedOwner(stored.record.owner, since)
 
     def assign_owners(self, snapshot: RegistrySnapshot, nodes: Set[NodeName]) -> Assignment:
-        """Return an owner for every shard; only a pinned shard leaves an owner that is in `nodes`.
+        """Return an owner for every shard.
 
-        The result is the same on every controller for the same records and controllers.
+        A shard keeps its owner (its target, if it is moving) while that is in `nodes`, unless the
+        shard is pinned to another one of `nodes`. The result is the same on every controller for
+        the same records and controllers.
         """
         return greedy.assign(self._inputs(snapshot, nodes, moves_allowed=False))
 
--- a/src/ryewing/sharding/ownership_steps.py
+++ b/src/ryewing/sharding/ownership_steps.py
@@ -34,8 +34,8 @@
 """How long after its start a controller counts all members as healthy when it selects an
 owner for a shard that has had none, since others may be starting too."""
 ORPHAN_TIMEOUT_S = 5.0
-"""How long only the selected controller takes over a shard without a healthy owner; after that any
-controller does."""
+"""How long only the selected controller may take over a shard without a healthy owner; after that
+any controller may."""
 
 
 class OwnershipSteps:
--- a/src/ryewing/sharding/shard_electors.py
+++ b/src/ryewing/sharding/shard_electors.py
@@ -69,19 +69,19 @@
         return ownership is not None and ownership.may_campaign(self._node)
 
     def _on_elected(self, name: ShardName, leader: Leader) -> None:
-        leader.term.sealed = not self._may_start(name)
+        leader.term.sealed = not self._may_start_tasks(name)
         team_limits = ShardTeamLimits(leader, name, self.names())
         leader.term.team_limits = team_limits
         leader.extra_loops.append(team_limits.run)
 
-    def _may_start(self, name: ShardName) -> bool:
+    def _may_start_tasks(self, name: ShardName) -> bool:
         ownership = self._ownership.get(name)
         return ownership is not None and ownership.may_start_tasks(self._node)
 
     def _update_seal(self, name: ShardName) -> None:
         """Seal or unseal the leader of a shard here, as the ownership record requires."""
         leader = self._electors[name].leader
-        sealed = not self._may_start(name)
+        sealed = not self._may_start_tasks(name)
         if leader is None or leader.term.sealed == sealed:
             return
         leader.term.sealed = sealed
--- a/src/ryewing/sharding/shard_store.py
+++ b/src/ryewing/sharding/shard_store.py
@@ -58,8 +58,8 @@
             {self._full_key(key): version for key, version in conditions.items()},
             [self._with_prefix(write) for write in writes],
         )
-        failed = frozenset(key.removeprefix(self._prefix) for key in result.failed_keys)
-        return TxnResult(result.ok, result.revision, failed)
+        failed_keys = frozenset(key.removeprefix(self._prefix) for key in result.failed_keys)
+        return TxnResult(result.ok, result.revision, failed_keys)
 
     def watch(self, prefix: str, since: Revision, wait_s: float) -> ChangeLog:
         """Wait up to `wait_s` seconds for changes under a prefix after revision `since`."""
--- a/src/ryewing/sharding/team_demand.py
+++ b/src/ryewing/sharding/team_demand.py
@@ -14,7 +14,7 @@
 from ryewing.units import MonotonicTime, TeamName, monotonic_now
 
 STALL_TIMEOUT_S = 60.0
-"""How long a demand is requested without a task being started; it is then withheld as long."""
+"""How long a demand is requested while no task is started; it is then withheld for as long."""
 
 
 class RoundedTarget(NamedTuple):
@@ -30,8 +30,9 @@
     An amount that is reserved for a gang stays unused until it is large enough, and an amount for
     which the shard has no machines stays unused too, while another shard may have tasks and
     machines for it. Therefore a demand that led to no task start for STALL_TIMEOUT_S is not
-    requested for the same time afterwards. Without reservations, a large gang would never start
-    beside steady demand; without the pause, small jobs in other shards would wait forever.
+    requested for the same time afterwards. Without reservations, steady demand of other jobs would
+    prevent a large gang from ever starting; without the pause, the unused amounts would prevent
+    small jobs in other shards from starting.
     """
 
     def __init__(self, term: TermContext, team: Team) -> None:
@@ -53,7 +54,7 @@
         """
         running = self.running()
         started = running - self._last_running != ZERO_AMOUNT
-        if started or not self._waiting() or now - self._progress_at >= 2 * STALL_TIMEOUT_S:
+        if started or not self._waiting_jobs() or now - self._progress_at >= 2 * STALL_TIMEOUT_S:
             self._progress_at = now
         self._last_running = running
 
@@ -98,7 +99,7 @@
 
         A part that covers the whole request is not rounded.
         """
-        waiting = self._waiting()
+        waiting = self._waiting_jobs()
         if requested - target == ZERO_AMOUNT or not waiting:
             return RoundedTarget(target, target)
         smallest = min(waiting, key=_task_size)
@@ -115,13 +116,13 @@
 
     def _requesting_jobs(self) -> list[Job]:
         """List the jobs to request amounts for: while stalled, only the smallest non-gang job."""
-        waiting = self._waiting()
+        waiting = self._waiting_jobs()
         if not self._is_stalled():
             return waiting
         small = [job for job in waiting if not job.is_gang]
         return [min(small, key=_task_size)] if small else []
 
-    def _waiting(self) -> list[Job]:
+    def _waiting_jobs(self) -> list[Job]:
         table = self._term.job_table
         jobs = (table.jobs[job_id] for job_id in table.waiting)
         return [job for job in jobs if job.spec.team == self._team.name and job.shortfall > 0]
--- a/src/ryewing/sharding/team_limits.py
+++ b/src/ryewing/sharding/team_limits.py
@@ -4,8 +4,8 @@
 store has confirmed it; a lowered part takes effect before the write is sent. A write without an
 answer may be applied later, after tasks were started again on the higher part. The lower of the two
 parts therefore applies until another write of the same record is confirmed, which makes the
-unanswered one fail. So tasks use at most what the store has confirmed and no write in flight may
-still lower (docs/design.md, argument 16).
+unanswered one fail. So tasks never use more than the confirmed part, nor more than the part to
+which a write in flight may lower it (docs/design.md, argument 16).
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         self._leader = leader
         self._term = leader.term
         self._shard = shard
-        self._change = AllowanceChange(shard, shards)
+        self._allowance_change = AllowanceChange(shard, shards)
         self._demands = {
             team.name: TeamDemand(self._term, team)
             for team in self._term.teams.values()
@@ -147,7 +147,10 @@
             self._update_record(name, entries.get(_key(name)))
 
     def _update_record(self, name: str, entry: Entry | None) -> None:
-        """Keep a record that was read; an unconfirmed write may still be applied after the read."""
+        """Store a record that was read in `records`.
+
+        The unconfirmed part stays, because the unanswered write may be applied after the read.
+        """
         stored = self.records.get(name)
         unconfirmed_part = stored.unconfirmed_part if stored is not None else None
         if entry is None:
@@ -169,7 +172,7 @@
             stored = self.records.get(name)
             if stored is None:
                 continue
-            record = self._change.next_record(stored.record, demand)
+            record = self._allowance_change.next_record(stored.record, demand)
             # An unchanged record is written too if that makes an unconfirmed write fail.
             if record != stored.record or stored.unconfirmed_part is not None:
                 changes[name] = record
