--- a/tests/sharding/test_allowance.py
+++ b/tests/sharding/test_allowance.py
@@ -32,11 +32,11 @@
     for _ in range(400):
         shard = rng.choice(SHARDS)
         demand = {name: Amount(rng.uniform(0, 64), rng.uniform(0, 8)) for name in SHARDS}
-        wanted = divide_by_demand(limit, demand, used)[shard]
+        requested = divide_by_demand(limit, demand, used)[shard]
         change = (
-            lower_part(record, shard, rng.choice([wanted, Amount()]), used[shard])
+            lower_part(record, shard, rng.choice([requested, Amount()]), used[shard])
             if rng.random() < 0.5
-            else raise_part(record, shard, wanted, limit)
+            else raise_part(record, shard, requested, limit)
         )
         if change is not None and rng.random() < 0.8:  # otherwise another write came first
             record = change
--- a/tests/sharding/test_shard_limits.py
+++ b/tests/sharding/test_shard_limits.py
@@ -41,10 +41,10 @@
 def gpus_in_use(cluster: SimulatedCluster, zones: str = "abc") -> int:
     """Count the tasks in some zones that have not ended, each of which uses one GPU."""
     return sum(
-        found.status != "ended"
+        task.status != "ended"
         for worker in cluster.workers.values()
         if worker.zone in zones
-        for found in worker.tasks.values()
+        for task in worker.tasks.values()
     )
 
 
@@ -89,10 +89,10 @@
     cluster.run(20.0)
     writes = cluster.store.writes
     cluster.run(60.0)
-    assert cluster.store.writes - writes < 30, "steady demand is written again and again"
+    assert cluster.store.writes - writes < 30, "steady demand causes repeated writes"
 
 
-def test_gang_that_needs_the_whole_limit_starts_beside_steady_demand(
+def test_gang_that_needs_the_whole_limit_starts_despite_steady_demand(
     cluster_with_limit: SimulatedCluster,
 ) -> None:
     cluster = cluster_with_limit
@@ -103,8 +103,8 @@
         gpu_jobs(cluster, "a", 1, first=100 + number)
         cluster.run(2.0)
         for worker in cluster.workers.values():
-            for key, found in list(worker.tasks.items()):
-                if found.status == "running" and not key[0].startswith("run-50/"):
+            for key, task in list(worker.tasks.items()):
+                if task.status == "running" and not key[0].startswith("run-50/"):
                     worker.end_task(key)
     assert cluster.rules.starts["run-50/0"] == 1
     assert violations_after_settling(cluster) == []
@@ -248,11 +248,11 @@
         {shard: Amount(gpus=gpus) for shard, gpus in demand.items()},
         {shard: Claim(Amount(gpus=gpus), since) for shard, (gpus, since) in claims.items()},
     )
-    found = [fair_share(record, shard, SHARDS, RED).gpus for shard in SHARDS]
-    assert found == pytest.approx(list(shares))
+    computed = [fair_share(record, shard, SHARDS, RED).gpus for shard in SHARDS]
+    assert computed == pytest.approx(list(shares))
 
 
-def test_small_jobs_start_beside_a_gang_that_needs_the_whole_limit(
+def test_small_jobs_start_while_a_gang_waits_for_the_whole_limit(
     cluster_with_limit: SimulatedCluster,
 ) -> None:
     """The gang can start only after all other tasks have ended, so GPUs are reserved for it.
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -65,16 +65,16 @@
 
 def main() -> int:
     """Simulate the requested number of moves, each seed on its own cluster; print broken rules."""
-    wanted = int(sys.argv[1]) if len(sys.argv) > 1 else 1000
+    requested_moves = int(sys.argv[1]) if len(sys.argv) > 1 else 1000
     started, seed, failures = 0, 1000, 0
-    while started < wanted:
+    while started < requested_moves:
         with pytest.MonkeyPatch.context() as monkeypatch:
-            make = divided_cluster_factory(monkeypatch)
-            cluster = make(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
+            make_cluster = divided_cluster_factory(monkeypatch)
+            cluster = make_cluster(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
             started += simulate_moves(cluster, seed)
-            found = violations_after_settling(cluster)
-        failures += bool(found)
-        print(f"seed {seed}: {started} moves so far{'; '.join(['', *found])}", flush=True)
+            violations = violations_after_settling(cluster)
+        failures += bool(violations)
+        print(f"seed {seed}: {started} moves so far{'; '.join(['', *violations])}", flush=True)
         seed += 1
     print(f"{started} moves, {failures} seeds with a broken rule")
     return 1 if failures else 0
--- a/tests/sharding/test_sharded_controllers.py
+++ b/tests/sharding/test_sharded_controllers.py
@@ -66,8 +66,8 @@
     for _ in range(30):
         cluster.run(4.0)
         for worker in cluster.workers.values():
-            for key, found in list(worker.tasks.items()):
-                if found.status == "running":
+            for key, task in list(worker.tasks.items()):
+                if task.status == "running":
                     worker.end_task(key)
     assert cluster.violations_after_settling() == []
     assert set(cluster.rules.final_states.values()) == {"done"}
@@ -155,9 +155,9 @@
 def task_statuses(cluster: SimulatedCluster, job: str) -> list[str]:
     """Return the statuses of a job's tasks on all machines."""
     return [
-        found.status
+        task.status
         for worker in cluster.workers.values()
-        for (reported, _attempt), found in worker.tasks.items()
+        for (reported, _attempt), task in worker.tasks.items()
         if reported.startswith(f"{job}/")
     ]
 
@@ -360,12 +360,12 @@
     cluster.run(10.0)
     cluster.boot("n-2")
     cluster.run(0.25)
-    seen = read_registry(cluster)
-    assert seen.healthy == set(CONTROLLERS)
-    for name, healthy in (("n-0", seen.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
+    snapshot = read_registry(cluster)
+    assert snapshot.healthy == set(CONTROLLERS)
+    for name, healthy in (("n-0", snapshot.healthy), ("n-1", {NodeName("n-1"), NodeName("n-2")})):
         planner = cluster.coordinators[name]
         planner.rebalancer.planned_at = MonotonicTime(0.0)
-        planner.take_due_steps(seen._replace(healthy=healthy))
+        planner.take_due_steps(snapshot._replace(healthy=healthy))
     cluster.run(20.0)
     assert all_shards_led(cluster)
     assert_all_done_at_first_attempt(cluster)
--- a/tests/sharding/test_sharded_loopback.py
+++ b/tests/sharding/test_sharded_loopback.py
@@ -55,9 +55,9 @@
 
     def kill(self, node: str) -> None:
         """Kill a controller's process."""
-        found = re.search(rf"{node}: .*process (\d+)", self._output.read_text())
-        assert found is not None
-        subprocess.run(["kill", "-9", found.group(1)], check=True)
+        match = re.search(rf"{node}: .*process (\d+)", self._output.read_text())
+        assert match is not None
+        subprocess.run(["kill", "-9", match.group(1)], check=True)
 
     def url(self, controller: int) -> str:
         """Return the URL at which a controller accepts jobs."""
@@ -66,12 +66,12 @@
 
 @pytest.fixture
 def processes(tmp_path: Path) -> Iterator[LoopbackProcesses]:
-    found = LoopbackProcesses(tmp_path, find_free_ports())
+    loopback = LoopbackProcesses(tmp_path, find_free_ports())
     try:
-        yield found
+        yield loopback
     finally:
-        found.process.send_signal(2)
-        found.process.wait(30)
+        loopback.process.send_signal(2)
+        loopback.process.wait(30)
 
 
 def test_jobs_continue_while_a_shard_moves_and_a_controller_is_killed(
@@ -94,19 +94,19 @@
     moved = processes.shards("--move", "shard-1", "--to", target)
     assert moved.returncode == 0, moved
     assert f"shard shard-1: owned by {target}" in moved.stdout
-    victim = owners["shard-2"]
-    processes.kill(victim)
-    alive = next(n for n in range(3) if f"n-{n}" != victim)
+    killed = owners["shard-2"]
+    processes.kill(killed)
+    survivor = next(n for n in range(3) if f"n-{n}" != killed)
     for ref, body in jobs.items():
-        wait_for_status(f"{processes.url(alive)}/{ref}", "done")
-        assert fetch(processes.url(alive), body) == (200, {"ref": ref, "status": "done"})
-    assert victim not in processes.owners().values()
+        wait_for_status(f"{processes.url(survivor)}/{ref}", "done")
+        assert fetch(processes.url(survivor), body) == (200, {"ref": ref, "status": "done"})
+    assert killed not in processes.owners().values()
     _, starts = fetch(f"http://127.0.0.1:{processes.port + 1}/trouble/starts")
     assert starts == {f"{ref}/{number}": 1 for ref in jobs for number in range(TASKS)}
     for arguments, code, message in (
         (("--move", "west", "--to", target), 3, "unknown shard 'west'"),
         (("--move", "shard-1", "--to", "n-9"), 3, "n-9 is unknown or not healthy"),
-        (("--move", "shard-1", "--to", victim), 3, "is unknown or not healthy"),
+        (("--move", "shard-1", "--to", killed), 3, "is unknown or not healthy"),
         (("--move", "shard-1", "--to", target), 3, "already owns the shard"),
         (("--move", "shard-1"), 2, "go together"),
     ):
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -99,10 +99,10 @@
     store = TimedStore(Clock())
     registry = ShardRegistry(store)  # type: ignore[arg-type]
     store.write_raw(OWNER_PREFIX + SHARD, b'{"owner":7}')
-    found = registry.read([SHARD, ShardName("west")]).shards
-    assert registry.apply_step(SHARD, found[SHARD], lambda _: initial_record(NODES[0])) is None
+    shards = registry.read([SHARD, ShardName("west")]).shards
+    assert registry.apply_step(SHARD, shards[SHARD], lambda _: initial_record(NODES[0])) is None
     west = registry.apply_step(
-        ShardName("west"), found[ShardName("west")], lambda _: Ownership("n-1", 1)
+        ShardName("west"), shards[ShardName("west")], lambda _: Ownership("n-1", 1)
     )
     assert west is not None
     assert msgspec.structs.replace(west, changed_at=0.0) == Ownership("n-1", 1)
@@ -197,12 +197,12 @@
             simulation.inject_or_heal()
         node = rng.choice(sorted(simulation.healthy))
         simulation.take_step(node, rng.choice(NODES) if rng.random() < 0.15 else None)
-        found = ShardRegistry(simulation.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
-        if found is not None:
-            assert found.epoch >= epoch
-            epoch = found.epoch
-            assert sum(found.may_hold_lease(node) for node in NODES) == 1
-            assert [node for node in NODES if found.may_start_tasks(node)] in ([], [found.owner])
+        record = ShardRegistry(simulation.store).read([SHARD]).shards[SHARD].record  # type: ignore[arg-type]
+        if record is not None:
+            assert record.epoch >= epoch
+            epoch = record.epoch
+            assert sum(record.may_hold_lease(node) for node in NODES) == 1
+            assert [node for node in NODES if record.may_start_tasks(node)] in ([], [record.owner])
     for link in simulation.links.values():
         link.apply_delayed()
         link.loses_answers = link.refused = False
@@ -227,14 +227,16 @@
         dict(zip(names, each, strict=True)) for each in itertools.product(*owners_by_shard)
     ]
     best = min(cost(inputs, each) for each in assignments)
-    found = planner.plan(inputs)
-    assert found in assignments
-    assert cost(inputs, found) == pytest.approx(best, abs=1e-4)
+    planned = planner.plan(inputs)
+    assert planned in assignments
+    assert cost(inputs, planned) == pytest.approx(best, abs=1e-4)
     assert cost(inputs, greedy.assign(inputs)) >= best - 1e-9
-    settled = [msgspec.structs.replace(shard, owner=found[shard.name]) for shard in inputs.shards]
-    replanned_inputs = msgspec.structs.replace(inputs, shards=settled)
+    shards_after_plan = [
+        msgspec.structs.replace(shard, owner=planned[shard.name]) for shard in inputs.shards
+    ]
+    replanned_inputs = msgspec.structs.replace(inputs, shards=shards_after_plan)
     assert not moved_shards(replanned_inputs, planner.plan(replanned_inputs))
-    assert planner.next_move(inputs, found) in {*moved_shards(inputs, found), None}
+    assert planner.next_move(inputs, planned) in {*moved_shards(inputs, planned), None}
 
 
 def test_plan_is_greedy_without_a_solver_or_a_solution(
--- a/tests/state/test_failure_detector.py
+++ b/tests/state/test_failure_detector.py
@@ -18,9 +18,9 @@
 
 def live_job(harness: LeaderHarness, ref: str, **changes: object) -> Job:
     """Return a job that the leader has accepted."""
-    found = harness.leader.term.job_table.get(harness.accept(ref, **changes))
-    assert found is not None
-    return found
+    job = harness.leader.term.job_table.get(harness.accept(ref, **changes))
+    assert job is not None
+    return job
 
 
 def fail_all(harness: LeaderHarness, workers: list[FakeWorker], cause: str = "error") -> None:
@@ -249,23 +249,23 @@
 
 def test_a_job_that_fails_everywhere_backs_off(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
-    job = harness.accept(task_count=24)
+    job_id = harness.accept(task_count=24)
     harness.place()
     for worker in workers * 2:
         harness.exchange(worker)
     for worker in workers:
         worker.finish("error")
         harness.exchange(worker)
-    found = harness.leader.term.job_table.get(job)
-    assert found is not None
-    first = found.backoff_s
-    assert found.backoff_until > harness.clock()
-    assert first >= 2.0
+    job = harness.leader.term.job_table.get(job_id)
+    assert job is not None
+    initial_backoff_s = job.backoff_s
+    assert job.backoff_until > harness.clock()
+    assert initial_backoff_s >= 2.0
     harness.place()
     assert not any(harness.assignments(worker.name) for worker in workers)
     # After the delay the job is tried on the same machines. Guards against renting new machines for
     # it without end.
-    harness.later(first + 0.1)
+    harness.later(initial_backoff_s + 0.1)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
@@ -284,14 +284,14 @@
     An array on hundreds of machines failed on three of them; its backoff cleared their failures.
     """
     workers = harness.ready_workers(faulty + others)
-    found = harness.leader.term.job_table.get(harness.accept(task_count=8 * len(workers)))
+    job = harness.leader.term.job_table.get(harness.accept(task_count=8 * len(workers)))
     harness.place()
     for worker in workers * 2:
         harness.exchange(worker)
     for worker in workers[:faulty]:
         worker.finish("error")
         harness.exchange(worker)
-    assert found is not None
-    assert bool(found.backoff_s) is at_fault
+    assert job is not None
+    assert bool(job.backoff_s) is at_fault
     suspects = [m for m in harness.leader.term.cluster.machines.values() if m.failed_jobs]
     assert len(suspects) == (0 if at_fault else faulty)
--- a/tests/state/test_pending_terminations.py
+++ b/tests/state/test_pending_terminations.py
@@ -8,7 +8,7 @@
 from ryewing.units import Attempt, JobId, MachineId, MonotonicTime, TaskId
 
 
-def test_pending_terminations_are_resent_until_gone() -> None:
+def test_pending_terminations_are_resent_until_removed() -> None:
     terminations = PendingTerminations()
     machine, task, attempt = MachineId("i-1"), TaskId(JobId("run-1"), 0), Attempt(7)
     assert terminations.add(PendingTermination(machine, task, attempt, 5.0))
