--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -28,9 +28,9 @@
     assert sorted(store.data) == ["s/east/a", "s/east/b/c", "s/west/a"]
     assert [entry.key for entry in east.listing("")[0]] == ["a", "b/c"]
     assert [change.set for change in east.watch("b/", Revision(0), 1.0).log] == ["b/c"]
-    entry = west.get("a")
-    assert entry is not None
-    assert (entry.key, bytes(entry.data)) == ("a", b"3")
+    west_entry = west.get("a")
+    assert west_entry is not None
+    assert (west_entry.key, bytes(west_entry.data)) == ("a", b"3")
     store.expire(lease)
     assert east.get("a") is None
     assert west.get("a") is not None
