--- a/src/ryewing/autoscaling/booting_room.py
+++ b/src/ryewing/autoscaling/booting_room.py
@@ -25,28 +25,28 @@
 class _BootingMachine:
     """A booting machine with its unallocated resources."""
 
-    __slots__ = ("cpus", "gpus", "machine", "memory_gb")
+    __slots__ = ("free_cpus", "free_gpus", "free_memory_gb", "machine")
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
-        self.cpus = machine.machine_type.cpus
-        self.gpus = machine.machine_type.gpus
-        self.memory_gb = machine.machine_type.memory_gb
+        self.free_cpus = machine.machine_type.cpus
+        self.free_gpus = machine.machine_type.gpus
+        self.free_memory_gb = machine.machine_type.memory_gb
 
     def allocate(self, spec: JobSpec, limit: int) -> int:
         """Allocate resources to as many tasks as fit, up to `limit`; return the number of tasks."""
-        count = count_fitting(spec, self.cpus, self.gpus, self.memory_gb, limit)
-        self.cpus -= spec.cpus * count
-        self.gpus -= spec.gpus * count
-        self.memory_gb -= spec.memory_gb * count
+        count = count_fitting(spec, self.free_cpus, self.free_gpus, self.free_memory_gb, limit)
+        self.free_cpus -= spec.cpus * count
+        self.free_gpus -= spec.gpus * count
+        self.free_memory_gb -= spec.memory_gb * count
         return count
 
     def is_exhausted_for(self, spec: JobSpec) -> bool:
         """Return whether some resource that tasks of this spec need is used up."""
         return (
-            (spec.cpus > 0 and self.cpus <= EPSILON)
-            or (spec.gpus > 0 and self.gpus <= EPSILON)
-            or (spec.memory_gb > 0 and self.memory_gb <= EPSILON)
+            (spec.cpus > 0 and self.free_cpus <= EPSILON)
+            or (spec.gpus > 0 and self.free_gpus <= EPSILON)
+            or (spec.memory_gb > 0 and self.free_memory_gb <= EPSILON)
         )
 
 
@@ -70,12 +70,12 @@
         """The suitable machines for each set of requirements, without exhausted ones. When every
         job scanned all machines, a start with thousands of booting machines used most of a core."""
 
-    def allocate(self, job: Job, wanted: int, tasks_by_zone: Counter[str]) -> int:
-        """Allocate capacity to up to `wanted` tasks of a job; return the number of tasks.
+    def allocate(self, job: Job, requested: int, tasks_by_zone: Counter[str]) -> int:
+        """Allocate capacity to up to `requested` tasks of a job; return the number of tasks.
 
         `tasks_by_zone` counts the tasks allocated to the job in each zone, and is updated.
         """
-        remaining = wanted
+        remaining = requested
         machines = self._machines_for(job.spec)
         exhausted = 0
         for booting in machines:
@@ -92,7 +92,7 @@
             machines[:] = [
                 booting for booting in machines if not booting.is_exhausted_for(job.spec)
             ]
-        return wanted - remaining
+        return requested - remaining
 
     def _machines_for(self, spec: JobSpec) -> list[_BootingMachine]:
         requirements = _Requirements(
--- a/src/ryewing/autoscaling/scale_in.py
+++ b/src/ryewing/autoscaling/scale_in.py
@@ -23,11 +23,11 @@
 
 
 def machines_to_cordon(
-    machines: Iterable[Machine], gpus_wanted: float, drain_s: float, policy: Policy
+    machines: Iterable[Machine], gpu_demand: float, drain_s: float, policy: Policy
 ) -> set[MachineId]:
     """Return the machines with GPUs that should accept no more work, the most expensive ones.
 
-    `gpus_wanted` is the number of GPUs that jobs use or request, `drain_s` the time in seconds in
+    `gpu_demand` is the number of GPUs that jobs use or request, `drain_s` the time in seconds in
     which all machines would work off the waiting tasks without GPUs.
 
     Without cordoning, tasks without GPUs keep every machine busy, so that machines with GPUs never
@@ -49,7 +49,7 @@
             machine.id,
         )
     )
-    gpus_to_keep = GPU_HEADROOM_FACTOR * gpus_wanted
+    gpus_to_keep = GPU_HEADROOM_FACTOR * gpu_demand
     to_cordon = set()
     for machine in with_gpus:
         if gpus_to_keep <= 0:
--- a/src/ryewing/scheduling/candidates.py
+++ b/src/ryewing/scheduling/candidates.py
@@ -179,7 +179,7 @@
             machines = [
                 capacity
                 for capacity in self.capacities
-                if capacity.cpus > 0 and (capacity.gpus > 0 or not needs_gpus)
+                if capacity.free_cpus > 0 and (capacity.free_gpus > 0 or not needs_gpus)
             ]
             self._with_free_capacity[needs_gpus] = machines
         return [capacity for capacity in machines if capacity.count_fitting(spec, 1)]
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -92,24 +92,24 @@
 
     def _place(self, job: Job, max_tasks: int | None = None) -> None:
         """Place a job's tasks, at most `max_tasks` of them if that is given."""
-        wanted = self._wanted(job, max_tasks)
-        if wanted <= 0:
+        requested = self._allowed_count(job, max_tasks)
+        if requested <= 0:
             return
         state = self._state
         candidates = state.candidates(job)
         if candidates.is_known_unplaceable(job):
-            state.plan.unplaced.append(Unplaced(job, wanted))
+            state.plan.unplaced.append(Unplaced(job, requested))
             return
         state.begin_turn(job)
         usable = self._usable(job, candidates)
         if job.is_service:
-            remaining = wanted - self._replica_placer.place(job, wanted, usable)
+            remaining = requested - self._replica_placer.place(job, requested, usable)
             if remaining > 0:
                 state.plan.unplaced.append(Unplaced(job, remaining))
             return
         self._limit_fetches(job, usable, candidates)
-        remaining = wanted - self._place_tasks(job, wanted, usable)
-        if remaining == wanted:
+        remaining = requested - self._place_tasks(job, requested, usable)
+        if remaining == requested:
             self._record_unplaceable(job, usable, candidates)
         self._record_unplaced(job, remaining, usable, candidates)
 
@@ -117,8 +117,8 @@
         """Let a job that waits for warm machines fetch on machines that would stay idle."""
         state = self._state
         placed = state.plan.parts_of(job)
-        still_wanted = job.shortfall - sum(part.task_count for part in placed)
-        remaining = self._snapshot.quota.headroom(job.spec, still_wanted)
+        unplaced_count = job.shortfall - sum(part.task_count for part in placed)
+        remaining = self._snapshot.quota.headroom(job.spec, unplaced_count)
         if remaining <= 0:
             return
         candidates = state.candidates(job)
@@ -139,15 +139,16 @@
 
     # -- limits of a job ----------------------------------------------------------------------
 
-    def _wanted(self, job: Job, max_tasks: int | None) -> int:
+    def _allowed_count(self, job: Job, max_tasks: int | None) -> int:
         """Return how many tasks may be placed; for a gang, that is all missing members or none."""
-        wanted = job.shortfall if max_tasks is None else min(job.shortfall, max_tasks)
+        requested = job.shortfall if max_tasks is None else min(job.shortfall, max_tasks)
         if job.backoff_s and not job.is_gang:
-            wanted = min(wanted, 1)  # it failed everywhere: one task shows whether it still does
-        if wanted <= 0:
+            # The job failed on all machines; one task is enough to probe whether it still does.
+            requested = min(requested, 1)
+        if requested <= 0:
             return 0
-        allowed = self._snapshot.quota.headroom(job.spec, wanted)
-        return 0 if job.is_gang and allowed < wanted else allowed
+        allowed = self._snapshot.quota.headroom(job.spec, requested)
+        return 0 if job.is_gang and allowed < requested else allowed
 
     def _usable(self, job: Job, candidates: Candidates) -> Candidates:
         """Exclude reserved machines that the job would hold for too long, and those it avoids."""
@@ -176,27 +177,27 @@
 
     # -- tasks of arrays and gangs ------------------------------------------------------------
 
-    def _place_tasks(self, job: Job, wanted: int, usable: Candidates) -> int:
+    def _place_tasks(self, job: Job, requested: int, usable: Candidates) -> int:
         """Place tasks of an array or gang; return how many got free or releasing resources."""
         needs_no_reserve = job.priority < self._snapshot.gpu_reserve.priority
         if job.spec.gpus <= 0 and needs_no_reserve and not job.has_missing_members:
-            return self._place_by_gpu_count(job, wanted, usable)
-        return self._task_placer.place(job, wanted, usable, all_or_nothing=job.is_gang)
+            return self._place_by_gpu_count(job, requested, usable)
+        return self._task_placer.place(job, requested, usable, all_or_nothing=job.is_gang)
 
-    def _place_by_gpu_count(self, job: Job, wanted: int, usable: Candidates) -> int:
+    def _place_by_gpu_count(self, job: Job, requested: int, usable: Candidates) -> int:
         """Place tasks that need no GPUs and whose priority exempts them from the GPU reserve.
 
         Machines without GPUs are tried first, then those with few, each time with preemption of
         less important tasks: that costs less than a task that runs for minutes and keeps GPUs idle.
         """
-        remaining = wanted
+        remaining = requested
         for gpus in usable.gpu_counts():
             if remaining <= 0:
                 break
             remaining -= self._task_placer.place(
                 job, remaining, usable.with_at_most_gpus(gpus), all_or_nothing=job.is_gang
             )
-        return wanted - remaining
+        return requested - remaining
 
     # -- tasks that were not placed -----------------------------------------------------------
 
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -298,13 +298,13 @@
     might fit no task on any of them. Machines with GPUs in use are chosen first.
     """
     chosen: set[MachineId] = set()
-    with_gpus = [capacity for capacity in capacities if capacity.gpus > 0]
+    with_gpus = [capacity for capacity in capacities if capacity.free_gpus > 0]
     with_gpus.sort(
-        key=lambda c: (c.gpus >= c.machine.machine_type.gpus, c.machine.spot, c.machine.id)
+        key=lambda c: (c.free_gpus >= c.machine.machine_type.gpus, c.machine.spot, c.machine.id)
     )
     for capacity in with_gpus:
         if gpus <= 0:
             break
         chosen.add(capacity.machine.id)
-        gpus -= capacity.gpus
+        gpus -= capacity.free_gpus
     return frozenset(chosen)
--- a/src/ryewing/scheduling/image_survey.py
+++ b/src/ryewing/scheduling/image_survey.py
@@ -66,14 +66,14 @@
         """Determine of which resources more is free than all waiting jobs could use."""
         gpus = sum(job.shortfall * job.spec.gpus for job in jobs)
         cpus = sum(job.shortfall * job.spec.cpus for job in jobs)
-        free_cpus = sum(max(0.0, capacity.cpus) for capacity in capacities)
+        free_cpus = sum(max(0.0, capacity.free_cpus) for capacity in capacities)
         self._cpus_plentiful = free_cpus >= PLENTIFUL_FACTOR * cpus
         # A free GPU counts only if enough CPUs are free for it.
         cpus_per_gpu = max(gpu_reserve.cpus, MIN_CPUS_PER_GPU)
         usable_gpus = sum(
-            min(capacity.gpus, capacity.cpus // cpus_per_gpu)
+            min(capacity.free_gpus, capacity.free_cpus // cpus_per_gpu)
             for capacity in capacities
-            if capacity.gpus > 0
+            if capacity.free_gpus > 0
         )
         self._gpus_plentiful = usable_gpus >= PLENTIFUL_FACTOR * gpus
 
@@ -98,7 +98,7 @@
         names = self._demand.keys() & machine.images.keys()
         names |= {name for name in in_use if machine.images_in_use[name]}
         for name in names:
-            capacity.wanted_image_counts[self._demand[name].needs_gpus] += 1
+            capacity.needed_image_counts[self._demand[name].needs_gpus] += 1
         for name in names:
             image_demand = self._demand[name]
             if image_demand.needs_gpus:
@@ -106,7 +106,7 @@
             else:
                 machine_type = machine.machine_type
                 supply = max(0.0, machine_type.cpus - machine_type.gpus * cpus_per_gpu)
-            image_demand.supply += supply / capacity.wanted_image_counts[image_demand.needs_gpus]
+            image_demand.supply += supply / capacity.needed_image_counts[image_demand.needs_gpus]
 
     def is_plentiful(self, job: Job) -> bool:
         """Return whether more of the job's main resource is free than all waiting jobs could use.
--- a/src/ryewing/scheduling/machine_capacity.py
+++ b/src/ryewing/scheduling/machine_capacity.py
@@ -32,11 +32,12 @@
         "_preemptible_cpus",
         "_replica_count",
         "_resources_left_by_replicas",
-        "cpus",
-        "gpus",
+        "free_cpus",
+        "free_gpus",
+        "free_memory_gb",
         "images_placed",
         "machine",
-        "memory_gb",
+        "needed_image_counts",
         "next_heartbeat_in_s",
         "position",
         "releasing_cpus",
@@ -45,7 +46,6 @@
         "reservation_wait_s",
         "stopping",
         "victims",
-        "wanted_image_counts",
     )
 
     def __init__(self, machine: Machine, stopping: frozenset[Assignment] = frozenset()) -> None:
@@ -57,9 +57,9 @@
         self.machine = machine
         self.position = 0
         """The machine's index in the order in which the cycle lists machines."""
-        self.cpus = machine.free_cpus
-        self.gpus = machine.free_gpus
-        self.memory_gb = machine.free_memory_gb
+        self.free_cpus = machine.free_cpus
+        self.free_gpus = machine.free_gpus
+        self.free_memory_gb = machine.free_memory_gb
         self.reservation_wait_s: float | None = None
         """If the machine is reserved for a gang: the seconds until the gang could begin at the
         earliest."""
@@ -71,7 +71,7 @@
         them."""
         self.images_placed: set[str] = set()
         """Images of the tasks that this cycle has placed on the machine."""
-        self.wanted_image_counts = {False: 0, True: 0}
+        self.needed_image_counts = {False: 0, True: 0}
         """How many images needed by waiting arrays the machine has, by whether they need GPUs."""
         self._resources_left_by_replicas: ResourceAmounts | None = None
         self._displaced_shares: dict[ResourceAmounts, float] = {}
@@ -90,9 +90,9 @@
         This quick check ignores the GPU reserve, so `count_fitting` may still return 0.
         """
         return (
-            self.cpus + self.releasing_cpus + EPSILON >= spec.cpus
-            and self.memory_gb + self.releasing_memory_gb + EPSILON >= spec.memory_gb
-            and self.gpus + self.releasing_gpus + EPSILON >= spec.gpus
+            self.free_cpus + self.releasing_cpus + EPSILON >= spec.cpus
+            and self.free_memory_gb + self.releasing_memory_gb + EPSILON >= spec.memory_gb
+            and self.free_gpus + self.releasing_gpus + EPSILON >= spec.gpus
         )
 
     def count_fitting(
@@ -107,7 +107,7 @@
         `include_releasing` counts the resources of tasks being stopped as free. `gpu_reserve` is
         kept free for each free GPU.
         """
-        cpus, gpus, memory_gb = self.cpus, self.gpus, self.memory_gb
+        cpus, gpus, memory_gb = self.free_cpus, self.free_gpus, self.free_memory_gb
         if gpus > 0:
             cpus -= gpus * gpu_reserve.cpus
             memory_gb -= gpus * gpu_reserve.memory_gb
@@ -122,14 +122,14 @@
 
         Free amounts become negative where the resources have yet to be released.
         """
-        self.cpus -= spec.cpus * count
-        self.gpus -= spec.gpus * count
-        self.memory_gb -= spec.memory_gb * count
+        self.free_cpus -= spec.cpus * count
+        self.free_gpus -= spec.gpus * count
+        self.free_memory_gb -= spec.memory_gb * count
 
     def usable_gpus(self, cpus_per_gpu: float) -> float:
         """Return the number of GPUs in use, plus the free GPUs with enough free CPUs."""
-        free = min(self.gpus, max(0.0, self.cpus) // max(cpus_per_gpu, MIN_CPUS_PER_GPU))
-        return self.machine.machine_type.gpus - self.gpus + max(0.0, free)
+        free = min(self.free_gpus, max(0.0, self.free_cpus) // max(cpus_per_gpu, MIN_CPUS_PER_GPU))
+        return self.machine.machine_type.gpus - self.free_gpus + max(0.0, free)
 
     def free_share(self) -> float:
         """Return a sort key for how empty the machine is: the smallest is the fullest.
@@ -137,11 +137,11 @@
         It sums the free shares of CPUs, memory and GPUs; GPUs count twice.
         """
         machine_type = self.machine.machine_type
-        share = self.cpus / machine_type.cpus if machine_type.cpus else 0.0
+        share = self.free_cpus / machine_type.cpus if machine_type.cpus else 0.0
         if machine_type.memory_gb:
-            share += self.memory_gb / machine_type.memory_gb
+            share += self.free_memory_gb / machine_type.memory_gb
         if machine_type.gpus:
-            share += 2.0 * self.gpus / machine_type.gpus
+            share += 2.0 * self.free_gpus / machine_type.gpus
         return share
 
     # -- preemption ---------------------------------------------------------------------------
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -37,7 +37,7 @@
         self._state = state
         self._task_placer = task_placer
 
-    def place(self, job: Job, wanted: int, usable: Candidates) -> int:
+    def place(self, job: Job, requested: int, usable: Candidates) -> int:
         """Place replicas of the current job or claim resources for them; return for how many.
 
         A service is degraded until its replicas run. Warm machines are therefore preferred, even if
@@ -47,7 +47,7 @@
         displacing, any machine, and last machines that keep a replica's result.
         """
         limits = self._state.limits
-        limits.cold_starts_left = wanted
+        limits.cold_starts_left = requested
         limits.acceptable_wait_s = self._acceptable_wait_s(job)
         eligible = self._without_kept_results(job, usable)
         tiers = [
@@ -58,14 +58,14 @@
         ]
         if eligible is not usable:
             tiers.append(_Tier(False, math.inf, usable))
-        remaining = wanted
+        remaining = requested
         for tier in tiers:
             if remaining <= 0:
                 break
             limits.warm_only = tier.warm_only
             limits.displaced_share_max = tier.displaced_share_max
             remaining -= self._task_placer.place(job, remaining, tier.candidates)
-        return wanted - remaining
+        return requested - remaining
 
     def _without_kept_results(self, job: Job, usable: Candidates) -> Candidates:
         """Exclude machines that keep a result of a replica, where a new one would end at once."""
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -41,12 +41,12 @@
     def choose(
         self,
         job: Job,
-        wanted: int,
+        requested: int,
         capacities: list[MachineCapacity],
         all_or_nothing: bool = False,
         include_releasing: bool = False,
     ) -> list[Choice]:
-        """Choose machines for up to `wanted` tasks, or for all of them or none if `all_or_nothing`.
+        """Choose machines for at most `requested` tasks; with `all_or_nothing`, for all or none.
 
         `include_releasing` counts the resources of tasks being stopped as free. Of several zones,
         the one that takes the most tasks is chosen; among equals, the one with the fewest fetches.
@@ -63,21 +63,21 @@
         fitting.sort(key=partial(sort_key, job))
         best = _ZoneSelection()
         for zone in self._state.zones_for(job, fitting):
-            found = self._choose_in_zone(job, wanted, fitting, zone, include_releasing)
+            found = self._choose_in_zone(job, requested, fitting, zone, include_releasing)
             if found.count > best.count or (
                 found.count == best.count and found.cold_count < best.cold_count
             ):
                 best = found
-            if found.count == wanted and (found.cold_count == 0 or not all_or_nothing):
+            if found.count == requested and (found.cold_count == 0 or not all_or_nothing):
                 break
-        if all_or_nothing and best.count < wanted:
+        if all_or_nothing and best.count < requested:
             return []
         return best.choices
 
     def _choose_in_zone(
         self,
         job: Job,
-        wanted: int,
+        requested: int,
         fitting: list[MachineCapacity],
         zone: Zone | None,
         include_releasing: bool,
@@ -91,7 +91,7 @@
             if zone is not None and machine.zone != zone:
                 continue
             max_tasks = state.task_limit(
-                job, capacity, wanted - found.count, by_zone, found.cold_count
+                job, capacity, requested - found.count, by_zone, found.cold_count
             )
             if max_tasks <= 0:
                 continue
@@ -105,7 +105,7 @@
             by_zone[machine.zone] = by_zone.get(machine.zone, 0) + count
             if machine.warmth(spec.image) == COLD:
                 found.cold_count += count
-            if found.count == wanted:
+            if found.count == requested:
                 break
         return found
 
@@ -157,7 +157,7 @@
         capacity.fetch_order(spec, True) if job.has_missing_members else 0,
         stranded_gpus(spec, machine),
         capacity.fetch_order(spec, job.is_gang),
-        capacity.wanted_image_counts[spec.gpus > 0] if is_cold else 0,
+        capacity.needed_image_counts[spec.gpus > 0] if is_cold else 0,
         spec.spot and not machine.spot,
         capacity.free_share(),
     )
--- a/src/ryewing/scheduling/tasks.py
+++ b/src/ryewing/scheduling/tasks.py
@@ -19,7 +19,7 @@
         self.preemptor = Preemptor(state)
 
     def place(
-        self, job: Job, wanted: int, candidates: Candidates, all_or_nothing: bool = False
+        self, job: Job, requested: int, candidates: Candidates, all_or_nothing: bool = False
     ) -> int:
         """Place tasks or claim releasing resources for them; return for how many tasks.
 
@@ -27,7 +27,7 @@
         """
         state, choose = self._state, self.selector.choose
         fitting = state.sample(job, self._fitting_machines(job, candidates))
-        remaining = wanted
+        remaining = requested
         remaining -= state.place(job, choose(job, remaining, fitting, all_or_nothing))
         if remaining > 0:
             remaining -= state.claim(
@@ -35,7 +35,7 @@
             )
         if remaining > 0:
             remaining -= self.preemptor.preempt(job, remaining, candidates, all_or_nothing)
-        return wanted - remaining
+        return requested - remaining
 
     def _fitting_machines(self, job: Job, candidates: Candidates) -> list[MachineCapacity]:
         """Return machines where a task might fit without preemption, within the job's limits."""
--- a/src/ryewing/scheduling/team_quota.py
+++ b/src/ryewing/scheduling/team_quota.py
@@ -29,8 +29,8 @@
         self._unreconciled_cpus = unreconciled_cpus
         self._unreconciled_gpus = unreconciled_gpus
 
-    def headroom(self, spec: JobSpec, wanted: int) -> int:
-        """Return how many more tasks of the spec its team's limit permits, at most `wanted`.
+    def headroom(self, spec: JobSpec, max_tasks: int) -> int:
+        """Return how many more tasks of the spec its team's limit permits, at most `max_tasks`.
 
         A team that is not in the settings may run no tasks.
         """
@@ -43,8 +43,8 @@
             (spec.gpus, team.gpus_max, self._gpus.get(name, self._unreconciled_gpus)),
         ):
             if limit > 0 and need > 0:
-                wanted = min(wanted, int((limit - used + EPSILON) / need))
-        return max(0, wanted)
+                max_tasks = min(max_tasks, int((limit - used + EPSILON) / need))
+        return max(0, max_tasks)
 
     def use(self, spec: JobSpec, count: int) -> None:
         """Count tasks that were placed, or for which resources were claimed."""
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -73,7 +73,7 @@
         return self._lowest_running_priority > job.priority
 
     def preempt(
-        self, job: Job, wanted: int, candidates: Candidates, all_or_nothing: bool = False
+        self, job: Job, requested: int, candidates: Candidates, all_or_nothing: bool = False
     ) -> int:
         """Plan to stop less important tasks; return how many of the job's tasks then fit.
 
@@ -84,11 +84,11 @@
         if not self.may_preempt_any(job):
             return 0
         if not all_or_nothing:
-            wanted = min(wanted, PREEMPTING_TASKS_MAX)
+            requested = min(requested, PREEMPTING_TASKS_MAX)
         options = self._options(job, candidates, all_or_nothing)
-        preemptions = self._choose(job, wanted, options, all_or_nothing)
+        preemptions = self._choose(job, requested, options, all_or_nothing)
         count = sum(preemption.task_count for preemption in preemptions)
-        if all_or_nothing and count < wanted:
+        if all_or_nothing and count < requested:
             return 0
         for preemption in preemptions:
             self._apply(job, preemption)
@@ -187,36 +187,36 @@
         return found
 
     def _choose(
-        self, job: Job, wanted: int, options: list[_PreemptionOption], all_or_nothing: bool
+        self, job: Job, requested: int, options: list[_PreemptionOption], all_or_nothing: bool
     ) -> list[_Preemption]:
         """Choose the tasks to stop, all in one zone if the job has `same_zone`.
 
         The zone that takes the most tasks is chosen; among equals, the one with the fewest fetches.
         """
         best: list[_Preemption] = []
-        best_rank = (wanted, 0)
+        best_rank = (requested, 0)
         for zone in self._state.zones_for(job, [option.capacity for option in options]):
-            preemptions = self._choose_in_zone(job, wanted, options, zone)
-            missing = wanted - sum(preemption.task_count for preemption in preemptions)
+            preemptions = self._choose_in_zone(job, requested, options, zone)
+            missing = requested - sum(preemption.task_count for preemption in preemptions)
             cold_count = sum(
                 preemption.task_count
                 for preemption in preemptions
                 if preemption.capacity.machine.warmth(job.spec.image) == COLD
             )
-            if (missing, cold_count) < best_rank and missing < wanted:
+            if (missing, cold_count) < best_rank and missing < requested:
                 best, best_rank = preemptions, (missing, cold_count)
             if best_rank[0] == 0 and (cold_count == 0 or not all_or_nothing):
                 break
         return best
 
     def _choose_in_zone(
-        self, job: Job, wanted: int, options: list[_PreemptionOption], zone: Zone | None
+        self, job: Job, requested: int, options: list[_PreemptionOption], zone: Zone | None
     ) -> list[_Preemption]:
         """Choose the tasks to stop on the best options, all in `zone` if it isn't None."""
         state = self._state
         preemptions: list[_Preemption] = []
         by_zone: dict[Zone, int] = {}
-        remaining, cold_count = wanted, 0
+        remaining, cold_count = requested, 0
         for option in options:
             if remaining == 0:
                 break
@@ -249,9 +249,9 @@
     Return the victims and how many tasks then fit. Trailing victims that do not raise this number
     are dropped.
     """
-    cpus = capacity.cpus + capacity.releasing_cpus
-    gpus = capacity.gpus + capacity.releasing_gpus
-    memory_gb = capacity.memory_gb + capacity.releasing_memory_gb
+    cpus = capacity.free_cpus + capacity.releasing_cpus
+    gpus = capacity.free_gpus + capacity.releasing_gpus
+    memory_gb = capacity.free_memory_gb + capacity.releasing_memory_gb
 
     def fitting() -> int:
         free_gpus = max(gpus, 0.0)
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -33,8 +33,8 @@
         for number in range(size // 2):
             job = self._job(f"run-1{number:04d}", 60)
             for machine in self.rng.sample(self.machines, size // 4):
-                room = MachineCapacity(machine).count_fitting(job.spec, self.rng.randrange(1, 9))
-                self.run_tasks(job, machine, min(room, job.shortfall))
+                count = MachineCapacity(machine).count_fitting(job.spec, self.rng.randrange(1, 9))
+                self.run_tasks(job, machine, min(count, job.shortfall))
 
     def _machine(self, number: int) -> Machine:
         kind = self.rng.choice((CPU, CPU, GPU))
@@ -131,7 +131,7 @@
 
 def _fits_after_stops(job: Job, capacity: MachineCapacity, preemptor: Preemptor) -> bool:
     freed = sum(a.job.spec.cpus for a in preemptor.victims_on(job, capacity) if a.job is not None)
-    return capacity.cpus < job.spec.cpus <= capacity.cpus + freed
+    return capacity.free_cpus < job.spec.cpus <= capacity.free_cpus + freed
 
 
 @pytest.mark.parametrize("scale", [1, 4])
