--- a/src/ryewing/autoscaling/capacity_backoff.py
+++ b/src/ryewing/autoscaling/capacity_backoff.py
@@ -6,13 +6,14 @@
 from ryewing.units import MonotonicTime
 
 MIN_PAUSE_S = 20.0
-"""The pause after the first request without full capacity; it doubles with each further one."""
+"""The pause in seconds after the first request for which the cloud had too few machines. It doubles
+with each further such request."""
 MAX_PAUSE_S = 120.0
-"""The upper bound of the pause."""
+"""The upper bound of the pause in seconds."""
 
 
 class CapacityBackoff:
-    """Records for each option until when no request is to be sent for it."""
+    """Records for each option the time before which no request may be sent for it."""
 
     def __init__(self) -> None:
         self._until: dict[RentalOption, MonotonicTime] = {}
@@ -31,5 +32,5 @@
         self._until.pop(option, None)
 
     def may_request(self, option: RentalOption, now: MonotonicTime) -> bool:
-        """Return whether an option is not in a pause."""
+        """Return whether a request for an option may be sent now."""
         return now >= self._until.get(option, MonotonicTime(0.0))
--- a/src/ryewing/autoscaling/options.py
+++ b/src/ryewing/autoscaling/options.py
@@ -36,7 +36,7 @@
 def price(machine_type: MachineType, spot: bool) -> float:
     """Return the price of one machine for one hour.
 
-    The on-demand price stands in for a missing spot price; such a type is not offered as spot.
+    The on-demand price replaces a missing spot price. A type without one is not offered as spot.
     """
     if not spot:
         return machine_type.price
--- a/src/ryewing/autoscaling/releases.py
+++ b/src/ryewing/autoscaling/releases.py
@@ -12,15 +12,16 @@
     """Why a machine is released; the values are written to the log."""
 
     NEVER_BOOTED = "never-booted"
-    """It sent no heartbeat within the boot timeout after it was rented."""
+    """The machine sent no heartbeat within the boot timeout after it was rented."""
     SILENT = "silent"
-    """It has sent no heartbeat for longer than the silence timeout."""
+    """The machine has sent no heartbeat for longer than the silence timeout."""
     UNACKNOWLEDGING = "unacknowledging"
-    """Its heartbeats arrive, but for a lease time it has not acknowledged its fencing token."""
+    """The machine's heartbeats arrive, but it has not acknowledged its fencing token for more than
+    `lease_s` seconds."""
     IDLE = "idle"
-    """It has no tasks, and no waiting task could use it."""
+    """The machine has no tasks, and it is cordoned, quarantined or not needed by waiting tasks."""
     FAILED = "failed"
-    """The cloud lists it as failed."""
+    """The cloud lists the machine as failed."""
 
 
 class Release(NamedTuple):
--- a/src/ryewing/autoscaling/scale_in.py
+++ b/src/ryewing/autoscaling/scale_in.py
@@ -72,11 +72,11 @@
     policy: Policy,
     now: MonotonicTime,
 ) -> list[Machine]:
-    """Return the idle machines to release, which no waiting task could use.
+    """Return the idle machines to release: as a rule, those that no waiting task could use.
 
-    Cordoned machines, and quarantined ones, are candidates as soon as they are idle; others after
-    the policy's `idle_return_s` seconds. Waiting tasks without GPUs do not keep a machine with
-    GPUs, because its capacity is expensive.
+    Cordoned and quarantined machines are released as soon as they are idle, even if a waiting task
+    could use them; other machines after the policy's `idle_return_s` seconds. Waiting tasks without
+    GPUs do not keep a machine with GPUs, because its capacity is expensive.
     """
     candidates = []
     for machine in machines:
--- a/src/ryewing/autoscaling/scale_out.py
+++ b/src/ryewing/autoscaling/scale_out.py
@@ -21,7 +21,7 @@
 
 
 class ScaleOutPlan:
-    """Machines to rent: their number, and the options for them with the cheapest first."""
+    """The number of machines to rent, and the options for renting them, the cheapest first."""
 
     __slots__ = ("machine_count", "options")
 
@@ -35,8 +35,9 @@
 ) -> list[RentalOption]:
     """Return the options that could be rented for a job, the cheapest per task first.
 
-    Options that the job does not allow or does not fit are left out, and those in backoff. Boot and
-    image fetch times are ignored, because prices differ more between machine types.
+    Options that the job does not allow, that are too small for its tasks or that are in backoff are
+    left out. Boot and image fetch times are ignored, because prices differ more between machine
+    types.
     """
     spec = job.spec
     options_by_cost: list[tuple[float, RentalOption]] = []
@@ -70,7 +71,7 @@
     """Return plans for the unplaced tasks that booting machines cannot hold, in the jobs' order.
 
     A job that is spread over zones may have at most half its tasks in one zone. Without that limit
-    here, machines were repeatedly rented for a job in a zone in which it could place no more tasks.
+    here, machines were repeatedly rented for a job in a zone where no more of its tasks could run.
     """
     booting_capacity = BootingCapacity(booting)
     plans: list[ScaleOutPlan] = []
--- a/src/ryewing/autoscaling/unhealthy.py
+++ b/src/ryewing/autoscaling/unhealthy.py
@@ -14,10 +14,10 @@
 from ryewing.units import MonotonicTime
 
 UNHEARD_MARGIN_S = 0.5
-"""Seconds added to the longest reconciliation for the silence timeout of a machine from which this
-term has received nothing."""
+"""Seconds added to the maximum duration of the reconciliation (`gather_s`) to get the silence
+timeout of a machine from which this term has received nothing."""
 MIN_BOOT_TIMEOUT_S = 60.0
-"""The minimum boot timeout in seconds: a machine released sooner costs as much."""
+"""The minimum boot timeout in seconds. Releasing a machine sooner does not reduce its cost."""
 LATE_AFTER_INTERVALS = 1.3
 """The number of `report_s` after which a heartbeat is late: slightly above the longest interval."""
 MASS_FAILURE_DIVISOR = 3
@@ -68,17 +68,18 @@
         if few_late or machine.lease_expires_by is None
     ]
     if few_late and len(unacknowledging) <= max_late:
-        # Their heartbeats arrive, but the leader's responses do not reach them: they cost money and
-        # can't run tasks.
+        # The heartbeats of these machines arrive, but the leader's responses do not reach them, so
+        # they cost money but can't run new tasks.
         releases += [Release(machine, ReleaseReason.UNACKNOWLEDGING) for machine in unacknowledging]
     return releases
 
 
 def _silent_since(machine: Machine, began_at: MonotonicTime) -> MonotonicTime | None:
-    """Return the time from which silence is counted; None if a machine may never have booted."""
+    """Return the time since which a machine has been silent; None if it may never have booted."""
     if machine.heard_at is not None:
         return machine.heard_at
-    return began_at if machine.recorded else None  # recorded: an earlier term heard it
+    # If the machine is recorded, an earlier term received a heartbeat from it.
+    return began_at if machine.recorded else None
 
 
 def _boot_timeout_s(machine: Machine, policy: Policy) -> float:
