--- a/src/ryewing/scheduling/candidates.py
+++ b/src/ryewing/scheduling/candidates.py
@@ -16,7 +16,7 @@
 
 NARROWING_SHARE = 0.5
 """A list of fitting machines is cached only if it has less than this share of the machines of the
-list that was searched."""
+list from which it was filtered."""
 
 
 class _TaskResources(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 class _UnplaceableKey(NamedTuple):
-    """Identifies jobs that may preempt the same tasks and use the same machines."""
+    """Identifies jobs that may preempt the same tasks and leave the same resources free."""
 
     priority: int
     needs_gpus: bool
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -43,7 +43,7 @@
         self._task_placer = TaskPlacer(self._state)
         self._replica_placer = ReplicaPlacer(self._state, self._task_placer)
         self._waiting_for_image: list[Job] = []
-        """Jobs of which some tasks may wait for machines that have their image."""
+        """Jobs whose tasks may wait for machines that have their image."""
 
     def run(
         self, jobs: Sequence[Job], overdue: Sequence[Job], moving: Sequence[Assignment]
@@ -75,8 +75,8 @@
         """Place the jobs that have waited too long to begin.
 
         An array has begun once some of its tasks run, so only a share of it is placed here. A gang
-        begins with all of its tasks or none. Machines are therefore reserved for the first gang
-        without resources, where it could begin soonest; only one gang has a reservation at a time.
+        begins with all of its tasks or none. For the first gang without resources, machines are
+        therefore reserved where it could begin soonest. Only one gang has a reservation at a time.
         """
         plan = self._state.plan
         has_reserved = False
@@ -84,9 +84,9 @@
             if not job.is_gang and not job.is_service:
                 self._place(job, max(1, int(OVERDUE_ARRAY_SHARE * job.spec.task_count)))
                 continue
-            self._place(job)  # every missing replica of a service counts, so all are placed
-            found_no_resources = bool(plan.unplaced) and plan.unplaced[-1].job is job
-            if job.is_gang and found_no_resources and not has_reserved:
+            self._place(job)  # a service is degraded by each missing replica, so all are placed
+            has_no_resources = bool(plan.unplaced) and plan.unplaced[-1].job is job
+            if job.is_gang and has_no_resources and not has_reserved:
                 reserve(self._state, job)
                 has_reserved = True
 
@@ -114,7 +114,7 @@
         self._record_unplaced(job, remaining, usable, candidates)
 
     def _fetch_on_leftover_capacity(self, job: Job) -> None:
-        """Let a job that waits for warm machines fetch on machines that would stay idle."""
+        """Start tasks of a job that waits for warm machines on machines that would stay idle."""
         state = self._state
         placed = state.plan.parts_of(job)
         unplaced_count = job.shortfall - sum(part.task_count for part in placed)
@@ -126,9 +126,8 @@
         for part in placed:
             limits.tasks_by_zone[part.machine.zone] += part.task_count
         # `cold_limit` assumes that warm machines can run the job's tasks within the time of a
-        # fetch. For a job that has waited longer than a fetch that was wrong, because other jobs
-        # got those machines first, so the limit no longer applies. This happened on a day with a
-        # zone that was cut off.
+        # fetch. If the job has waited longer than that, other jobs got those machines first, so the
+        # limit no longer applies. This was observed while a zone was unreachable.
         waited_s = state.now - (job.waiting_since if job.waiting_since is not None else state.now)
         if waited_s > candidates.slowest_fetch_s(job.spec):
             limits.cold_starts_left = remaining
@@ -188,7 +187,8 @@
         """Place tasks that need no GPUs and whose priority exempts them from the GPU reserve.
 
         Machines without GPUs are tried first, then those with few, each time with preemption of
-        less important tasks: that costs less than a task that runs for minutes and keeps GPUs idle.
+        less important tasks, because a preemption costs less than GPUs that stay idle for the
+        minutes for which the task runs.
         """
         remaining = requested
         for gpus in usable.gpu_counts():
@@ -214,7 +214,7 @@
     def _record_unplaced(
         self, job: Job, remaining: int, usable: Candidates, candidates: Candidates
     ) -> None:
-        """Record for how many of the remaining tasks machines should be rented."""
+        """Record the remaining tasks for which machines should be rented."""
         limits = self._state.limits
         if not job.is_gang:
             if remaining > 0 and candidates.slowest_fetch_s(job.spec) > LONG_FETCH_S:
--- a/src/ryewing/scheduling/cycle_state.py
+++ b/src/ryewing/scheduling/cycle_state.py
@@ -24,7 +24,8 @@
 """The least number of seconds for which a fetch under way is expected to continue, even if it
 should have ended."""
 SHARED_FETCH_FACTOR = 2.0
-"""How many times as long a fetch takes beside another one if they share the machine's rate."""
+"""How many times as long a fetch takes concurrently with another one if they share the machine's
+rate."""
 
 
 class Choice(NamedTuple):
@@ -142,8 +143,8 @@
     def start_s(self, spec: JobSpec, capacity: MachineCapacity) -> float:
         """Estimate in how many seconds a replica would run on a machine.
 
-        The worker learns of the replica with its next heartbeat and may then have to fetch the
-        image.
+        The worker gets the start command in the response to its next heartbeat, and may then have
+        to fetch the image.
         """
         if capacity.next_heartbeat_in_s is None:
             capacity.next_heartbeat_in_s = self.snapshot.next_heartbeat_in_s(capacity.machine)
@@ -179,7 +180,7 @@
     # -- task limits --------------------------------------------------------------------------
 
     def gpu_reserve_on(self, capacity: MachineCapacity) -> GpuReserve:
-        """Return what the current job has to leave free for each free GPU of a machine."""
+        """Return what the current job must leave free on a machine for each of its free GPUs."""
         return (
             self.limits.gpu_reserve
             if capacity.machine.id in self._gpu_reserve_machines
@@ -206,7 +207,7 @@
         if warmth == FETCHING:
             return spec.task_count if self.all_jobs_tried else 0
         if self.snapshot.is_fetch_rate_shared and capacity.fetches_other_image(spec.image):
-            return 0  # fetches that share the rate take as long as one after the other
+            return 0  # concurrent fetches that share the rate end no sooner than sequential ones
         return 0 if spec.image in capacity.images_placed else 1
 
     def task_limit(
@@ -235,8 +236,8 @@
             )
         if job.is_service and limits.displaced_share_max < math.inf:
             if is_cold:
-                # Replicas that need a fetch go to one machine each. They start no later, and later
-                # replicas then find more machines with the image.
+                # Replicas that need a fetch go to one machine each. They start no later, and more
+                # machines then have the image for later replicas.
                 max_tasks = min(max_tasks, 0 if job.spec.image in capacity.images_placed else 1)
             max_tasks = self._count_without_displacing(job.spec, capacity, max_tasks)
         return max_tasks
@@ -285,7 +286,7 @@
 
 
 def delays_reservation(job: Job, wait_s: float) -> bool:
-    """Return whether a job might still run when a gang needs the machine in `wait_s` seconds."""
+    """Return whether a job might still run in `wait_s` seconds, when a gang needs the machine."""
     return job.is_gang or job.estimate_s() >= wait_s
 
 
--- a/src/ryewing/scheduling/image_survey.py
+++ b/src/ryewing/scheduling/image_survey.py
@@ -28,12 +28,12 @@
 for tasks that warm machines can't run in the same time. Jobs do not wait to avoid cheaper fetches.
 Before this rule, arrays that run for minutes waited to avoid a fetch of 25 s."""
 PLENTIFUL_FACTOR = 1.5
-"""A resource is plentiful if its free amount is at least this many times what all waiting jobs
-need."""
+"""A resource is plentiful if its free amount is at least this many times the amount that all
+waiting jobs need."""
 
 
 class ImageDemand:
-    """The waiting work of arrays with one image, and what can process it without a fetch."""
+    """The waiting work of arrays with one image, and the resources that need no fetch for it."""
 
     __slots__ = ("needs_gpus", "supply", "work")
 
@@ -42,8 +42,8 @@
         self.work = 0.0
         """GPU-seconds of waiting tasks (CPU-seconds for tasks without GPUs)."""
         self.supply = 0.0
-        """GPUs (or CPUs) of the machines with the image. A machine with several wanted images
-        counts for each of them with an equal share."""
+        """GPUs (or CPUs) of the machines with the image. The resources of a machine
+        with several needed images are divided equally between them."""
 
 
 class ImageSurvey:
@@ -63,7 +63,7 @@
     def _compare_capacity_with_demand(
         self, capacities: Sequence[MachineCapacity], gpu_reserve: GpuReserve, jobs: Sequence[Job]
     ) -> None:
-        """Determine of which resources more is free than all waiting jobs could use."""
+        """Determine which resources are plentiful compared with the demand of all waiting jobs."""
         gpus = sum(job.shortfall * job.spec.gpus for job in jobs)
         cpus = sum(job.shortfall * job.spec.cpus for job in jobs)
         free_cpus = sum(max(0.0, capacity.free_cpus) for capacity in capacities)
@@ -109,9 +109,9 @@
             image_demand.supply += supply / capacity.needed_image_counts[image_demand.needs_gpus]
 
     def is_plentiful(self, job: Job) -> bool:
-        """Return whether more of the job's main resource is free than all waiting jobs could use.
+        """Return whether the job's main resource is plentiful.
 
-        That is GPUs for a job that needs any, and CPUs for other jobs.
+        The main resource is GPUs for a job that needs any, and CPUs for other jobs.
         """
         return self._gpus_plentiful if job.spec.gpus > 0 else self._cpus_plentiful
 
--- a/src/ryewing/scheduling/job_limits.py
+++ b/src/ryewing/scheduling/job_limits.py
@@ -31,19 +31,20 @@
 
     def __init__(self, job: Job, gpu_reserve: GpuReserve) -> None:
         self.gpu_reserve = gpu_reserve.for_job(job)
-        """What its tasks must leave free for each free GPU."""
+        """What the job's tasks must leave free for each free GPU."""
         self.victim_key = victim_key(job)
         self.tasks_by_zone: Counter[Zone] = Counter(job.tasks_by_zone)
-        """How many of its tasks are in each zone, including those placed in this cycle."""
+        """How many of the job's tasks are in each zone, including those placed in this cycle."""
         self.sampled_only = False
-        """Whether only a sample of the candidate machines was examined for it."""
+        """Whether only a sample of the candidate machines was examined for the job."""
         self.warm_only = False
-        """Whether its tasks may go only to machines that have its image."""
+        """Whether the tasks may go only to machines that have the image or are fetching it; for
+        replicas, see `acceptable_wait_s`."""
         self.cold_starts_left = 0
-        """How many more of its tasks may begin a fetch."""
+        """How many more tasks may begin a fetch."""
         self.acceptable_wait_s = SHORT_WAIT_S
-        """A machine counts as warm for its replicas if one would start there within this many
+        """A machine counts as warm for replicas if one would start there within this many
         seconds."""
         self.displaced_share_max = math.inf
-        """The share of a machine that each of its replicas may take from large tasks
-        (`displaced_share`)."""
+        """The share of a machine that each replica may take from large tasks
+        (`MachineCapacity.displaced_share`)."""
--- a/src/ryewing/scheduling/machine_capacity.py
+++ b/src/ryewing/scheduling/machine_capacity.py
@@ -25,7 +25,7 @@
 
 
 class MachineCapacity:
-    """A machine's free and releasing resources during one cycle, with cached facts about it."""
+    """A machine's free and releasing resources during one cycle, with values cached per machine."""
 
     __slots__ = (
         "_displaced_shares",
@@ -51,8 +51,8 @@
     def __init__(self, machine: Machine, stopping: frozenset[Assignment] = frozenset()) -> None:
         """Initialize with the machine's free resources.
 
-        `stopping` has its tasks with pending terminations. Their resources count as releasing: they
-        are not free yet but will be soon.
+        `stopping` contains the machine's tasks with pending terminations. Their resources count as
+        releasing, because they are not free yet but will be soon.
         """
         self.machine = machine
         self.position = 0
@@ -231,10 +231,10 @@
     def displaced_share(self, spec: JobSpec, recent_specs: Sequence[JobSpec]) -> float:
         """Return the share of the machine that one more replica would take from large tasks.
 
-        `recent_specs` has the tasks for which resources should remain. Example: replicas that need
-        1 CPU each share a machine of 64 CPUs with a gang's task of 60 CPUs. Four replicas displace
-        nothing, the fifth prevents such tasks on the machine for as long as it runs, and the sixth
-        displaces nothing more.
+        `recent_specs` are the specs of tasks for which resources should remain. Example: replicas
+        that need 1 CPU each share a machine of 64 CPUs with a gang's task of 60 CPUs. Four replicas
+        displace nothing, the fifth prevents such tasks on the machine for as long as it runs, and
+        the sixth displaces nothing more.
         """
         key = (spec.cpus, spec.gpus, spec.memory_gb)
         displaced = self._displaced_shares.get(key)
@@ -267,8 +267,8 @@
         """Return a sort key for how soon the machine has the job's image: smallest is soonest.
 
         A gang avoids machines that are fetching another image, because fetches may share the rate.
-        When one member's fetch took more than `gang_wait_s` longer than the others', the other
-        members gave up one after another, and this continued for minutes.
+        When one member's fetch took more than `gang_wait_s` longer than the others', the waits of
+        the other members timed out one after another, and this continued for minutes.
         """
         warmth = self.machine.warmth(spec.image)
         return warmth + (warmth == COLD and gang and self.fetches_other_image(spec.image))
--- a/src/ryewing/scheduling/machine_suitability.py
+++ b/src/ryewing/scheduling/machine_suitability.py
@@ -13,7 +13,7 @@
 
 
 def allows_machine(spec: JobSpec, machine: Machine) -> bool:
-    """Return whether the spec permits the machine's type and zone, and spot if it is a spot one."""
+    """Return whether the spec permits the machine's type, its zone and, if it is spot, spot use."""
     return (
         (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
         and (spec.zone is None or machine.zone == spec.zone)
@@ -37,8 +37,8 @@
 def gpu_cost(spec: JobSpec, machine: Machine) -> float:
     """Return the machine's price per GPU if the task needs none of its GPUs, otherwise 0.
 
-    Machines with the most expensive GPUs are cordoned first, and a replica placed there would then
-    have to be moved.
+    Machines with the most expensive GPUs are cordoned first, and a replica on a cordoned machine
+    has to be moved.
     """
     machine_type = machine.machine_type
     if spec.gpus > 0 or not machine_type.gpus:
--- a/src/ryewing/scheduling/plan.py
+++ b/src/ryewing/scheduling/plan.py
@@ -26,7 +26,7 @@
 
 
 class Unplaced(NamedTuple):
-    """A job, and how many of its tasks found neither free nor releasing resources."""
+    """A job, and how many of its tasks got neither free nor releasing resources."""
 
     job: Job
     task_count: int
@@ -46,7 +46,7 @@
 
     def __init__(self) -> None:
         self.moves: list[Assignment] = []
-        """Replicas to stop because they have free resources on another machine."""
+        """Replicas to stop because free resources are claimed for them on another machine."""
         self.batches: list[Batch] = []
         """Tasks to start."""
         self.preemptions: list[Assignment] = []
--- a/src/ryewing/scheduling/preemption.py
+++ b/src/ryewing/scheduling/preemption.py
@@ -41,9 +41,9 @@
 def mark_guaranteed_jobs(jobs: Iterable[Job], teams: dict[str, Team]) -> None:
     """Mark the jobs that, together with their team's earlier jobs, fit into the team's guarantee.
 
-    This is decided once for each job, in the first cycle that sees it. If it were decided again in
-    each cycle, the oldest jobs of a team that submits far more than its guarantee would always be
-    guaranteed, and late jobs would go first.
+    This is decided once for each job, in the first cycle that includes it. If it were decided again
+    in each cycle, the oldest jobs of a team that submits far more than its guarantee would always
+    be guaranteed, so jobs that are already late would go before jobs that can still be on time.
     """
     jobs = list(jobs)
     if all(job.guarantee_decided for job in jobs):
--- a/src/ryewing/scheduling/queueing.py
+++ b/src/ryewing/scheduling/queueing.py
@@ -27,8 +27,9 @@
 STARVATION_AGE_S = 900.0
 """The age in seconds above which a job without deadlines is starved."""
 LAST_CHANCE_SLACK_SHARE = 0.3
-"""A job goes first when its slack is below this share of the time from its acceptance to its last
-deadline. The slack is the time left for placing its tasks and fetching its image."""
+"""A job goes first in its priority when its slack is below this share of the time from its
+acceptance to its last deadline. The slack is the time left for placing its tasks and fetching its
+image."""
 OVERDUE_AGE_S = 120.0
 """The age in seconds above which a job that has not begun is overdue. The goal is that every job
 begins within twice this age."""
@@ -37,13 +38,13 @@
 MIN_AMOUNT = 1e-3
 """The least demand of a task and the least total supply; avoids a division by zero."""
 DEADLINE_LEVELS_MAX = 9
-"""How many deadlines of a job are tried before the job is ordered by age."""
+"""How many deadlines of a job are considered before the job is ordered by age."""
 
 
 class Supply:
     """The usable amount of a resource in the cluster, and how much of it is free.
 
-    Unusable amounts must not count. When free GPUs without enough free CPUs on the same machine
+    Unusable amounts must be excluded. When free GPUs without enough free CPUs on the same machine
     were counted, the order assumed that more jobs could be on time than was possible, and all of
     them were late.
     """
@@ -83,7 +84,7 @@
 
 
 class _Selection(NamedTuple):
-    """Which jobs can meet their current deadlines, and which are deferred."""
+    """Which jobs can meet the deadlines by which they are ordered, and which are deferred."""
 
     on_time: list[Job]
     deferred: list[Job]
@@ -175,9 +176,9 @@
     """Return the jobs with a shortfall in the order in which a scheduling cycle places them."""
     groups: dict[_GroupKey, list[Job]] = {}
     deadlines_by_job: dict[Job, tuple[WallTime, ...]] = {}
-    # The running members of an incomplete gang hold resources while they wait for the others. On an
-    # overloaded day, other jobs took the resources of each member that gave up, and its replacement
-    # had to fetch the image on another machine.
+    # The running members of an incomplete gang hold resources while they wait for the others. Under
+    # overload, whenever a member's wait timed out, another job got its resources, and the member's
+    # replacement had to fetch the image on another machine.
     incomplete_gangs: list[Job] = []
     # A service is degraded for as long as a replica does not run, and replicas need few resources.
     # Services therefore go first in each priority, and those of the highest priority also go before
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -68,7 +68,7 @@
         return requested - remaining
 
     def _without_kept_results(self, job: Job, usable: Candidates) -> Candidates:
-        """Exclude machines that keep a result of a replica, where a new one would end at once."""
+        """Exclude machines that keep a replica's result, since a new replica would end at once."""
         kept_by = job.result_kept_by
         eligible = [c for c in usable.capacities if c.machine.id not in kept_by]
         return self._state.narrowed(usable, eligible)
@@ -79,12 +79,13 @@
         return max(SHORT_WAIT_S, SHORT_WAIT_SHARE * fastest_fetch_s)
 
     def move(self, assignment: Assignment) -> None:
-        """Plan to stop a replica if another, better machine has free resources for it.
+        """Plan to stop a replica if a more suitable machine has free resources for it.
 
         The replica may not start on the new machine before it has ended on the old one. Resources
         on a machine with its image are therefore claimed before it is stopped, so that the gap is
-        no longer than a stop and a start. Without such resources the replica continues to run. If
-        its present machine is about to be reclaimed, the new one may also have to fetch the image.
+        no longer than a stop and a start. Without such resources, the replica continues to run. If
+        its present machine is about to be reclaimed, it may also move to a machine that has to
+        fetch the image.
         """
         job, machine = assignment.job, assignment.machine
         if job is None or assignment.task.number not in job.assigned_tasks:
--- a/src/ryewing/scheduling/reservation.py
+++ b/src/ryewing/scheduling/reservation.py
@@ -44,7 +44,7 @@
 ) -> tuple[list[MachineCapacity], float]:
     """Return the machines that can run the gang first, and in how many seconds.
 
-    All are in `zone` if it isn't None. The list is empty if the machines are too few or too small.
+    All are in `zone` if it isn't None. The list is empty if the machines cannot run the whole gang.
     """
     waits = [
         (_drain_s(job, capacity, state.now), number, capacity)
--- a/src/ryewing/scheduling/selection.py
+++ b/src/ryewing/scheduling/selection.py
@@ -12,8 +12,8 @@
 from ryewing.units import Zone
 
 PACKED_REPLICAS_MAX = 4
-"""How many replicas are packed onto the fullest machine. With more, other machines where a replica
-would start as soon come first, because a machine failure stops all replicas on the machine."""
+"""How many replicas are packed onto the fullest machine. Machines with more replicas come after
+others where a replica would start as soon, because a machine failure stops all replicas on it."""
 
 SortKey = tuple[float, ...]
 """A sort key for machines: the smallest is chosen first."""
@@ -49,7 +49,7 @@
         """Choose machines for at most `requested` tasks; with `all_or_nothing`, for all or none.
 
         `include_releasing` counts the resources of tasks being stopped as free. Of several zones,
-        the one that takes the most tasks is chosen; among equals, the one with the fewest fetches.
+        the one where the most tasks fit is chosen; among equals, the one with the fewest fetches.
         """
         spec, gpu_reserve_on = job.spec, self._state.gpu_reserve_on
         fitting = [
@@ -63,12 +63,12 @@
         fitting.sort(key=partial(sort_key, job))
         best = _ZoneSelection()
         for zone in self._state.zones_for(job, fitting):
-            found = self._choose_in_zone(job, requested, fitting, zone, include_releasing)
-            if found.count > best.count or (
-                found.count == best.count and found.cold_count < best.cold_count
+            selection = self._choose_in_zone(job, requested, fitting, zone, include_releasing)
+            if selection.count > best.count or (
+                selection.count == best.count and selection.cold_count < best.cold_count
             ):
-                best = found
-            if found.count == requested and (found.cold_count == 0 or not all_or_nothing):
+                best = selection
+            if selection.count == requested and (selection.cold_count == 0 or not all_or_nothing):
                 break
         if all_or_nothing and best.count < requested:
             return []
@@ -84,14 +84,14 @@
     ) -> _ZoneSelection:
         """Choose machines in the order of `fitting`, all in `zone` if it isn't None."""
         state, spec = self._state, job.spec
-        found = _ZoneSelection()
+        selection = _ZoneSelection()
         by_zone: dict[Zone, int] = {}
         for capacity in fitting:
             machine = capacity.machine
             if zone is not None and machine.zone != zone:
                 continue
             max_tasks = state.task_limit(
-                job, capacity, requested - found.count, by_zone, found.cold_count
+                job, capacity, requested - selection.count, by_zone, selection.cold_count
             )
             if max_tasks <= 0:
                 continue
@@ -100,21 +100,22 @@
             )
             if count <= 0:
                 continue
-            found.choices.append(Choice(capacity, count))
-            found.count += count
+            selection.choices.append(Choice(capacity, count))
+            selection.count += count
             by_zone[machine.zone] = by_zone.get(machine.zone, 0) + count
             if machine.warmth(spec.image) == COLD:
-                found.cold_count += count
-            if found.count == requested:
+                selection.cold_count += count
+            if selection.count == requested:
                 break
-        return found
+        return selection
 
     def _replica_order(self, job: Job, capacity: MachineCapacity) -> SortKey:
         """Return a machine's sort key for a replica.
 
-        The criteria in order: no recent faults, the least displacement of large tasks, the soonest
-        start, the lowest cost of GPUs that the replica would not use, few replicas already there,
-        and the fullest machine.
+        The criteria in order: no recent failures, the least displacement of large tasks, the
+        soonest start, the lowest cost of GPUs that the replica would not use, few replicas already
+        there, the most preemptible CPUs if the machine has to fetch the image, a spot machine if
+        the job may use one, and the fullest machine.
         """
         spec, machine = job.spec, capacity.machine
         is_cold = machine.warmth(spec.image) == COLD
@@ -124,7 +125,7 @@
             round(self._state.start_s(spec, capacity)),
             gpu_cost(spec, machine),
             max(0, capacity.replica_count() - PACKED_REPLICAS_MAX),
-            # If the replica has to fetch, prefer machines where later replicas will fit too.
+            # After a fetch, later replicas of the service should fit on the same machine.
             -capacity.preemptible_cpus() if is_cold else 0.0,
             spec.spot and not machine.spot,
             capacity.free_share(),
@@ -142,16 +143,17 @@
     - the task strands no GPUs;
     - the machine has the image, because a fetch takes longer than most tasks wait;
     - if it does not, it has few of the images that waiting arrays need;
-    - the machine is a spot machine if the job may use them, because other jobs can use only regular
-      machines.
+    - the machine is a spot machine if the job may use them, because some jobs can use only
+      on-demand machines.
 
-    For a gang with missing members, the image comes before the GPUs. The other members wait for it,
-    and give up one after another, until the new member has its image.
+    For a gang with missing members, the image comes before the GPUs. Until the new member has its
+    image, the other members wait for it, and they end one after another when their wait times out.
     """
     spec, machine = job.spec, capacity.machine
     is_cold = machine.warmth(spec.image) == COLD
     return (
-        # A job in backoff may use machines where it failed, but a probe elsewhere shows more.
+        # A job in backoff may use machines where it failed, but a probe on another machine is more
+        # informative.
         machine.id in job.failed_on,
         machine.is_straggler(),
         capacity.fetch_order(spec, True) if job.has_missing_members else 0,
--- a/src/ryewing/scheduling/snapshot.py
+++ b/src/ryewing/scheduling/snapshot.py
@@ -22,7 +22,10 @@
     frozen=True,
     rename={"sample_size": "sample", "avoids": "avoid", "is_fetch_rate_shared": "fetches_share"},
 ):
-    """The input of a cycle, which claims resources from the capacities and the quota."""
+    """The input of a cycle, which claims resources from the capacities and the quota.
+
+    The struct is never encoded; `rename` only keeps the outer names of its fields unchanged.
+    """
 
     capacities: Sequence[MachineCapacity]
     """The machines that may get tasks, with their free resources."""
@@ -30,12 +33,13 @@
     now: MonotonicTime
     rng: random.Random
     sample_size: int
-    """How many machines are examined for one array or service at most."""
+    """The largest number of machines that are examined for one array or service."""
     gpu_reserve: GpuReserve = NO_RESERVE
     gpus_kept: float = math.inf
-    """How many free GPUs are kept usable for work expected soon."""
+    """The number of free GPUs to which `gpu_reserve` applies: those that tasks are likely to use
+    soon."""
     avoids: Callable[[Job, Machine], bool] = lambda _job, _machine: False
-    """Whether a job avoids a machine where its tasks failed."""
+    """Whether a job avoids a machine because its tasks failed there."""
     is_fetch_rate_shared: bool = True
     """Whether concurrent fetches share a machine's fetch rate."""
     recent_specs: Sequence[JobSpec] = ()
--- a/src/ryewing/scheduling/victims.py
+++ b/src/ryewing/scheduling/victims.py
@@ -77,8 +77,8 @@
     ) -> int:
         """Plan to stop less important tasks; return how many of the job's tasks then fit.
 
-        For a gang (`all_or_nothing`), free resources are used too, because it may need both those
-        and released ones. A gang takes machines with its image first, because a fetch delays it
+        For a gang (`all_or_nothing`), free resources are used too, because it may need both free
+        and releasing ones. Machines with a gang's image come first, because a fetch delays the gang
         for longer than stopping a task does.
         """
         if not self.may_preempt_any(job):
@@ -123,16 +123,16 @@
         """
         warm_only, image = self._state.limits.warm_only, job.spec.image
         if all_or_nothing:
-            found = candidates.with_image(image) if warm_only else candidates.capacities
-            return [c for c in found if self.victims_on(job, c) or c.may_fit(job.spec)]
+            capacities = candidates.with_image(image) if warm_only else candidates.capacities
+            return [c for c in capacities if self.victims_on(job, c) or c.may_fit(job.spec)]
         if warm_only and not job.is_service:
             return [c for c in candidates.with_image(image) if self.victims_on(job, c)]
-        found = candidates.preemptible(
+        capacities = candidates.preemptible(
             self._state.limits.victim_key, lambda capacity: bool(self.victims_on(job, capacity))
         )
         if not job.is_service:
-            return found
-        return [capacity for capacity in found if self._starts_soon_enough(job, capacity)]
+            return capacities
+        return [capacity for capacity in capacities if self._starts_soon_enough(job, capacity)]
 
     def _starts_soon_enough(self, job: Job, capacity: MachineCapacity) -> bool:
         """Return whether a replica would start soon enough, including the time its victim saves."""
@@ -167,31 +167,32 @@
         Tasks that are already being stopped are excluded.
         """
         key = self._state.limits.victim_key
-        found = capacity.victims.get(key)
-        if found is None:
+        victims = capacity.victims.get(key)
+        if victims is None:
             now = self._state.now
-            found = [
+            victims = [
                 assignment
                 for assignment in capacity.machine.assignments.values()
                 if may_preempt(job, assignment)
             ]
             if job.is_service:
-                # The time to save comes first in the order: in an incident, a victim saved its work
-                # for five seconds, and the replica started that much later.
-                found.sort(key=lambda a: (saving_s(a), stop_order(a), lost_work_s(a, now)))
+                # The time to save comes first because a replica starts only after its victim has
+                # saved. In an incident, that delayed a start by five seconds.
+                victims.sort(key=lambda a: (saving_s(a), stop_order(a), lost_work_s(a, now)))
             else:
-                found.sort(key=lambda a: (stop_order(a), lost_work_s(a, now)))
-            capacity.victims[key] = found
-        if found and capacity.stopping:
-            return [assignment for assignment in found if assignment not in capacity.stopping]
-        return found
+                victims.sort(key=lambda a: (stop_order(a), lost_work_s(a, now)))
+            capacity.victims[key] = victims
+        if victims and capacity.stopping:
+            return [assignment for assignment in victims if assignment not in capacity.stopping]
+        return victims
 
     def _choose(
         self, job: Job, requested: int, options: list[_PreemptionOption], all_or_nothing: bool
     ) -> list[_Preemption]:
         """Choose the tasks to stop, all in one zone if the job has `same_zone`.
 
-        The zone that takes the most tasks is chosen; among equals, the one with the fewest fetches.
+        The zone where the most tasks of the job fit is chosen; among equals, the one with the
+        fewest fetches.
         """
         best: list[_Preemption] = []
         best_rank = (requested, 0)
