--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -108,8 +108,8 @@
 def test_candidates_narrowed_for_one_job_see_its_preemptions() -> None:
     """Narrowing for one job leaves the shared candidates as they are.
 
-    A job's next step must see the tasks that its previous step stopped. Without that, a replica
-    preempted one task more than it needed.
+    A job's next step must take into account the tasks that its previous step stopped. Otherwise, a
+    replica preempted one task more than it needed.
     """
     world = RandomWorld(1)
     job = world.job("run-9", priority="production", cpus=16.0, spot=True)
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -65,26 +65,26 @@
     assert tasks_by_machine(world.plan(waiting_job)) == {}
 
 
-@pytest.mark.parametrize(("unseen", "expected"), [((0.0, 0.0), 8), ((0.0, 4.0), 4)])
+@pytest.mark.parametrize(("unreconciled", "expected"), [((0.0, 0.0), 8), ((0.0, 4.0), 4)])
 def test_unreconciled_resources_count_against_limits(
-    unseen: tuple[float, float], expected: int
+    unreconciled: tuple[float, float], expected: int
 ) -> None:
     world = World()
     for n in range(3):
         world.machine(f"i-{n}", GPU)
     placed = tasks_by_machine(
-        world.plan(world.job("run-1", task_count=12, gpus=1.0), unreconciled=unseen)
+        world.plan(world.job("run-1", task_count=12, gpus=1.0), unreconciled=unreconciled)
     )
     assert sum(placed.values()) == expected
     world.run_tasks(world.job("run-2", task_count=2, gpus=1.0), world.machine("i-9", GPU), 2)
     placed = tasks_by_machine(
-        world.plan(world.job("run-3", task_count=12, gpus=1.0), unreconciled=unseen)
+        world.plan(world.job("run-3", task_count=12, gpus=1.0), unreconciled=unreconciled)
     )
     assert sum(placed.values()) == expected - 2
 
 
 def test_tasks_without_gpus_leave_cpus_for_gpu_tasks() -> None:
-    """On a lightly loaded day, GPUs stayed idle because other tasks held the CPUs beside them."""
+    """On a lightly loaded day, GPUs stayed idle because other tasks held the machines' CPUs."""
     world = World()
     world.machine("i-1", GPU)  # 24 CPUs, 4 GPUs
     world.job("run-9", gpus=1.0, cpus=5.0)
@@ -93,15 +93,17 @@
     assert tasks_by_machine(world.plan(urgent)) == {"i-1": 1}  # a higher priority is exempt
 
 
-@pytest.mark.parametrize(("kept", "expected"), [(0.0, 24), (2.0, 14), (5.0, 4), (99.0, 4)])
-def test_the_gpu_reserve_covers_only_the_expected_gpu_demand(kept: float, expected: int) -> None:
-    """On a day with difficult conditions, 200 CPUs stayed idle beside GPUs without demand."""
+@pytest.mark.parametrize(("gpus_kept", "expected"), [(0.0, 24), (2.0, 14), (5.0, 4), (99.0, 4)])
+def test_the_gpu_reserve_covers_only_the_expected_gpu_demand(
+    gpus_kept: float, expected: int
+) -> None:
+    """Without this limit, 200 CPUs stayed idle because they were reserved for unneeded GPUs."""
     world = World()
     for n in range(2):
         world.machine(f"i-{n}", GPU)
     world.job("run-9", gpus=1.0, cpus=5.0)
     waiting_job = world.job("run-1", task_count=40, cpus=2.0, memory_gb=1.0)
-    assert sum(tasks_by_machine(world.plan(waiting_job, gpus_kept=kept)).values()) == expected
+    assert sum(tasks_by_machine(world.plan(waiting_job, gpus_kept=gpus_kept)).values()) == expected
 
 
 def test_an_urgent_gang_preempts_rather_than_strand_gpus() -> None:
@@ -119,9 +121,9 @@
 
 
 def test_placing_by_gpu_count_keeps_a_same_zone_job_in_one_zone() -> None:
-    """Machines without GPUs and then machines with GPUs are tried in two steps.
+    """Machines without GPUs are tried first, then machines with GPUs.
 
-    The second step once chose a zone of its own, which the table of constraints above revealed.
+    The second step chose its zone without regard to the tasks placed by the first.
     """
     world = World()
     world.machine("i-1", zone="a")
@@ -132,10 +134,7 @@
 
 
 def test_preemption_tries_every_zone() -> None:
-    """On a day with difficult conditions, an urgent job waited forever.
-
-    It was restricted to the first zone that was examined.
-    """
+    """An urgent job was never placed, because it was restricted to the first zone examined."""
     world = World()
     idle = world.job("run-9", priority="idle", task_count=96, cpus=1.0, memory_gb=1.0)
     for n, zone in enumerate("abc"):
@@ -227,7 +226,7 @@
     for n in range(2, 5):
         world.machine(f"i-{n}")
     array = world.job("run-1", task_count=12, image_gb=5.0)  # 25 s at 0.2 GB/s
-    # The warm machine runs six tasks within the time of a fetch; the others fetch at once.
+    # The warm machine runs six tasks within the time of a fetch; the others fetch immediately.
     assert sum(tasks_by_machine(world.plan(array)).values()) == 6
     many = world.job("run-2", task_count=50, image_gb=5.0)
     # Without plentiful resources, only machines that would stay idle begin a fetch, for one task.
@@ -295,7 +294,7 @@
 ) -> None:
     """The protocol says only that fetches may share the rate.
 
-    Where they do not, fetching one image after the other wasted half of the rate available.
+    Where they do not, fetching one image after the other wasted half of the available rate.
     """
     world = World()
     now = 0.0
@@ -320,9 +319,9 @@
 
 
 def test_a_missing_gang_member_goes_to_a_machine_with_the_image() -> None:
-    """On a busy day, each member that gave up was replaced on a machine that had to fetch.
+    """On a busy day, each member whose wait timed out was replaced on a machine that had to fetch.
 
-    This continued for minutes.
+    The other members then timed out too, and this continued for minutes.
     """
     world = World()
     world.machine("i-1")  # it has no GPUs, so it would otherwise be chosen first
@@ -349,7 +348,7 @@
 
 
 def test_a_gang_avoids_machines_that_are_fetching() -> None:
-    """On a busy day, one member's image came 40 s late, and the others gave up in turn."""
+    """On a busy day, one member's fetch ended 40 s late, and the waits of the others timed out."""
     world = World()
     for n in range(4):
         world.machine(f"i-{n}")
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -19,7 +19,7 @@
 def test_work_of_higher_priorities_counts_as_load_for_lower_ones() -> None:
     """The load of jobs that go first must be counted.
 
-    On a randomly generated day it was not, and all jobs of the lower priority were late.
+    When it was not, all jobs of the lower priority were late on a randomly generated day.
     """
     first = job("run-1", at=0.0, task_count=12, cpus=1.0, priority="urgent")
     rest = [
@@ -45,7 +45,7 @@
     ],
 )
 def test_a_job_about_to_miss_its_last_deadline_goes_first(now: float, first: str) -> None:
-    """On a day with a zone that was cut off, four percent of jobs missed all their deadlines."""
+    """While a zone was unreachable, four percent of the jobs missed all of their deadlines."""
     jobs = [job("run-1", at=0.0, task_count=40, cpus=1.0), job("run-2", at=now - 1.0, cpus=1.0)]
     assert queue_order(jobs, 16.0, now)[0] == first
 
--- a/tests/scheduling/test_replica_placement.py
+++ b/tests/scheduling/test_replica_placement.py
@@ -36,9 +36,9 @@
 
 
 def test_a_replica_preempts_tasks_that_exit_at_once_before_tasks_that_save() -> None:
-    """In an incident, the victim with the least work to lose saved for five seconds.
+    """In an incident, the chosen victim had the least work to lose but saved for five seconds.
 
-    The replica started that much later.
+    This delayed the start of the replica by the same time.
     """
     world = World()
     warm = world.machine("i-1")
@@ -83,7 +83,7 @@
 
 
 def test_replicas_that_fetch_go_to_different_machines() -> None:
-    """When all were on one machine, the next service found only that machine with the image.
+    """When all were on one machine, only that machine had the image for the next service.
 
     That machine was full.
     """
