--- a/src/ryewing/autoscaling/unhealthy.py
+++ b/src/ryewing/autoscaling/unhealthy.py
@@ -29,23 +29,23 @@
 
 def unhealthy_machines(
     machines: Iterable[Machine],
-    began_at: MonotonicTime,
+    term_started_at: MonotonicTime,
     times: WorkerTimes,
     policy: Policy,
     now: MonotonicTime,
 ) -> list[Release]:
     """Return the machines that never booted, are silent or do not acknowledge, in this order.
 
-    `began_at` is when the term began. If many machines are late at once, the cause may be on
-    the leader's side. Silent machines are then released only after their leases have expired, when
-    no task on them can be lost, and unacknowledging ones are kept.
+    If many machines are late at once, the cause may be on the leader's side. Silent machines are
+    then released only after their leases have expired, when no task on them can be lost, and
+    unacknowledging ones are kept.
     """
     never_booted: list[Machine] = []
     silent: list[Machine] = []
     unacknowledging: list[Machine] = []
     late = known = 0
     for machine in machines:
-        silent_since = _silent_since(machine, began_at)
+        silent_since = _silent_since(machine, term_started_at)
         if silent_since is None:
             if now - machine.rented_at > _boot_timeout_s(machine, policy):
                 never_booted.append(machine)
@@ -69,17 +69,17 @@
     ]
     if few_late and len(unacknowledging) <= max_late:
         # The heartbeats of these machines arrive, but the leader's responses do not reach them, so
-        # they cost money but can't run new tasks.
+        # they cost money but can't run tasks.
         releases += [Release(machine, ReleaseReason.UNACKNOWLEDGING) for machine in unacknowledging]
     return releases
 
 
-def _silent_since(machine: Machine, began_at: MonotonicTime) -> MonotonicTime | None:
+def _silent_since(machine: Machine, term_started_at: MonotonicTime) -> MonotonicTime | None:
     """Return the time since which a machine has been silent; None if it may never have booted."""
     if machine.heard_at is not None:
         return machine.heard_at
     # If the machine is recorded, an earlier term received a heartbeat from it.
-    return began_at if machine.recorded else None
+    return term_started_at if machine.recorded else None
 
 
 def _boot_timeout_s(machine: Machine, policy: Policy) -> float:
