--- a/src/ryewing/scheduling/candidates.py
+++ b/src/ryewing/scheduling/candidates.py
@@ -28,7 +28,7 @@
 
 
 class _UnplaceableKey(NamedTuple):
-    """Identifies jobs that may preempt the same tasks and leave the same resources free."""
+    """Identifies jobs that may preempt the same tasks and must leave the same resources free."""
 
     priority: int
     needs_gpus: bool
--- a/src/ryewing/scheduling/image_survey.py
+++ b/src/ryewing/scheduling/image_survey.py
@@ -42,8 +42,8 @@
         self.work = 0.0
         """GPU-seconds of waiting tasks (CPU-seconds for tasks without GPUs)."""
         self.supply = 0.0
-        """GPUs (or CPUs) of the machines with the image. The resources of a machine
-        with several needed images are divided equally between them."""
+        """GPUs (or CPUs) of the machines with the image. The resources of a machine with several
+        needed images are divided equally between them."""
 
 
 class ImageSurvey:
--- a/src/ryewing/scheduling/machine_suitability.py
+++ b/src/ryewing/scheduling/machine_suitability.py
@@ -13,7 +13,7 @@
 
 
 def allows_machine(spec: JobSpec, machine: Machine) -> bool:
-    """Return whether the spec permits the machine's type, its zone and, if it is spot, spot use."""
+    """Return whether the spec's constraints on machine type, zone and spot permit the machine."""
     return (
         (spec.machine_types is None or machine.machine_type.name in spec.machine_types)
         and (spec.zone is None or machine.zone == spec.zone)
