--- a/src/ryewing/autoscaling/unhealthy.py
+++ b/src/ryewing/autoscaling/unhealthy.py
@@ -14,10 +14,10 @@
 from ryewing.units import MonotonicTime
 
 UNHEARD_MARGIN_S = 0.5
-"""Seconds added to the longest reconciliation for the silence timeout of a machine from which this
-term has received nothing."""
+"""Seconds added to the maximum duration of the reconciliation (`gather_s`) to get the silence
+timeout of a machine from which this term has received nothing."""
 MIN_BOOT_TIMEOUT_S = 60.0
-"""The minimum boot timeout in seconds: a machine released sooner costs as much."""
+"""The minimum boot timeout in seconds. Releasing a machine sooner does not reduce its cost."""
 LATE_AFTER_INTERVALS = 1.3
 """The number of `report_s` after which a heartbeat is late: slightly above the longest interval."""
 MASS_FAILURE_DIVISOR = 3
@@ -29,23 +29,23 @@
 
 def unhealthy_machines(
     machines: Iterable[Machine],
-    began_at: MonotonicTime,
+    term_started_at: MonotonicTime,
     times: WorkerTimes,
     policy: Policy,
     now: MonotonicTime,
 ) -> list[Release]:
     """Return the machines that never booted, are silent or do not acknowledge, in this order.
 
-    `began_at` is when the term began. If many machines are late at once, the cause may be on
-    the leader's side. Silent machines are then released only after their leases have expired, when
-    no task on them can be lost, and unacknowledging ones are kept.
+    If many machines are late at once, the cause may be on the leader's side. Silent machines are
+    then released only after their leases have expired, when no task on them can be lost, and
+    unacknowledging ones are kept.
     """
     never_booted: list[Machine] = []
     silent: list[Machine] = []
     unacknowledging: list[Machine] = []
     late = known = 0
     for machine in machines:
-        silent_since = _silent_since(machine, began_at)
+        silent_since = _silent_since(machine, term_started_at)
         if silent_since is None:
             if now - machine.rented_at > _boot_timeout_s(machine, policy):
                 never_booted.append(machine)
@@ -68,17 +68,18 @@
         if few_late or machine.lease_expires_by is None
     ]
     if few_late and len(unacknowledging) <= max_late:
-        # Their heartbeats arrive, but the leader's responses do not reach them: they cost money and
-        # can't run tasks.
+        # The heartbeats of these machines arrive, but the leader's responses do not reach them, so
+        # they cost money but can't run tasks.
         releases += [Release(machine, ReleaseReason.UNACKNOWLEDGING) for machine in unacknowledging]
     return releases
 
 
-def _silent_since(machine: Machine, began_at: MonotonicTime) -> MonotonicTime | None:
-    """Return the time from which silence is counted; None if a machine may never have booted."""
+def _silent_since(machine: Machine, term_started_at: MonotonicTime) -> MonotonicTime | None:
+    """Return the time since which a machine has been silent; None if it may never have booted."""
     if machine.heard_at is not None:
         return machine.heard_at
-    return began_at if machine.recorded else None  # recorded: an earlier term heard it
+    # If the machine is recorded, an earlier term received a heartbeat from it.
+    return term_started_at if machine.recorded else None
 
 
 def _boot_timeout_s(machine: Machine, policy: Policy) -> float:
--- a/src/ryewing/scheduling/candidates.py
+++ b/src/ryewing/scheduling/candidates.py
@@ -16,7 +16,7 @@
 
 NARROWING_SHARE = 0.5
 """A list of fitting machines is cached only if it has less than this share of the machines of the
-list that was searched."""
+list from which it was filtered."""
 
 
 class _TaskResources(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 class _UnplaceableKey(NamedTuple):
-    """Identifies jobs that may preempt the same tasks and use the same machines."""
+    """Identifies jobs that may preempt the same tasks and must leave the same resources free."""
 
     priority: int
     needs_gpus: bool
@@ -179,7 +179,7 @@
             machines = [
                 capacity
                 for capacity in self.capacities
-                if capacity.cpus > 0 and (capacity.gpus > 0 or not needs_gpus)
+                if capacity.free_cpus > 0 and (capacity.free_gpus > 0 or not needs_gpus)
             ]
             self._with_free_capacity[needs_gpus] = machines
         return [capacity for capacity in machines if capacity.count_fitting(spec, 1)]
--- a/src/ryewing/scheduling/cycle.py
+++ b/src/ryewing/scheduling/cycle.py
@@ -43,7 +43,7 @@
         self._task_placer = TaskPlacer(self._state)
         self._replica_placer = ReplicaPlacer(self._state, self._task_placer)
         self._waiting_for_image: list[Job] = []
-        """Jobs of which some tasks may wait for machines that have their image."""
+        """Jobs whose tasks may wait for machines that have their image."""
 
     def run(
         self, jobs: Sequence[Job], overdue: Sequence[Job], moving: Sequence[Assignment]
@@ -75,8 +75,8 @@
         """Place the jobs that have waited too long to begin.
 
         An array has begun once some of its tasks run, so only a share of it is placed here. A gang
-        begins with all of its tasks or none. Machines are therefore reserved for the first gang
-        without resources, where it could begin soonest; only one gang has a reservation at a time.
+        begins with all of its tasks or none. For the first gang without resources, machines are
+        therefore reserved where it could begin soonest. Only one gang has a reservation at a time.
         """
         plan = self._state.plan
         has_reserved = False
@@ -84,41 +84,41 @@
             if not job.is_gang and not job.is_service:
                 self._place(job, max(1, int(OVERDUE_ARRAY_SHARE * job.spec.task_count)))
                 continue
-            self._place(job)  # every missing replica of a service counts, so all are placed
-            found_no_resources = bool(plan.unplaced) and plan.unplaced[-1].job is job
-            if job.is_gang and found_no_resources and not has_reserved:
+            self._place(job)  # a service is degraded by each missing replica, so all are placed
+            has_no_resources = bool(plan.unplaced) and plan.unplaced[-1].job is job
+            if job.is_gang and has_no_resources and not has_reserved:
                 reserve(self._state, job)
                 has_reserved = True
 
     def _place(self, job: Job, max_tasks: int | None = None) -> None:
         """Place a job's tasks, at most `max_tasks` of them if that is given."""
-        wanted = self._wanted(job, max_tasks)
-        if wanted <= 0:
+        requested = self._allowed_count(job, max_tasks)
+        if requested <= 0:
             return
         state = self._state
         candidates = state.candidates(job)
         if candidates.is_known_unplaceable(job):
-            state.plan.unplaced.append(Unplaced(job, wanted))
+            state.plan.unplaced.append(Unplaced(job, requested))
             return
         state.begin_turn(job)
         usable = self._usable(job, candidates)
         if job.is_service:
-            remaining = wanted - self._replica_placer.place(job, wanted, usable)
+            remaining = requested - self._replica_placer.place(job, requested, usable)
             if remaining > 0:
                 state.plan.unplaced.append(Unplaced(job, remaining))
             return
         self._limit_fetches(job, usable, candidates)
-        remaining = wanted - self._place_tasks(job, wanted, usable)
-        if remaining == wanted:
+        remaining = requested - self._place_tasks(job, requested, usable)
+        if remaining == requested:
             self._record_unplaceable(job, usable, candidates)
         self._record_unplaced(job, remaining, usable, candidates)
 
     def _fetch_on_leftover_capacity(self, job: Job) -> None:
-        """Let a job that waits for warm machines fetch on machines that would stay idle."""
+        """Start tasks of a job that waits for warm machines on machines that would stay idle."""
         state = self._state
         placed = state.plan.parts_of(job)
-        still_wanted = job.shortfall - sum(part.task_count for part in placed)
-        remaining = self._snapshot.quota.headroom(job.spec, still_wanted)
+        unplaced_count = job.shortfall - sum(part.task_count for part in placed)
+        remaining = self._snapshot.quota.headroom(job.spec, unplaced_count)
         if remaining <= 0:
             return
         candidates = state.candidates(job)
@@ -126,9 +126,8 @@
         for part in placed:
             limits.tasks_by_zone[part.machine.zone] += part.task_count
         # `cold_limit` assumes that warm machines can run the job's tasks within the time of a
-        # fetch. For a job that has waited longer than a fetch that was wrong, because other jobs
-        # got those machines first, so the limit no longer applies. This happened on a day with a
-        # zone that was cut off.
+        # fetch. If the job has waited longer than that, other jobs got those machines first, so the
+        # limit no longer applies. This was observed while a zone was unreachable.
         waited_s = state.now - (job.waiting_since if job.waiting_since is not None else state.now)
         if waited_s > candidates.slowest_fetch_s(job.spec):
             limits.cold_starts_left = remaining
@@ -139,15 +138,16 @@
 
     # -- limits of a job ----------------------------------------------------------------------
 
-    def _wanted(self, job: Job, max_tasks: int | None) -> int:
+    def _allowed_count(self, job: Job, max_tasks: int | None) -> int:
         """Return how many tasks may be placed; for a gang, that is all missing members or none."""
-        wanted = job.shortfall if max_tasks is None else min(job.shortfall, max_tasks)
+        requested = job.shortfall if max_tasks is None else min(job.shortfall, max_tasks)
         if job.backoff_s and not job.is_gang:
-            wanted = min(wanted, 1)  # it failed everywhere: one task shows whether it still does
-        if wanted <= 0:
+            # The job failed on all machines; one task is enough to probe whether it still does.
+            requested = min(requested, 1)
+        if requested <= 0:
             return 0
-        allowed = self._snapshot.quota.headroom(job.spec, wanted)
-        return 0 if job.is_gang and allowed < wanted else allowed
+        allowed = self._snapshot.quota.headroom(job.spec, requested)
+        return 0 if job.is_gang and allowed < requested else allowed
 
     def _usable(self, job: Job, candidates: Candidates) -> Candidates:
         """Exclude reserved machines that the job would hold for too long, and those it avoids."""
@@ -176,27 +176,28 @@
 
     # -- tasks of arrays and gangs ------------------------------------------------------------
 
-    def _place_tasks(self, job: Job, wanted: int, usable: Candidates) -> int:
+    def _place_tasks(self, job: Job, requested: int, usable: Candidates) -> int:
         """Place tasks of an array or gang; return how many got free or releasing resources."""
         needs_no_reserve = job.priority < self._snapshot.gpu_reserve.priority
         if job.spec.gpus <= 0 and needs_no_reserve and not job.has_missing_members:
-            return self._place_by_gpu_count(job, wanted, usable)
-        return self._task_placer.place(job, wanted, usable, all_or_nothing=job.is_gang)
+            return self._place_by_gpu_count(job, requested, usable)
+        return self._task_placer.place(job, requested, usable, all_or_nothing=job.is_gang)
 
-    def _place_by_gpu_count(self, job: Job, wanted: int, usable: Candidates) -> int:
+    def _place_by_gpu_count(self, job: Job, requested: int, usable: Candidates) -> int:
         """Place tasks that need no GPUs and whose priority exempts them from the GPU reserve.
 
         Machines without GPUs are tried first, then those with few, each time with preemption of
-        less important tasks: that costs less than a task that runs for minutes and keeps GPUs idle.
+        less important tasks, because a preemption costs less than GPUs that stay idle for the
+        minutes for which the task runs.
         """
-        remaining = wanted
+        remaining = requested
         for gpus in usable.gpu_counts():
             if remaining <= 0:
                 break
             remaining -= self._task_placer.place(
                 job, remaining, usable.with_at_most_gpus(gpus), all_or_nothing=job.is_gang
             )
-        return wanted - remaining
+        return requested - remaining
 
     # -- tasks that were not placed -----------------------------------------------------------
 
@@ -213,7 +214,7 @@
     def _record_unplaced(
         self, job: Job, remaining: int, usable: Candidates, candidates: Candidates
     ) -> None:
-        """Record for how many of the remaining tasks machines should be rented."""
+        """Record the remaining tasks for which machines should be rented."""
         limits = self._state.limits
         if not job.is_gang:
             if remaining > 0 and candidates.slowest_fetch_s(job.spec) > LONG_FETCH_S:
--- a/src/ryewing/scheduling/replicas.py
+++ b/src/ryewing/scheduling/replicas.py
@@ -37,7 +37,7 @@
         self._state = state
         self._task_placer = task_placer
 
-    def place(self, job: Job, wanted: int, usable: Candidates) -> int:
+    def place(self, job: Job, requested: int, usable: Candidates) -> int:
         """Place replicas of the current job or claim resources for them; return for how many.
 
         A service is degraded until its replicas run. Warm machines are therefore preferred, even if
@@ -47,7 +47,7 @@
         displacing, any machine, and last machines that keep a replica's result.
         """
         limits = self._state.limits
-        limits.cold_starts_left = wanted
+        limits.cold_starts_left = requested
         limits.acceptable_wait_s = self._acceptable_wait_s(job)
         eligible = self._without_kept_results(job, usable)
         tiers = [
@@ -58,17 +58,17 @@
         ]
         if eligible is not usable:
             tiers.append(_Tier(False, math.inf, usable))
-        remaining = wanted
+        remaining = requested
         for tier in tiers:
             if remaining <= 0:
                 break
             limits.warm_only = tier.warm_only
             limits.displaced_share_max = tier.displaced_share_max
             remaining -= self._task_placer.place(job, remaining, tier.candidates)
-        return wanted - remaining
+        return requested - remaining
 
     def _without_kept_results(self, job: Job, usable: Candidates) -> Candidates:
-        """Exclude machines that keep a result of a replica, where a new one would end at once."""
+        """Exclude machines that keep a replica's result, since a new replica would end at once."""
         kept_by = job.result_kept_by
         eligible = [c for c in usable.capacities if c.machine.id not in kept_by]
         return self._state.narrowed(usable, eligible)
@@ -79,12 +79,13 @@
         return max(SHORT_WAIT_S, SHORT_WAIT_SHARE * fastest_fetch_s)
 
     def move(self, assignment: Assignment) -> None:
-        """Plan to stop a replica if another, better machine has free resources for it.
+        """Plan to stop a replica if a more suitable machine has free resources for it.
 
         The replica may not start on the new machine before it has ended on the old one. Resources
         on a machine with its image are therefore claimed before it is stopped, so that the gap is
-        no longer than a stop and a start. Without such resources the replica continues to run. If
-        its present machine is about to be reclaimed, the new one may also have to fetch the image.
+        no longer than a stop and a start. Without such resources, the replica continues to run. If
+        its present machine is about to be reclaimed, it may also move to a machine that has to
+        fetch the image.
         """
         job, machine = assignment.job, assignment.machine
         if job is None or assignment.task.number not in job.assigned_tasks:
--- a/tests/scheduling/test_candidates.py
+++ b/tests/scheduling/test_candidates.py
@@ -33,8 +33,8 @@
         for number in range(size // 2):
             job = self._job(f"run-1{number:04d}", 60)
             for machine in self.rng.sample(self.machines, size // 4):
-                room = MachineCapacity(machine).count_fitting(job.spec, self.rng.randrange(1, 9))
-                self.run_tasks(job, machine, min(room, job.shortfall))
+                count = MachineCapacity(machine).count_fitting(job.spec, self.rng.randrange(1, 9))
+                self.run_tasks(job, machine, min(count, job.shortfall))
 
     def _machine(self, number: int) -> Machine:
         kind = self.rng.choice((CPU, CPU, GPU))
@@ -108,8 +108,8 @@
 def test_candidates_narrowed_for_one_job_see_its_preemptions() -> None:
     """Narrowing for one job leaves the shared candidates as they are.
 
-    A job's next step must see the tasks that its previous step stopped. Without that, a replica
-    preempted one task more than it needed.
+    A job's next step must take into account the tasks that its previous step stopped. Otherwise, a
+    replica preempted one task more than it needed.
     """
     world = RandomWorld(1)
     job = world.job("run-9", priority="production", cpus=16.0, spot=True)
@@ -131,7 +131,7 @@
 
 def _fits_after_stops(job: Job, capacity: MachineCapacity, preemptor: Preemptor) -> bool:
     freed = sum(a.job.spec.cpus for a in preemptor.victims_on(job, capacity) if a.job is not None)
-    return capacity.cpus < job.spec.cpus <= capacity.cpus + freed
+    return capacity.free_cpus < job.spec.cpus <= capacity.free_cpus + freed
 
 
 @pytest.mark.parametrize("scale", [1, 4])
