--- a/src/ryewing/wire/codec.py
+++ b/src/ryewing/wire/codec.py
@@ -12,7 +12,7 @@
 """The maximum size of a request body (PROTOCOL)."""
 
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""The exceptions that msgspec can raise while decoding. Deeply nested input raises RecursionError:
+"""The exceptions that msgspec can raise while decoding. Deeply nested input raises RecursionError;
 before it was caught, a test case showed that one response of the store could end the process."""
 
 
@@ -20,10 +20,10 @@
     """A body is invalid, so that a retry can't succeed; the message names the problem."""
 
 
-def decode(data: bytes | msgspec.Raw, kind: type[T]) -> T:
-    """Decode JSON into a message of a type; raise MalformedError if that fails."""
+def decode(data: bytes | msgspec.Raw, value_type: type[T]) -> T:
+    """Decode JSON into a value of a type; raise MalformedError if that fails."""
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=value_type)
     except DECODE_ERRORS as error:
         raise MalformedError(str(error)) from None
 
