--- a/src/ryewing/clients/peers/messages.py
+++ b/src/ryewing/clients/peers/messages.py
@@ -43,9 +43,10 @@
 
 
 class ImageLocality(msgspec.Struct, tag="images", omit_defaults=True):
-    """The leader's record of the images on each machine, from which a successor starts.
+    """The leader's record of cached images and of failing jobs, which a successor takes over.
 
-    It affects only where tasks can start without fetching an image.
+    It affects only where tasks can start without fetching an image, and the backoff of failing
+    jobs.
     """
 
     term: int
--- a/src/ryewing/clients/store/errors.py
+++ b/src/ryewing/clients/store/errors.py
@@ -21,7 +21,7 @@
 
 
 class RejectedError(StoreUnavailableError):
-    """The store refuses a request permanently: it is too large, or has too many writes.
+    """The store refuses a request permanently because it is too large or has too many writes.
 
     It is a subclass of StoreUnavailableError for callers that handle both in the same way.
     """
--- a/src/ryewing/clients/user_request_limiter.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -20,7 +20,7 @@
 WRITE_RESERVE = 0.5
 """The share of the burst that is reserved for submissions and cancels, which users wait for."""
 MIN_FACTOR = 0.25
-"""The minimum of the factor by which the share is reduced while the store throttles requests."""
+"""The minimum of the factor by which the share is multiplied while the store throttles requests."""
 SHRINK_EVERY_S = 0.5
 """Refusals within this many seconds shrink the share only once."""
 RECOVERY_PER_S = 0.1
