--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -61,4 +61,4 @@
         """Cache the shard that a job belongs to."""
 
     def announce_cancel(self, job: JobId, shard: ShardName | None) -> bool:
-        """Announce a cancellation in the store to the leader; False if it may not know of it."""
+        """Notify the leader of a stored cancellation; return False if it may not know of it."""
--- a/src/ryewing/config/policy.py
+++ b/src/ryewing/config/policy.py
@@ -51,7 +51,8 @@
     """If more machines than this fit a job, a scheduling cycle examines a random sample of this
     size."""
     retry_after_s: float
-    """The `Retry-After` of refused requests, unless a rate limit gives a longer wait."""
+    """The default `Retry-After` of 503 responses. A rate limit can require a longer one, and
+    submissions refused because there are too many unfinished jobs have their own."""
 
 
 def default_policy(settings: Settings) -> Policy:
--- a/src/ryewing/config/settings.py
+++ b/src/ryewing/config/settings.py
@@ -111,8 +111,8 @@
     def strictest(self) -> StateLimits:
         """Return the lower of the present and the announced value for each limit.
 
-        When the announced limits take effect is not known, so a controller obeys both from its
-        start.
+        The time at which the announced limits take effect is not known, so a controller obeys both
+        from its start.
         """
         later = self.next
         if later is None:
