--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -78,7 +78,7 @@
 def test_a_single_invalid_field_is_refused_permanently(client: Client, field: str) -> None:
     """A field that is missing, null, of a wrong type, negative or huge gets a 400 or 422.
 
-    Jobs that lacked `together`, `spread` or `loaner` were accepted.
+    Submissions that lacked `together`, `spread` or `loaner` were once accepted.
     """
     good = submission(machine_types=["c32"], zone="a", deadline_s=9.0)
     without_field = {name: value for name, value in good.items() if name != field}
@@ -178,7 +178,7 @@
     ],
 )
 def test_headers(lines: bytes, wrong: bool, length: str | None) -> None:
-    """They have a parser of their own: the email parser took a third of a heartbeat's time."""
+    """The parser replaces the email parser, which took a third of the time of a heartbeat."""
     headers = RequestHeaders.read(io.BytesIO(lines + b"\r\nbody"))
     assert bool(headers.status) is wrong
     if not wrong:
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize(
-    "role", ["leader", "follower", "follower of a silent leader", "without a leader"]
+    "role", ["leader", "follower", "follower of an unresponsive leader", "without a leader"]
 )
 @pytest.mark.parametrize(
     ("stored", "expected"),
@@ -241,7 +241,7 @@
             answer.get("status") == expected if status == 200 else "Retry-After" in client.headers
         )
     node.store.down = False
-    for _ in range(2):  # every poll from now on, so well within the 75 s
+    for _ in range(2):  # the rules allow 75 s until polls get 200; here each one does at once
         status, answer = client("GET", "/v2/runs/run-1")
         assert (status, answer["status"]) == (200, expected)
     assert client("GET", "/v2/runs/run-2")[0] == 404
@@ -252,8 +252,8 @@
         client.add_final_record(f"run-{n}", "done")
         assert client("GET", f"/v2/runs/run-{n}")[0] == 200
     client.node.store.down = True
-    seen = [client("GET", f"/v2/runs/run-{n}")[0] for n in range(1, 6)]
-    assert seen == [503, 503, 200, 200, 200]
+    statuses = [client("GET", f"/v2/runs/run-{n}")[0] for n in range(1, 6)]
+    assert statuses == [503, 503, 200, 200, 200]
 
 
 @pytest.mark.parametrize(
@@ -280,7 +280,7 @@
 
 
 @pytest.mark.parametrize(
-    ("leads", "follows", "status", "body"),
+    ("leads", "remote_leader", "status", "body"),
     [
         (False, "n-1", 421, {"foreman": "n-1"}),
         (True, "n-1", 421, {"foreman": "n-1"}),  # no longer leads, or may not answer
@@ -288,9 +288,9 @@
     ],
 )
 def test_workers_are_redirected_to_the_leader(
-    client: Client, leads: bool, follows: str | None, status: int, body: dict[str, str]
+    client: Client, leads: bool, remote_leader: str | None, status: int, body: dict[str, str]
 ) -> None:
     client.node.leader = FakeLeader() if leads else None
-    client.node.remote_leader_name = follows
+    client.node.remote_leader_name = remote_leader
     heartbeat = {"host": "i-1", "tenure": 1, "tick": 1, "mandate": 0, "flavour": "c32", "site": "a"}
     assert client("POST", "/v1/report", msgspec.json.encode(heartbeat)) == (status, body)
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -68,7 +68,7 @@
 
 
 def test_a_restarted_peer_is_reached_over_a_new_connection() -> None:
-    """After one failure all idle connections are closed: each would cost one more deadline."""
+    """One failure closes all idle connections, because each would cost one more deadline."""
     server = start_server()
     address: Address = server.address
     peer = PeerClient(address)
--- a/tests/clients/test_unreadable.py
+++ b/tests/clients/test_unreadable.py
@@ -139,7 +139,7 @@
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A response that was nested too deeply ended the process that followed the lease."""
+    """A deeply nested response once ended, by RecursionError, the process that read it."""
     monkeypatch.setattr(
         "ryewing.clients.store.client.HttpClient.request", lambda *_args: Reply(200, body)
     )
--- a/tests/clients/test_user_request_limiter.py
+++ b/tests/clients/test_user_request_limiter.py
@@ -79,7 +79,10 @@
 def test_polls_leave_enough_of_the_rate_for_electing_a_leader(
     cluster: SimulatedCluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On a day on which the leader froze, 54,588 of 80,362 requests to the store were refused."""
+    """Without the limiter, polls used up the store's rate limit while there was no leader.
+
+    On a day on which the leader froze, 54,588 of 80,362 requests to the store were refused.
+    """
     for number in range(1, 4):
         cluster.worker(f"i-{number:06d}")
     cluster.run(4.0)
@@ -168,8 +171,8 @@
     cluster.submit(CONTROLLERS[1], "run-1")
     limiter = cluster.nodes[CONTROLLERS[1]].user_limiter
     for _ in range(500):
-        limiter.charge()  # takes half a minute to refill
+        limiter.charge()  # the bucket then needs half a minute to refill
     headers: list[dict[str, str]] = []
     environ = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/run-1"}
-    cluster.apis[CONTROLLERS[1]](environ, lambda _status, found: headers.append(dict(found)))
+    cluster.apis[CONTROLLERS[1]](environ, lambda _status, sent: headers.append(dict(sent)))
     assert 20 <= int(headers[0]["Retry-After"]) <= 40
--- a/tests/system/test_cancellation.py
+++ b/tests/system/test_cancellation.py
@@ -16,7 +16,7 @@
 
 
 def cancelled_while_the_next_leader_loads(cluster: SimulatedCluster) -> None:
-    """A new leader is notified of the cancel after it has read the jobs, but not the rest."""
+    """A new leader is notified of the cancel between its reads of the jobs and of the machines."""
     start_job(cluster)
     cluster.submit("n-0", "run-2", cpus=30.0)
     cluster.run(1.0)
@@ -140,7 +140,7 @@
 
 
 def a_leader_resigns_when_its_watch_hangs(cluster: SimulatedCluster) -> None:
-    """It can't lead without its watch, and blocks other leaders by its lease, so it must resign."""
+    """A leader needs its watch, and its lease blocks other candidates, so it must resign."""
     start_leader(cluster)
     cluster.links["n-0"].watch_hangs = True
     cluster.run(5.0)
@@ -202,7 +202,8 @@
         worker.send_heartbeat()
         leader = cluster.leader("n-0")
         assert leader is not None
-        # First the final state is written after the cancel, then between its read and its write.
+        # The final state of run-1 is written after the cancel, that of run-2 between the read and
+        # the write of the cancel.
         write = leader.writer.write_once
         if number == 1:
             link.after_txn = lambda write=write: write() and None
--- a/tests/system/test_compound_failures.py
+++ b/tests/system/test_compound_failures.py
@@ -132,7 +132,7 @@
     first.hangs = False
     cluster.run(6.0)
     cluster.dead.add("n-0")
-    first.heartbeats_lost = True  # at first only the copy arrives
+    first.heartbeats_lost = True  # at first only copies of the old heartbeat arrive
     while not any(cluster.leader(name) for name in CONTROLLERS[1:]):
         cluster.run(0.25)
     second.send_heartbeat()
@@ -173,7 +173,7 @@
 
 
 def a_failover_whose_response_is_lost(cluster: SimulatedCluster) -> None:
-    """A candidate writes its new term but gets no response; it must lead soon all the same."""
+    """A candidate writes its new term but gets no response; it must lead within a second."""
     start_job(cluster)
     cluster.dead.add("n-0")
     cluster.links["n-2"].refused = True
@@ -189,7 +189,7 @@
 
 
 def leaders_change_ten_times(cluster: SimulatedCluster) -> None:
-    """Ten leaders die within two minutes, two of them in an outage; each is back after 0.5 s."""
+    """Ten leaders die within two minutes, two of them in an outage; each restarts after 0.5 s."""
     start_leader(cluster, machines=2)
     for number in range(1, 9):
         cluster.submit("n-1", f"run-{number}", cpus=16.0)
@@ -266,7 +266,7 @@
 
 
 def machines_that_only_send_or_only_receive(cluster: SimulatedCluster) -> None:
-    """Heartbeats or replies of machines are lost during cancels and a failover."""
+    """Heartbeats, or the replies to them, are lost during cancels and a failover."""
     start_leader(cluster, machines=4)
     for number in range(1, 5):
         cluster.submit("n-1", f"run-{number}", cpus=20.0)
@@ -301,7 +301,7 @@
 
 
 def a_frozen_leader(cluster: SimulatedCluster) -> None:
-    """The leader is frozen while another controller takes over and a user cancels, then resumes."""
+    """The leader freezes, another one takes over, a user cancels, and the old leader resumes."""
     worker = start_job(cluster)
     cluster.frozen.add("n-0")
     cluster.run(5.0)
@@ -414,7 +414,7 @@
 def test_an_unreadable_election_record_prevents_a_takeover(
     cluster: SimulatedCluster, key: str
 ) -> None:
-    """An unreadable holder's lease must expire first; an unreadable term number is never raised."""
+    """An unreadable holder's lease must expire first; no term follows an unreadable term number."""
     start_leader(cluster)
     holder = cluster.store.data["lead/holder"]
     cluster.store.write_raw(key, b"[1]", holder[2] if key == "lead/holder" else None)
@@ -427,7 +427,10 @@
 
 
 def test_four_single_task_jobs_a_second_at_the_lowest_write_rate(cluster: SimulatedCluster) -> None:
-    """A quarter is cancelled. Each job's end is one write; no end is late, and no job waits."""
+    """A quarter of the jobs are cancelled.
+
+    A job's end must take only its two writes, no final state may be late, and no job may wait.
+    """
     cluster.state_limits = {"write_rps": 15.0}
     for name in CONTROLLERS:
         cluster.boot(name)
@@ -442,12 +445,12 @@
         if number % 4 == 0:
             assert cluster.cancel(CONTROLLERS[number % 3], f"run-{number - 2}") == 200
         for worker in cluster.workers.values():
-            for (reported, attempt), found in worker.tasks.items():
-                since = first_seen.setdefault(reported, cluster.clock())
-                if found.status == "running" and cluster.clock() >= since + 4.0:
-                    done = ReportedTask(reported, attempt, "ended", "done")
-                    worker.tasks[reported, attempt] = done
-                    ended.setdefault(reported.split("/")[0], cluster.clock())
+            for (task_id, attempt), reported in worker.tasks.items():
+                since = first_seen.setdefault(task_id, cluster.clock())
+                if reported.status == "running" and cluster.clock() >= since + 4.0:
+                    done = ReportedTask(task_id, attempt, "ended", "done")
+                    worker.tasks[task_id, attempt] = done
+                    ended.setdefault(task_id.split("/")[0], cluster.clock())
                     worker.next_heartbeat_at = min(worker.next_heartbeat_at, cluster.clock() + 0.5)
         cluster.rules.check()
         for job, at in list(ended.items()):
--- a/tests/system/test_slow_links.py
+++ b/tests/system/test_slow_links.py
@@ -16,9 +16,9 @@
 """Seconds within which the largest jobs must start."""
 
 
-def start_workers(cluster: SimulatedCluster, count: int, **kind: str) -> list[TimedWorker]:
+def start_workers(cluster: SimulatedCluster, count: int, **fields: str) -> list[TimedWorker]:
     """Add machines and wait until a leader can place tasks on them; return their workers."""
-    workers = [cluster.worker(f"i-{number:06d}", **kind) for number in range(1, count + 1)]
+    workers = [cluster.worker(f"i-{number:06d}", **fields) for number in range(1, count + 1)]
     cluster.run(4.0)
     return workers
 
@@ -26,9 +26,9 @@
 def count_live_tasks(cluster: SimulatedCluster, ref: str) -> int:
     """Return how many of a job's tasks are on machines and have not ended."""
     return sum(
-        found.status != "ended" and reported.startswith(f"{ref}/")
+        reported.status != "ended" and task_id.startswith(f"{ref}/")
         for worker in cluster.workers.values()
-        for (reported, _attempt), found in worker.tasks.items()
+        for (task_id, _attempt), reported in worker.tasks.items()
     )
 
 
@@ -119,7 +119,7 @@
 
 
 class Overload:
-    """Submits more gangs and arrays than the machines have room for, over slow links."""
+    """Submits more gangs and arrays than fit on the machines, over slow links."""
 
     LARGE_GANG, LARGE_ARRAY = "run-1", "run-2"
 
@@ -165,8 +165,8 @@
     def _end_finished_tasks(self, run_s: float) -> None:
         now = self.cluster.clock()
         for worker in self.workers:
-            for key, found in list(worker.tasks.items()):
-                if found.status != "running":
+            for key, reported in list(worker.tasks.items()):
+                if reported.status != "running":
                     continue
                 task = parse_task_id(key[0])
                 assert task is not None
@@ -186,7 +186,7 @@
 def test_the_largest_jobs_start_over_slow_links(
     cluster: SimulatedCluster, answer_delay_s: float, leader_changes: bool
 ) -> None:
-    """Responses take up to as long as workers wait; the largest jobs must still start in time."""
+    """Responses take as long as workers wait for them; the largest jobs must start in time."""
     overload = Overload(cluster, answer_delay_s)
     overload.run_overloaded(25.0)
     overload.submit_largest()
