--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -45,47 +45,47 @@
     jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
     used: dict[str, float] = defaultdict(float)
     for worker in cluster.workers.values():
-        for task in (parse_task_id(reported) for reported, _ in worker.tasks):
+        for task in (parse_task_id(task_id) for task_id, _ in worker.tasks):
             if task is not None and task.job in jobs:
                 used[jobs[task.job].spec.team] += jobs[task.job].spec.gpus
-    found = []
+    waits = []
     for leader in leaders:
         for job in leader.term.job_table:
-            need = job.spec
-            limit = leader.term.teams[need.team].gpus_max
+            spec = job.spec
+            limit = leader.term.teams[spec.team].gpus_max
             if job.shortfall <= 0 or job.backoff_s:
                 continue
             # A gang needs quota for all its missing tasks at once, an array for a single task.
             min_tasks = job.shortfall if job.is_gang else 1
-            if limit and used[need.team] + min_tasks * need.gpus > limit:
+            if limit and used[spec.team] + min_tasks * spec.gpus > limit:
                 continue
-            found += [
+            waits += [
                 f"{job.id} while {name} is idle"
-                for name in _idle_machines_that_fit(cluster, leader, need)
+                for name in _idle_machines_that_fit(cluster, leader, spec)
             ]
-    return found
+    return waits
 
 
 def _jobs_still_waiting_after(cluster: SimulatedCluster, seconds: float) -> list[str]:
     """Return the jobs that wait despite idle machines at every check over `seconds`."""
-    found = jobs_waiting_despite_idle_machines(cluster)
+    waits = jobs_waiting_despite_idle_machines(cluster)
     until = cluster.clock() + seconds
-    while found and cluster.clock() < until:
+    while waits and cluster.clock() < until:
         cluster.run(2.0)
         waiting = {text.split()[0] for text in jobs_waiting_despite_idle_machines(cluster)}
-        found = [text for text in found if text.split()[0] in waiting]
-    return found
+        waits = [text for text in waits if text.split()[0] in waiting]
+    return waits
 
 
-def _idle_machines_that_fit(cluster: SimulatedCluster, leader: Leader, need: JobSpec) -> list[str]:
+def _idle_machines_that_fit(cluster: SimulatedCluster, leader: Leader, spec: JobSpec) -> list[str]:
     return [
         machine.id
         for machine in leader.term.cluster.machines.values()
         if machine.id in cluster.workers
         and cluster.workers[machine.id].tasks == {}
-        and need.cpus <= machine.machine_type.cpus
-        and need.gpus <= machine.machine_type.gpus
-        and (need.zone is None or need.zone == machine.zone)
+        and spec.cpus <= machine.machine_type.cpus
+        and spec.gpus <= machine.machine_type.gpus
+        and (spec.zone is None or spec.zone == machine.zone)
     ]
 
 
--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -29,8 +29,8 @@
 def add_machines(cluster: SimulatedCluster, machines: int, with_gpus: int = 0) -> None:
     """Add machines, spread evenly over the zones; the last `with_gpus` ones have GPUs."""
     for number in range(machines + with_gpus):
-        kind = "g4" if number >= machines else "c32"
-        cluster.worker(f"i-{number:06d}", machine_type=kind, zone="abc"[number % 3])
+        machine_type = "g4" if number >= machines else "c32"
+        cluster.worker(f"i-{number:06d}", machine_type=machine_type, zone="abc"[number % 3])
 
 
 def read_registry(cluster: SimulatedCluster) -> RegistrySnapshot:
@@ -48,13 +48,13 @@
 
 def request_move(cluster: SimulatedCluster, shard: str, target: str) -> bool:
     """Request the move of a shard, as the `shards` command does; return whether it was accepted."""
-    found = read_registry(cluster)
+    snapshot = read_registry(cluster)
     registry = ShardRegistry(cluster.store)  # type: ignore[arg-type]
     try:
         applied = registry.apply_step(
             ShardName(shard),
-            found.shards[ShardName(shard)],
-            lambda old: begin_move(old, NodeName(target), found.healthy) if old else None,
+            snapshot.shards[ShardName(shard)],
+            lambda old: begin_move(old, NodeName(target), snapshot.healthy) if old else None,
         )
     except MoveRefusedError:
         return False
@@ -92,7 +92,7 @@
     """End all faults; return all violations, among them a shard that no controller leads."""
     for name in [name for name, worker in cluster.workers.items() if worker.notice_s is not None]:
         del cluster.workers[name]  # the cloud reclaims the spot machines after their notice
-    found = cluster.violations_after_settling(MAX_WAIT_S)
+    violations = cluster.violations_after_settling(MAX_WAIT_S)
     if not all_shards_led(cluster):
-        found.append(f"not owned: {read_registry(cluster).shards}")
-    return found
+        violations.append(f"not owned: {read_registry(cluster).shards}")
+    return violations
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -167,12 +167,12 @@
 
     def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
         self._check()
-        found = [
+        entries = [
             Entry(key, msgspec.Raw(value), key_version)
             for key, (value, key_version, _) in sorted(self.data.items())
             if key.startswith(prefix)
         ]
-        return found, Revision(self.revision)
+        return entries, Revision(self.revision)
 
     def txn(self, conditions: dict[str, KeyVersion], writes: list[Put | Remove]) -> TxnResult:
         self._check()
--- a/tests/support/fault_injector.py
+++ b/tests/support/fault_injector.py
@@ -36,7 +36,7 @@
         ]
 
     def inject(self) -> None:
-        """Inject one randomly chosen fault; faults already in force continue."""
+        """Inject one randomly chosen fault; faults that are already active continue."""
         self._rng.choice(self._faults)()
 
     def heal(self) -> None:
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -128,9 +128,9 @@
         self.leader.job_watcher.apply_record(entry.key, entry.data, KeyVersion(result.revision))
         return JobId(ref)
 
-    def worker(self, name: str = "i-000001", **kind: Any) -> FakeWorker:
-        """Add a worker of which the leader has not heard yet."""
-        worker = FakeWorker(name, **kind)
+    def worker(self, name: str = "i-000001", **fields: Any) -> FakeWorker:
+        """Add a worker that has not sent a heartbeat yet."""
+        worker = FakeWorker(name, **fields)
         self.workers[name] = worker
         return worker
 
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -62,10 +62,10 @@
         """Add a job with all tasks unassigned."""
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
-    def run_tasks(self, one: Job, machine: Machine, count: int) -> None:
+    def run_tasks(self, job: Job, machine: Machine, count: int) -> None:
         """Mark tasks of a job as running on a machine."""
-        for index in one.dequeue(count):
-            self.cluster.assign(machine, TaskId(one.id, index), Attempt(1), TaskPhase.RUNNING, T0)
+        for index in job.dequeue(count):
+            self.cluster.assign(machine, TaskId(job.id, index), Attempt(1), TaskPhase.RUNNING, T0)
 
     def plan(
         self,
@@ -83,8 +83,8 @@
         which count against each team; `moving` are replicas that should run elsewhere.
         """
         gpu_reserve = NO_RESERVE
-        for one in self.job_table:
-            gpu_reserve = gpu_reserve.including(one)
+        for job in self.job_table:
+            gpu_reserve = gpu_reserve.including(job)
         quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unreconciled)
         capacities = [
             MachineCapacity(m) for m in self.cluster.machines.values() if m.is_schedulable()
@@ -115,4 +115,4 @@
     """Return the ids of jobs in queue order, for a supply of `total` CPUs at the time `now`."""
     supply = queueing.Supply(total, 0.0)
     ordered = queueing.order(jobs, settings().params.objectives, supply, supply, WallTime(now))
-    return [one.id for one in ordered]
+    return [job.id for job in ordered]
--- a/tests/support/planner_inputs.py
+++ b/tests/support/planner_inputs.py
@@ -11,7 +11,7 @@
 
 
 def random_inputs(rng: random.Random, shards: int, nodes: int) -> PlanInputs:
-    """Return shards with random load, owner, pin and last move, and nodes with random room."""
+    """Return shards with random load, owner, pin and last move, and nodes of random capacity."""
     names = [NodeName(f"n-{number}") for number in range(nodes)]
     return PlanInputs(
         [
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -15,7 +15,7 @@
 LOOPBACK = ROOT / "tests" / "support" / "loopback.py"
 """The program that simulates the store, the cloud and workers, and starts controllers."""
 TIMEOUT_S = 90.0
-"""Far longer than needed, so that tests pass on a slow machine."""
+"""How long tests wait for a status; far longer than needed, so that they pass on a slow machine."""
 
 
 def find_free_ports() -> int:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -78,10 +78,10 @@
         if task.job in self.cancelled_at:
             self.add_violation("ran_cancelled", f"{worker.name} starts {key[0]}")
         for other in self._cluster.workers.values():
-            for (reported, attempt), found in other.tasks.items():
+            for (task_id, attempt), reported in other.tasks.items():
                 if (
-                    reported == key[0]
-                    and found.status != "ended"
+                    task_id == key[0]
+                    and reported.status != "ended"
                     and (other, attempt) != (worker, key[1])
                 ):
                     self.add_violation("ran_twice", f"{key[0]} on {other.name} and {worker.name}")
@@ -109,16 +109,16 @@
         cancel_s = cluster.settings.params.workers.cancel_s
         used: Counter[str] = Counter()
         for worker in cluster.workers.values():
-            for (reported, _attempt), found in worker.tasks.items():
-                task = parse_task_id(reported)
+            for (task_id, _attempt), reported in worker.tasks.items():
+                task = parse_task_id(task_id)
                 assert task is not None
-                if found.status == "ended":
-                    if found.cause == EndCause.DONE:
+                if reported.status == "ended":
+                    if reported.cause == EndCause.DONE:
                         self.ended_done.setdefault(task.job, set()).add(task.number)
                     continue
                 cancelled_at = self.cancelled_at.get(task.job)
                 if cancelled_at is not None and cluster.clock() > cancelled_at + cancel_s:
-                    self.add_violation("ran_cancelled", f"{reported} on {worker.name}")
+                    self.add_violation("ran_cancelled", f"{task_id} on {worker.name}")
                 spec = self.job_specs[task.job]
                 used[spec.team] += spec.gpus
         for team in cluster.settings.params.teams:
--- a/tests/support/scenarios.py
+++ b/tests/support/scenarios.py
@@ -28,5 +28,5 @@
     worker = start_leader(cluster)
     cluster.submit(CONTROLLERS[0], ref)
     cluster.run(8.0)
-    assert [reported for reported, _ in worker.tasks] == [f"{ref}/0"]
+    assert [task_id for task_id, _ in worker.tasks] == [f"{ref}/0"]
     return worker
--- a/tests/support/simulated_cluster.py
+++ b/tests/support/simulated_cluster.py
@@ -239,7 +239,7 @@
             leader.direct_messages.schedule = leader.direct_messages.send  # type: ignore[method-assign]
 
     def _bucket(self, bucket: TokenBucket) -> TokenBucket:
-        """Return a token bucket that uses the test's clock, so that real time changes no result."""
+        """Return a token bucket on the test's clock, so that results do not depend on real time."""
         return TokenBucket(bucket.rate, bucket.burst, self.clock)
 
     def _release(self, machines: list[MachineId]) -> None:
@@ -265,8 +265,8 @@
 
     def leader_of(self, shard: str | None) -> str:
         """Return the controller that leads the latest term of a shard, or n-0 if none leads."""
-        found = [(self.leader(name, shard), name) for name in CONTROLLERS]
-        leading = [(leader.term.number, name) for leader, name in found if leader is not None]
+        leaders = [(self.leader(name, shard), name) for name in CONTROLLERS]
+        leading = [(leader.term.number, name) for leader, name in leaders if leader is not None]
         return max(leading, default=(0, CONTROLLERS[0]))[1]
 
     def leader(self, name: str, shard: str | None = None) -> Leader | None:
@@ -275,15 +275,15 @@
 
     def latest_leaders(self) -> list[Leader]:
         """Return the leader of the latest term of each shard that has a leader."""
-        found = [
+        leaders = [
             self.leader(self.leader_of(shard), shard)
             for shard in self.nodes[CONTROLLERS[0]].electors
         ]
-        return [leader for leader in found if leader is not None]
+        return [leader for leader in leaders if leader is not None]
 
-    def worker(self, name: str = "i-000001", **kind: Any) -> TimedWorker:
+    def worker(self, name: str = "i-000001", **fields: Any) -> TimedWorker:
         """Add a machine and its worker."""
-        self.workers[name] = TimedWorker(self, name, **kind)
+        self.workers[name] = TimedWorker(self, name, **fields)
         return self.workers[name]
 
     def send_heartbeat(self, node: str, heartbeat: Heartbeat) -> tuple[int, Any]:
@@ -351,10 +351,10 @@
         members = {
             other[0]
             for worker in self.workers.values()
-            for other, found in worker.tasks.items()
+            for other, reported in worker.tasks.items()
             if other[1] == key[1]
             and other[0].startswith(f"{task.job}/")
-            and (found.status in ("gathering", "running") or found.cause == "done")
+            and (reported.status in ("gathering", "running") or reported.cause == "done")
         }
         return len(members) == int(self.rules.job_specs[task.job].task_count)
 
--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -86,15 +86,15 @@
 
     def get(self, key: str) -> Entry | None:
         self.check_available()
-        found = self._store.get(key)
+        entry = self._store.get(key)
         self._call_before_answer(key)
-        return found
+        return entry
 
     def listing(self, prefix: str) -> tuple[list[Entry], Revision]:
         self.check_available()
-        found = self._store.listing(prefix)
+        result = self._store.listing(prefix)
         self._call_before_answer(prefix)
-        return found
+        return result
 
     def _call_before_answer(self, key: str) -> None:
         if self.before_answer is not None:
@@ -142,12 +142,12 @@
         self.check_available()
         if self.watch_hangs:
             raise StoreUnavailableError("deadline")
-        found = self._store.watch(prefix, since, wait_s)
+        changes = self._store.watch(prefix, since, wait_s)
         if self.during_watch is not None:
             hook, self.during_watch = self.during_watch, None
             hook()
         if self.max_watch_revision is not None:
             limit = self.max_watch_revision
-            log = [change for change in found.log if change.key_version <= limit]
-            return ChangeLog(int(max(since, min(found.revision, limit))), log)
-        return found
+            log = [change for change in changes.log if change.key_version <= limit]
+            return ChangeLog(int(max(since, min(changes.revision, limit))), log)
+        return changes
--- a/tests/support/timed_workers.py
+++ b/tests/support/timed_workers.py
@@ -31,8 +31,8 @@
 class TimedWorker(FakeWorker):
     """A worker with a lease that sends its heartbeats to one controller at a time."""
 
-    def __init__(self, cluster: SimulatedCluster, name: str, **kind: Any) -> None:
-        super().__init__(name, **kind)
+    def __init__(self, cluster: SimulatedCluster, name: str, **fields: Any) -> None:
+        super().__init__(name, **fields)
         self._cluster = cluster
         self.node = CONTROLLERS[0]
         self.lease_renewed_at: float = cluster.clock()
@@ -74,14 +74,14 @@
 
     def finish(self, cause: str = "done") -> None:
         """End all tasks except those that wait for the rest of their gang."""
-        for key, found in list(self.tasks.items()):
-            if found.status not in ("ended", "gathering"):
+        for key, reported in list(self.tasks.items()):
+            if reported.status not in ("ended", "gathering"):
                 self.end_task(key, cause)
 
     def _step_gangs(self) -> None:
         """Run the tasks whose gang is complete; end those that have waited for `gang_wait_s`."""
-        for key, found in list(self.tasks.items()):
-            if found.status != "gathering":
+        for key, reported in list(self.tasks.items()):
+            if reported.status != "gathering":
                 continue
             if self._cluster.is_gang_complete(key):
                 self._set_status(key, "running")
@@ -180,10 +180,10 @@
     def send(
         self, address: str, token: FencingToken, incarnation: int, commands: list[Command]
     ) -> Heartbeat:
-        found = [w for w in self._cluster.workers.values() if w.address == address]
-        if not found:
+        matching = [w for w in self._cluster.workers.values() if w.address == address]
+        if not matching:
             raise WorkerUnavailableError("deadline")
-        [worker] = found
+        [worker] = matching
         if worker.hangs or worker.replies_lost or self._node in worker.unreachable:
             raise WorkerUnavailableError("deadline")
         if worker.delays_commands:
