--- a/tools/measure_shards.py
+++ b/tools/measure_shards.py
@@ -94,8 +94,8 @@
 
     def observe(self) -> Observation:
         """Return the current counters of the simulated store and workers."""
-        _, found = fetch(f"http://127.0.0.1:{self.port + 1}/trouble/observed")
-        return msgspec.convert(found, Observation)
+        _, counters = fetch(f"http://127.0.0.1:{self.port + 1}/trouble/observed")
+        return msgspec.convert(counters, Observation)
 
     def run_shards_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Run the operators' `shards` command."""
@@ -107,14 +107,14 @@
         for line in self.run_shards_command().stdout.splitlines()[1:]:
             if line.split()[0] == shard:
                 return line.split()[1]
-        _, found = fetch(f"http://127.0.0.1:{self.port}/store/lead/holder")
-        return str(found["data"]["node"])
+        _, entry = fetch(f"http://127.0.0.1:{self.port}/store/lead/holder")
+        return str(entry["data"]["node"])
 
     def pid(self, node: str) -> int:
         """Return the process id of a controller."""
-        found = re.search(rf"{node}: .*process (\d+)", self._output.read_text())
-        assert found is not None
-        return int(found.group(1))
+        match = re.search(rf"{node}: .*process (\d+)", self._output.read_text())
+        assert match is not None
+        return int(match.group(1))
 
 
 class Observation(msgspec.Struct):
