--- a/src/ryewing/clients/peers/messages.py
+++ b/src/ryewing/clients/peers/messages.py
@@ -37,7 +37,7 @@
 
 
 class LoadQuery(msgspec.Struct, tag="load", omit_defaults=True):
-    """A follower's request for the load of the leader, and whether it can accept more jobs."""
+    """A follower's request for the leader's load, and for whether it can accept more jobs."""
 
     shard: str | None = None
 
@@ -78,15 +78,17 @@
 
 
 class Ack(msgspec.Struct, tag="ack"):
-    """The response to a notice: whether it was applied."""
+    """The response to a notice, to `LoadQuery` in an undivided fleet, and for an unknown shard."""
 
     ok: bool
+    """Whether the notice was applied, or the leader can accept more jobs."""
 
 
 class ShardLoadAnswer(msgspec.Struct, tag="shardload"):
-    """The response to `LoadQuery`: the load of one shard."""
+    """The response to `LoadQuery` in a divided fleet: the load of one shard."""
 
     full: bool
+    """Whether the leader holds as many jobs as its memory allows."""
     backlog: float
     """Queued work as a fraction of the capacity of the shard's machines."""
 
