--- a/src/ryewing/wire/jobs.py
+++ b/src/ryewing/wire/jobs.py
@@ -40,8 +40,8 @@
     "spot": "loaner",
     "deadline_s": "due_s",
 }
-_NAMES = ("job_class", "team", "image")
-_AMOUNTS = (
+_NON_EMPTY_FIELDS = ("job_class", "team", "image")
+_AMOUNT_FIELDS = (
     "cpus",
     "gpus",
     "memory_gb",
@@ -158,13 +158,13 @@
     if not 1 <= spec.task_count <= MAX_TASKS:
         raise MalformedError(f"pieces: must be from 1 to {MAX_TASKS}")
     _check_amounts(spec)
-    for name in _NAMES:
+    for name in _NON_EMPTY_FIELDS:
         if not getattr(spec, name):
             raise MalformedError(f"{_JOB_SPEC_KEYS[name]}: must not be empty")
 
 
 def _check_amounts(spec: JobSpec) -> None:
-    for name in _AMOUNTS:
+    for name in _AMOUNT_FIELDS:
         value = getattr(spec, name)
         if value is not None and (not math.isfinite(value) or value < 0):
             key = _JOB_SPEC_KEYS.get(name, name)
