--- a/src/ryewing/config/policy.py
+++ b/src/ryewing/config/policy.py
@@ -43,7 +43,8 @@
     idle_return_s: float
     """How long a machine must have been idle before it is released."""
     boot_patience: float
-    """A machine is released if it has not booted within this multiple of its type's boot time."""
+    """A machine is released if it has not booted within this multiple of its type's boot time, or
+    within a minute if that is longer."""
     drain_target_s: float
     """The target time for completing the waiting tasks of an array; it determines how many machines
     are rented."""
