--- a/tests/support/divided_fleet.py
+++ b/tests/support/divided_fleet.py
@@ -15,7 +15,7 @@
 """With two shards, `SHARD_1` has zone a, and `SHARD_2` has zones b and c."""
 
 MAX_WAIT_S = 90.0
-"""Seconds the rules let a job wait despite idle machines, as gangs and small jobs take turns."""
+"""Seconds that a job may wait despite idle machines, because gangs and small jobs take turns."""
 
 MakeCluster = Callable[..., SimulatedCluster]
 
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -48,11 +48,11 @@
         self.sent: list[Command] = []
 
     def send(
-        self, address: str, term: FencingToken, incarnation: int, commands: list[Command]
+        self, address: str, token: FencingToken, incarnation: int, commands: list[Command]
     ) -> Heartbeat:
         worker = next(w for w in self.workers.values() if w.heartbeat().address == address)
-        if term >= worker.token and incarnation == worker.incarnation:
-            worker.execute(term, commands)
+        if token >= worker.token and incarnation == worker.incarnation:
+            worker.execute(token, commands)
             self.sent.extend(commands)
         return worker.heartbeat()
 
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -36,7 +36,7 @@
         self.cancelled_at: dict[str, float] = {}
         """By job, when a response first said that it is cancelled."""
         self.violations: list[str] = []
-        self.ended_done: dict[str, set[int]] = {}
+        self.finished_tasks: dict[str, set[int]] = {}
         """By job, the tasks that have finished on a machine."""
         self.job_specs: dict[str, Any] = {}
         """By job, the spec that was first submitted under its id."""
@@ -65,7 +65,7 @@
             self.final_states.setdefault(job, state)
         if state == FinalState.CANCELLED:
             self.cancelled_at.setdefault(job, self._cluster.clock())
-        if state == FinalState.DONE and self.ended_done.get(job, set()) != set(
+        if state == FinalState.DONE and self.finished_tasks.get(job, set()) != set(
             range(self.job_specs[job].task_count)
         ):
             self.add_violation("not_done", f"{node}: {job}")
@@ -114,7 +114,7 @@
                 assert task is not None
                 if reported.status == "ended":
                     if reported.cause == EndCause.DONE:
-                        self.ended_done.setdefault(task.job, set()).add(task.number)
+                        self.finished_tasks.setdefault(task.job, set()).add(task.number)
                     continue
                 cancelled_at = self.cancelled_at.get(task.job)
                 if cancelled_at is not None and cluster.clock() > cancelled_at + cancel_s:
