--- a/src/ryewing/config/policy.py
+++ b/src/ryewing/config/policy.py
@@ -43,7 +43,8 @@
     idle_return_s: float
     """How long a machine must have been idle before it is released."""
     boot_patience: float
-    """A machine is released if it has not booted within this multiple of its type's boot time."""
+    """A machine is released if it has not booted within this multiple of its type's boot time, or
+    within a minute if that is longer."""
     drain_target_s: float
     """The target time for completing the waiting tasks of an array; it determines how many machines
     are rented."""
@@ -51,7 +52,8 @@
     """If more machines than this fit a job, a scheduling cycle examines a random sample of this
     size."""
     retry_after_s: float
-    """The `Retry-After` of refused requests, unless a rate limit gives a longer wait."""
+    """The default `Retry-After` of 503 responses. A rate limit can require a longer one, and
+    submissions refused because there are too many unfinished jobs have their own."""
 
 
 def default_policy(settings: Settings) -> Policy:
