--- a/src/ryewing/election/lease_validity.py
+++ b/src/ryewing/election/lease_validity.py
@@ -53,10 +53,10 @@
         if self.renewed_at is None or sent_at > self.renewed_at:
             self.renewed_at = sent_at
 
-    def confirm_jobs(self, requested_at: MonotonicTime) -> None:
-        """Record that all changes of the jobs that were written before `requested_at` are known."""
-        if self.jobs_known_at is None or requested_at > self.jobs_known_at:
-            self.jobs_known_at = requested_at
+    def confirm_jobs(self, sent_at: MonotonicTime) -> None:
+        """Record that all changes of the jobs that were written before `sent_at` are known."""
+        if self.jobs_known_at is None or sent_at > self.jobs_known_at:
+            self.jobs_known_at = sent_at
 
     def lease_expired(self, now: MonotonicTime) -> bool:
         """Return whether the lease may have expired in the store."""
--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -33,7 +33,7 @@
 
 log = logging.getLogger(__name__)
 
-STEP_EVERY_S = 0.5
+STEP_PAUSE_S = 0.5
 """The pause between two steps."""
 CLOUD_RETRY_S = 0.5
 """The additional pause after a request that the cloud did not answer."""
@@ -68,7 +68,7 @@
     def autoscaling_loop(self) -> None:
         """Run a step twice a second while the term may rent and release machines; never returns."""
         while True:
-            gevent.sleep(STEP_EVERY_S)
+            gevent.sleep(STEP_PAUSE_S)
             if not self._term.may_start_operations():
                 continue
             try:
@@ -114,7 +114,7 @@
         machines = self._term.cluster.machines.values()
         to_cordon = machines_to_cordon(
             machines,
-            self._scheduler.gpus_wanted,
+            self._scheduler.peak_gpu_demand,
             self._scheduler.backlog_drain_s(),
             self._term.policy,
         )
--- a/src/ryewing/leader/backlog.py
+++ b/src/ryewing/leader/backlog.py
@@ -23,14 +23,14 @@
 
 
 def backlog_share(machines: Iterable[Machine], unplaced: Sequence[Unplaced]) -> float:
-    """Return the resources that unplaced tasks need, as a share of all usable machines' resources.
+    """Return the resources that unplaced tasks need, as a share of the schedulable machines' total.
 
     This is the larger of the shares of processors and of GPUs.
     """
-    usable = [machine for machine in machines if machine.is_schedulable()]
+    schedulable = [machine for machine in machines if machine.is_schedulable()]
     cpus = sum(count * job.spec.cpus for job, count in unplaced)
     gpus = sum(count * job.spec.gpus for job, count in unplaced)
     return max(
-        cpus / max(1.0, sum(machine.machine_type.cpus for machine in usable)),
-        gpus / max(1.0, sum(machine.machine_type.gpus for machine in usable)),
+        cpus / max(1.0, sum(machine.machine_type.cpus for machine in schedulable)),
+        gpus / max(1.0, sum(machine.machine_type.gpus for machine in schedulable)),
     )
--- a/src/ryewing/leader/gpu_demand.py
+++ b/src/ryewing/leader/gpu_demand.py
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, cluster: ClusterState, now: MonotonicTime) -> None:
-        self.gpus_wanted = 0.0
+        self.peak = 0.0
         """The peak number of GPUs in use or waited for, halved each `DEMAND_HALF_LIFE_S`."""
         self._cluster = cluster
         self._updated_at = now
@@ -30,9 +30,9 @@
         Work without GPUs must leave this many free GPUs usable.
         """
         in_use = sum(self._cluster.team_gpus.values())
-        wanted = in_use + sum(job.shortfall * job.spec.gpus for job in waiting)
+        demand = in_use + sum(job.shortfall * job.spec.gpus for job in waiting)
         elapsed_s = now - self._updated_at
         self._updated_at = now
-        decayed = self.gpus_wanted * 0.5 ** (max(0.0, elapsed_s) / DEMAND_HALF_LIFE_S)
-        self.gpus_wanted = max(wanted, decayed)
-        return self.gpus_wanted - in_use
+        decayed = self.peak * 0.5 ** (max(0.0, elapsed_s) / DEMAND_HALF_LIFE_S)
+        self.peak = max(demand, decayed)
+        return self.peak - in_use
--- a/src/ryewing/leader/machine_type_refresher.py
+++ b/src/ryewing/leader/machine_type_refresher.py
@@ -8,7 +8,7 @@
 from ryewing.units import MonotonicTime, monotonic_now
 from ryewing.wire.cloud import MachineType
 
-REFRESH_EVERY_S = 60.0
+REFRESH_INTERVAL_S = 60.0
 """The interval at which the machine types are read again, to get new prices."""
 
 
@@ -33,7 +33,7 @@
 
     def due(self, now: MonotonicTime) -> bool:
         """Return whether the machine types should be read again."""
-        return now - self._refreshed_at > REFRESH_EVERY_S
+        return now - self._refreshed_at > REFRESH_INTERVAL_S
 
     def refresh(self) -> None:
         """Read the machine types and apply them to the term; store them if their names changed.
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-MAINTENANCE_EVERY_S = 0.25
+MAINTENANCE_PAUSE_S = 0.25
 
 
 class Maintenance:
@@ -42,7 +42,7 @@
     def maintenance_loop(self) -> None:
         """Run maintenance until the term has ended."""
         while not self._term.stopped:
-            gevent.sleep(MAINTENANCE_EVERY_S)
+            gevent.sleep(MAINTENANCE_PAUSE_S)
             self.run_once()
 
     def run_once(self) -> None:
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -124,7 +124,7 @@
         # An earlier leader may have answered workers until its hold ended, and its last answer
         # allows a worker to keep its tasks for one more lease.
         lease_s = self._term.settings.params.workers.lease_s
-        may_hold_s = (self._term.policy.hold_s + lease_s) * (
+        inherited_lease_s = (self._term.policy.hold_s + lease_s) * (
             1 + 2 * CLOCK_DRIFT_MARGIN
         ) + HANDOVER_MARGIN_S
         entries, _ = self._term.store.listing(MACHINE_PREFIX)
@@ -143,7 +143,7 @@
             machine.address = record.address
             if record.heard:
                 machine.recorded = True
-                machine.lease_expires_by = MonotonicTime(now + may_hold_s)
+                machine.lease_expires_by = MonotonicTime(now + inherited_lease_s)
         self._writer.machine_records.pending.update(MachineId(name) for name in duplicated)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -78,10 +78,10 @@
         while True:
             self.term.scheduling_needed.wait(MAX_CHANGE_WAIT_S)
             self.term.scheduling_needed.clear()
-            began = time.perf_counter()
+            started = time.perf_counter()
             if self.term.may_start_operations() and self.check_reconciled():
                 self.run_cycle()
-            took_s = time.perf_counter() - began
+            took_s = time.perf_counter() - started
             gevent.sleep(max(MIN_CYCLE_PAUSE_S, self.pause_after_s(took_s)))
 
     def pause_after_s(self, took_s: float) -> float:
@@ -164,9 +164,9 @@
     # -- for the autoscaler and the shards ----------------------------------------------------
 
     @property
-    def gpus_wanted(self) -> float:
+    def peak_gpu_demand(self) -> float:
         """The number of GPUs that were recently in use or needed by waiting jobs (`GpuDemand`)."""
-        return self._gpu_demand.gpus_wanted
+        return self._gpu_demand.peak
 
     def backlog_drain_s(self) -> float:
         """Estimate the seconds that all machines would need for the unplaced work without GPUs."""
--- a/src/ryewing/leader/state_log.py
+++ b/src/ryewing/leader/state_log.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-STATE_LOG_EVERY_S = 10.0
+STATE_LOG_INTERVAL_S = 10.0
 
 
 class SchedulerStats(Protocol):
@@ -32,17 +32,17 @@
 class _MachineCounts:
     """The count and free resources of machines of one type, spot or on-demand."""
 
-    __slots__ = ("cpus_free", "gpus_free", "machines", "usable")
+    __slots__ = ("cpus_free", "gpus_free", "machines", "schedulable")
 
     def __init__(self) -> None:
         self.machines = 0
-        self.usable = 0
+        self.schedulable = 0
         self.cpus_free = 0.0
         self.gpus_free = 0.0
 
     def __str__(self) -> str:
         return (
-            f"{self.machines}(up={self.usable};cpus_free={self.cpus_free:g};"
+            f"{self.machines}(up={self.schedulable};cpus_free={self.cpus_free:g};"
             f"gpus_free={self.gpus_free:g})"
         )
 
@@ -59,8 +59,8 @@
         self._logged_at = MonotonicTime(-1e9)
 
     def log_if_due(self, now: MonotonicTime) -> None:
-        """Log the state if `STATE_LOG_EVERY_S` have passed since the last time."""
-        if now - self._logged_at < STATE_LOG_EVERY_S:
+        """Log the state if `STATE_LOG_INTERVAL_S` have passed since the last time."""
+        if now - self._logged_at < STATE_LOG_INTERVAL_S:
             return
         self._logged_at = now
         log.info(
@@ -86,7 +86,7 @@
                 counts = counts_by_kind[kind] = _MachineCounts()
             counts.machines += 1
             if machine.is_schedulable():
-                counts.usable += 1
+                counts.schedulable += 1
                 counts.cpus_free += machine.free_cpus
                 counts.gpus_free += machine.free_gpus
         return counts_by_kind
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -39,7 +39,7 @@
 class TermCallbacks(NamedTuple):
     """Notifications of a term to its process. The callbacks must not block."""
 
-    on_lost: Callable[[TermEndReason], None]
+    on_end: Callable[[TermEndReason], None]
     """Called with the reason when the term has to end."""
     on_machine_types: Callable[[list[MachineType]], None]
     """Called with the cloud's machine types, in all zones, each time they have been read."""
@@ -59,7 +59,7 @@
         self.number = leadership.term
         self.lease_validity = leadership.lease_validity
         self.on_final = callbacks.on_final
-        self._on_lost = callbacks.on_lost
+        self._on_end = callbacks.on_end
         self._on_machine_types = callbacks.on_machine_types
         # The jobs and the fleet:
         self.job_table = JobTable()
@@ -89,7 +89,7 @@
     def end(self, reason: TermEndReason) -> None:
         """Have the process end the term, unless it has ended already."""
         if not self.stopped:
-            self._on_lost(reason)
+            self._on_end(reason)
 
     def has_authority(self) -> bool:
         """Return whether the lease is certainly valid now, and the jobs are known.
--- a/src/ryewing/process/image_locality_exchange.py
+++ b/src/ryewing/process/image_locality_exchange.py
@@ -9,7 +9,7 @@
 from ryewing.leader.leader import Leader
 from ryewing.units import MonotonicTime, monotonic_now
 
-IMAGE_LOCALITY_EVERY_S = 5.0
+IMAGE_LOCALITY_INTERVAL_S = 5.0
 """How often, in seconds, the leader sends the other controllers the images of each machine."""
 
 
@@ -33,7 +33,7 @@
         The messages are sent by separate greenlets, so this does not block.
         """
         now = monotonic_now()
-        if now - self._shared_at < IMAGE_LOCALITY_EVERY_S or not leader.scheduler.reconciled:
+        if now - self._shared_at < IMAGE_LOCALITY_INTERVAL_S or not leader.scheduler.reconciled:
             return
         self._shared_at = now
         self.latest = leader.image_locality()
--- a/src/ryewing/process/leader_load.py
+++ b/src/ryewing/process/leader_load.py
@@ -1,6 +1,7 @@
 """The load of the leader of one lease: measured in its own process, queried by other processes.
 
-It determines whether a new job is accepted, and in a divided fleet to which shard it is assigned.
+The load determines whether a new job is accepted, and in a divided fleet to which shard it is
+assigned.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from ryewing.leader.leader import Leader
 from ryewing.units import MonotonicTime, ShardName, monotonic_now
 
-LOAD_EVERY_S = 1.0
+LOAD_INTERVAL_S = 1.0
 """The minimum interval between two measurements or queries of the load, in seconds."""
 
 
@@ -32,7 +33,7 @@
 
 
 class LeaderLoad:
-    """Caches the load of one leader, for about LOAD_EVERY_S seconds if the leader responds."""
+    """Caches the load of one leader, for about LOAD_INTERVAL_S seconds if the leader responds."""
 
     def __init__(self, locator: LeaderLocator, peers: Peers) -> None:
         self._locator = locator
@@ -43,11 +44,11 @@
     def latest(self) -> ShardLoadAnswer | None:
         """Return the last known load of the leader; None if it is not known.
 
-        At most every LOAD_EVERY_S seconds, a leader measures its own load, and a follower starts a
-        greenlet that queries the leader. A follower returns the previous answer without waiting.
+        At most every LOAD_INTERVAL_S seconds, a leader measures its own load, and a follower starts
+        a greenlet that queries the leader. A follower returns the previous answer without waiting.
         """
         now = monotonic_now()
-        if now - self._queried_at > LOAD_EVERY_S:
+        if now - self._queried_at > LOAD_INTERVAL_S:
             self._queried_at = now
             leader = self._locator.leader
             if leader is not None:
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -43,7 +43,7 @@
 
 JOB_SHARDS_KEPT = 20_000
 """Jobs whose shard is cached; the ones added first are dropped."""
-MACHINE_TYPES_READ_EVERY_S = 0.5
+MACHINE_TYPES_READ_INTERVAL_S = 0.5
 """The minimum interval between reads of the machine types while none are known, in seconds."""
 API_SOCKET_SHARE, PEER_SOCKET_SHARE = 0.75, 0.05
 """The shares of the sockets for the API (users, workers and health checks) and for requests of
@@ -165,7 +165,7 @@
         now = monotonic_now()
         if (
             not self._machine_types
-            and now - self._machine_types_read_at > MACHINE_TYPES_READ_EVERY_S
+            and now - self._machine_types_read_at > MACHINE_TYPES_READ_INTERVAL_S
         ):
             self._machine_types_read_at = now
             self.user_limiter.charge()
