--- a/src/ryewing/leader/autoscaler.py
+++ b/src/ryewing/leader/autoscaler.py
@@ -66,7 +66,7 @@
         self.machine_type_refresher = MachineTypeRefresher(term, cloud)
 
     def autoscaling_loop(self) -> None:
-        """Run a step twice a second while the term may rent and release machines; never returns."""
+        """Run steps while the term may rent and release machines; never returns."""
         while True:
             gevent.sleep(STEP_PAUSE_S)
             if not self._term.may_start_operations():
--- a/src/ryewing/leader/cloud_inventory.py
+++ b/src/ryewing/leader/cloud_inventory.py
@@ -70,7 +70,7 @@
             self._forget_unlisted(page.all_machine_ids)
 
     def _add_listed(self, listed: ListedMachine, now: MonotonicTime) -> Machine:
-        """Add a machine known only from the list; it counts as booting until it is heard."""
+        """Add a machine known only from the list; it is booting until its first heartbeat."""
         machine = self._term.cluster.add(
             MachineId(listed.id),
             self._term.machine_type(listed.machine_type),
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -22,8 +22,8 @@
 EARLY_HEARTBEAT_MAX_INTERVALS = 0.7
 """No early heartbeat is requested this many intervals after the last one: the next is due soon."""
 EARLY_HEARTBEATS_PER_CORE = 60.0
-"""The rate limit of requests, per second and core; they take up to a tenth of the core's time and
-only make starts a little sooner."""
+"""The rate limit of requests, per second and core. It bounds their cost to a tenth of the core's
+time, because they only make starts a little sooner."""
 MIN_HEARTBEAT_INTERVAL_S = 0.5
 """The shortest time between two heartbeats of a worker."""
 MIN_EARLY_HEARTBEAT_S = 0.1
@@ -41,7 +41,7 @@
         self.bucket = TokenBucket(rate, rate)
 
     def next_heartbeat_in_s(self, machine: Machine, now: MonotonicTime) -> float:
-        """Estimate the seconds until a worker's next heartbeat, or an early one if possible."""
+        """Estimate the seconds until a worker's next heartbeat, requested early if possible."""
         since_s = now - machine.heard_at if machine.heard_at is not None else math.inf
         due_in_s = max(0.0, self._term.settings.params.workers.report_s - since_s)
         if any(assignment.phase == TaskPhase.SENT for assignment in machine.assignments.values()):
--- a/src/ryewing/leader/final_states.py
+++ b/src/ryewing/leader/final_states.py
@@ -61,9 +61,9 @@
         self._finished_tasks = finished_tasks
         self._on_record = on_record
         self.pending: set[JobId] = set()
-        """Jobs whose final state may or may not be stored: only the store knows."""
+        """Jobs with a final write of unknown outcome: their state must be read from the store."""
         self._unanswered: set[JobId] = set()
-        """Pending jobs with a write that got no response: it may be executed after later ones."""
+        """Pending jobs with a write that got no response and may be executed after later ones."""
 
     def status(self, job: Job) -> str | None:
         """Return a job's final state; None if it has not ended or may still have tasks running."""
--- a/src/ryewing/leader/gpu_demand.py
+++ b/src/ryewing/leader/gpu_demand.py
@@ -9,23 +9,24 @@
 from ryewing.units import MonotonicTime
 
 DEMAND_HALF_LIFE_S = 60.0
-"""The time in which the remembered peak of the demand halves."""
+"""The time in which the recorded peak of the demand halves."""
 
 
 class GpuDemand:
     """Tracks the peak of the demand for GPUs, which decays exponentially.
 
-    Work with GPUs comes and goes: GPUs that were needed a moment ago are likely to be needed again.
+    The demand fluctuates, and GPUs that were needed recently are likely to be needed again.
     """
 
     def __init__(self, cluster: ClusterState, now: MonotonicTime) -> None:
         self.peak = 0.0
-        """The peak number of GPUs in use or waited for, halved each `DEMAND_HALF_LIFE_S`."""
+        """The peak number of GPUs in use or requested by waiting jobs, halved each
+        `DEMAND_HALF_LIFE_S`."""
         self._cluster = cluster
         self._updated_at = now
 
     def update(self, waiting: Iterable[Job], now: MonotonicTime) -> float:
-        """Record the current demand; return how many GPUs are wanted beyond those in use.
+        """Record the current demand; return the peak minus the GPUs in use.
 
         Work without GPUs must leave this many free GPUs usable.
         """
--- a/src/ryewing/leader/heartbeat_effects.py
+++ b/src/ryewing/leader/heartbeat_effects.py
@@ -52,8 +52,8 @@
     def _quarantine(self, machine: Machine, now: MonotonicTime) -> None:
         """Quarantine a machine on which several healthy jobs failed, unless too many already are.
 
-        Jobs that fail on every machine don't count. A new leader that did not know them yet
-        quarantined healthy machines on which two such jobs had failed.
+        Jobs that fail on every machine don't count: without that check, a new leader that did not
+        know them yet quarantined healthy machines on which two such jobs had failed.
         """
         if (
             sum(
--- a/src/ryewing/leader/job_eligibility.py
+++ b/src/ryewing/leader/job_eligibility.py
@@ -50,10 +50,11 @@
     def avoids(self, job: Job, machine: Machine) -> bool:
         """Return whether a job avoids a machine on which it failed recently.
 
-        A job in backoff, which fails everywhere, avoids no machine: otherwise machines were rented
-        for it until it was cancelled, because it avoided all existing ones. Other jobs avoid a
-        machine only for `MACHINE_AVOIDANCE_S`, because it may have recovered or never have been at
-        fault: a job that had failed once on every machine waited forever despite free room.
+        A job in backoff, which fails everywhere, avoids no machine. Otherwise it would avoid all
+        existing machines, and new ones would be rented for it until it was cancelled. Other jobs
+        avoid a machine only for `MACHINE_AVOIDANCE_S`, because the machine may have recovered or
+        not have caused the failure. Without this limit, a job that had failed once on every machine
+        was never placed again, although machines had free resources.
         """
         if job.backoff_s:
             return False
--- a/src/ryewing/leader/job_watcher.py
+++ b/src/ryewing/leader/job_watcher.py
@@ -41,8 +41,8 @@
         self.revision = Revision(0)
         """All changes of the jobs up to this revision are known."""
         self._early_cancels: set[JobId] = set()
-        """Jobs that were cancelled before they were known here. They are kept until a watch that
-        was sent later has been answered."""
+        """Jobs that were cancelled before they were known here. They are kept until the current
+        watch has been answered."""
 
     # -- users' requests --------------------------------------------------------------------
 
@@ -63,7 +63,7 @@
         return job.status() if job is not None else None
 
     def apply_cancel(self, job_id: JobId) -> bool:
-        """Apply a cancel that the store has; True once no older status is returned from here.
+        """Apply a cancel that is in the store; return True once no older status is returned.
 
         The job may not be known yet, because this term is still reading the store or because the
         watch lags, and a record that arrives later may be older than the cancel. This happened to a
@@ -159,9 +159,9 @@
             self.writer.final_states.forget(job)
 
     def _confirm_jobs_known(self, sent_at: MonotonicTime) -> None:
-        """Record that all changes of the jobs before this time are known."""
+        """Record that all changes of the jobs that were written before `sent_at` are known."""
         self.term.lease_validity.confirm_jobs(sent_at)
-        # This may also drop cancels that arrived in the meantime: the next watch is sent after they
+        # Cancels that arrived after `sent_at` can be dropped too: the next watch is sent after they
         # were written, so it returns each together with its job.
         self._early_cancels.clear()
 
--- a/src/ryewing/leader/leader.py
+++ b/src/ryewing/leader/leader.py
@@ -2,8 +2,8 @@
 
 All state here ends with the term. All loops share it in one thread. gevent switches greenlets only
 while a request is in progress, so decisions made between two requests see a consistent state. Each
-loop is implemented by one part: `lease_keeper` keeps the lease, `job_watcher` follows the jobs,
-`state_writer` writes to the store, `heartbeats` and `direct_messages` talk to the workers,
+loop is implemented by one part: `lease_keeper` renews the lease, `job_watcher` follows the jobs,
+`state_writer` writes to the store, `heartbeats` and `direct_messages` communicate with the workers,
 `scheduler` runs the scheduling cycles, `autoscaler` rents and releases machines, and `maintenance`
 does periodic work.
 """
@@ -83,7 +83,7 @@
         return self.job_watcher.job_status(job_id)
 
     def apply_cancel(self, job_id: JobId) -> bool:
-        """Apply a cancel that the store has; True once no older status is returned from here."""
+        """Apply a cancel that is in the store; return True once no older status is returned."""
         return self.job_watcher.apply_cancel(job_id)
 
     def job_memory_full(self) -> bool:
--- a/src/ryewing/leader/lease_keeper.py
+++ b/src/ryewing/leader/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Renews the lease of one term, or gives it up to end the term."""
+"""Renews the lease of one term, and revokes it if the leader resigns."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class LeaseKeeper:
-    """Renews the lease, and so confirms the term's authority (docs/design.md, argument 2)."""
+    """Renews the lease, which confirms the term's authority (docs/design.md, argument 2)."""
 
     def __init__(self, term: TermContext) -> None:
         self._term = term
--- a/src/ryewing/leader/machine_records.py
+++ b/src/ryewing/leader/machine_records.py
@@ -30,8 +30,8 @@
     spot: bool = False
     address: str = ""
     heard: bool = False
-    """Whether the machine was heard. This is stored before its first task starts, so a machine that
-    was not recorded as heard has no tasks."""
+    """Whether a leader has received a heartbeat of the machine. This is stored before the machine's
+    first task starts, so a machine that is not recorded as heard has no tasks."""
 
 
 class PagedMachine(NamedTuple):
@@ -66,8 +66,8 @@
             if machine is None:
                 self.pending.discard(machine_id)
                 continue
-            # Once a machine is recorded as heard, it stays so. A successor that repeated a rental
-            # request had recorded machines as never heard that its predecessor had heard.
+            # A record keeps `heard` once it is set. Otherwise, a successor that repeated a rental
+            # request recorded machines as never heard although its predecessor had heard them.
             heard = machine.heard_at is not None or machine.recorded
             record = MachineRecord(
                 machine.machine_type.name, machine.zone, machine.spot, machine.address, heard
--- a/src/ryewing/leader/machine_releaser.py
+++ b/src/ryewing/leader/machine_releaser.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 RELEASED_MACHINES_KEPT = 20_000
-"""How many released machines are remembered, so that late copies of their messages are ignored."""
+"""How many ids of released machines are kept, so that late copies of their messages are ignored."""
 
 
 class MachineReleaser:
@@ -42,8 +42,8 @@
         """
         releases = releases[:MAX_MACHINES_PER_RELEASE]
         if not self._term.may_start_operations():
-            # Other requests or a pause of the process may have taken time since the decision, so
-            # a successor may already use these machines.
+            # Other requests or a pause of the process may have delayed this call for so long that
+            # a successor already uses these machines.
             return
         for machine, _reason in releases:
             machine.being_released = True
--- a/src/ryewing/leader/machine_type_refresher.py
+++ b/src/ryewing/leader/machine_type_refresher.py
@@ -45,8 +45,8 @@
         self._term.set_machine_types(machine_types)
         names = frozenset(machine_type.name for machine_type in machine_types)
         if names != self._stored_names:
-            # `_stored_names` is set only after a successful write, so that a failed one is retried:
-            # other nodes accept no jobs until they can read the machine types.
+            # `_stored_names` is set only after a successful write, so that a failed one is retried.
+            # Other nodes accept no jobs until they can read the machine types.
             catalogue.write(
                 self._term.store, self._term.leadership.fencing_conditions(), machine_types
             )
--- a/src/ryewing/leader/maintenance.py
+++ b/src/ryewing/leader/maintenance.py
@@ -21,7 +21,7 @@
 
 
 class Maintenance:
-    """Expires machine leases, repeats terminations, and probes silent machines."""
+    """Expires machine leases, resends terminations, and probes silent machines."""
 
     def __init__(
         self,
--- a/src/ryewing/leader/plan_applier.py
+++ b/src/ryewing/leader/plan_applier.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 MIN_ATTEMPTS_LEFT = 1 << 20
-"""A term ends once fewer attempt numbers than this are left: far more than one cycle uses."""
+"""A term ends once fewer attempt numbers than this are left. One cycle uses far fewer."""
 
 
 class PlanApplier:
@@ -43,7 +43,7 @@
         self.attempts_used = 0
         """The number of attempts assigned in this term."""
         self._reserved_for: JobId | None = None
-        """The gang for which the last cycle reserved machines; None if there was none."""
+        """The gang for which the last cycle reserved machines; None if it reserved none."""
 
     def is_out_of_attempts(self) -> bool:
         """Return whether the term has too few attempt numbers left for another cycle.
--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -1,8 +1,9 @@
 """Restores the state of a new term from the store and from the predecessor's image localities.
 
 Which tasks run is known only to the workers, which the leader queries afterwards by a handshake.
-Jobs are read before their finished tasks. Everything is read after the failover, so that all
-writes of earlier leaders are seen.
+Jobs are read before their finished tasks, because records of tasks without a live job are dropped.
+Everything is read after the failover has fenced earlier leaders, so that none of their writes is
+missed.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 from ryewing.wire.cloud import RentalRequest
 
 HANDOVER_MARGIN_S = 1.0
-"""Added to the time during which machines may still hold tasks of an earlier leader."""
+"""Added to the time for which machines may still hold tasks that an earlier leader started."""
 
 
 class _ChunkName(NamedTuple):
@@ -121,8 +122,8 @@
 
     def _load_machines(self, now: MonotonicTime) -> None:
         """Load the machines; those recorded as heard may hold tasks (safety argument 3)."""
-        # An earlier leader may have answered workers until its hold ended, and its last answer
-        # allows a worker to keep its tasks for one more lease.
+        # An earlier leader may have answered workers until its `hold_s` was over, and its last
+        # answer allows a worker to keep its tasks for one more lease.
         lease_s = self._term.settings.params.workers.lease_s
         inherited_lease_s = (self._term.policy.hold_s + lease_s) * (
             1 + 2 * CLOCK_DRIFT_MARGIN
--- a/src/ryewing/leader/replica_moves.py
+++ b/src/ryewing/leader/replica_moves.py
@@ -1,7 +1,7 @@
 """Chooses the replicas that should move to another machine.
 
 A replica must not run twice, so a move stops it before it starts elsewhere, with a short downtime.
-The scheduling cycle stops a replica chosen here only once it has found room for it elsewhere.
+The scheduling cycle stops a replica chosen here only if another machine has free resources for it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MOVE_DOWNTIME_SHARE = 0.0005
 """The share of a job class's replica time that moves off cordoned machines may cost. Without this
 bound and `MOVE_AFTER_CORDON_S`, a third of a service's replicas were moved within minutes of their
-start, because the number of wanted GPUs fell and rose again. With one move every 5 s, a service of
+start, because the demand for GPUs fell and rose again. With one move every 5 s, a service of
 twenty replicas lost a hundredth of its time towards the end of a day."""
 
 
@@ -36,7 +36,7 @@
         """Return the replicas that should run elsewhere.
 
         These are all replicas on machines that are quarantined or under notice from the cloud, and
-        at most one replica on a cordoned machine that could be released but for its replicas.
+        at most one replica on a cordoned machine that could be released if it held no replicas.
         """
         must_move: list[Assignment] = []
         may_move: list[Assignment] = []
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -56,9 +56,9 @@
     ) -> None:
         self.term = term
         self.reconciled = False
-        """Whether every machine has been heard or the wait has timed out (`check_reconciled`)."""
+        """Whether reconciliation is over; set by `check_reconciled`."""
         self.unplaced: list[scheduling.Unplaced] = []
-        """Tasks for which the last cycle found no room, including room that is being freed."""
+        """Tasks for which the last cycle found neither free resources nor any being freed."""
         self.cycles = 0
         """The number of cycles run in this term."""
         self.machines_examined = 0
@@ -89,7 +89,7 @@
         return ((CYCLE_PAUSE_FACTOR + 1.0) / self.term.scope.share - 1.0) * took_s
 
     def check_reconciled(self) -> bool:
-        """Return whether reconciliation is over: all machines were heard, or the wait timed out.
+        """Return whether no machine is unreconciled any more, or the wait for them has timed out.
 
         No cycle may run before, because the tasks of an unreconciled machine are not known. The
         policy's `gather_s` bounds the wait.
@@ -114,7 +114,7 @@
     # -- one cycle ----------------------------------------------------------------------------
 
     def run_cycle(self) -> None:
-        """Run one cycle: place missing tasks of jobs, and stop tasks that have to make room."""
+        """Run one cycle: place missing tasks of jobs, and stop tasks to be preempted or moved."""
         if self.plan_applier.is_out_of_attempts():
             self.term.end(TermEndReason.ATTEMPTS_USED_UP)
             return
@@ -165,7 +165,7 @@
 
     @property
     def peak_gpu_demand(self) -> float:
-        """The number of GPUs that were recently in use or needed by waiting jobs (`GpuDemand`)."""
+        """The recent peak number of GPUs in use or requested by waiting jobs (`GpuDemand`)."""
         return self._gpu_demand.peak
 
     def backlog_drain_s(self) -> float:
--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -22,18 +22,18 @@
 MAX_HEARTBEAT_AGE_INTERVALS = 2.5
 """A machine gets no new task if its last heartbeat is older than this many heartbeat intervals."""
 RECENT_CLASSES_MAX = 32
-"""The number of job classes whose most recent spec is remembered."""
+"""The maximum number of job classes whose most recent spec is kept."""
 
 
 class Supplies(NamedTuple):
-    """The usable GPUs and processors of the fleet, by which jobs are ordered."""
+    """The usable GPUs and processors of the fleet, used to order the jobs."""
 
     gpus: Supply
     cpus: Supply
 
 
 class SnapshotBuilder:
-    """Builds the snapshots of scheduling cycles, and remembers the specs of recent jobs."""
+    """Builds the snapshots of scheduling cycles, and keeps the specs of recent jobs."""
 
     def __init__(
         self, term: TermContext, early_heartbeats: EarlyHeartbeats, eligibility: JobEligibility
@@ -46,7 +46,7 @@
         """By job class, the spec of the last job that waited, except for services."""
 
     def record_spec(self, job: Job) -> None:
-        """Record a waiting job's spec: the placement of other jobs leaves room for such tasks."""
+        """Record a waiting job's spec, so that other placements leave resources for such tasks."""
         self._gpu_reserve = self._gpu_reserve.including(job)
         job_class = job.spec.job_class
         if not job.is_service and (
@@ -100,7 +100,7 @@
         )
 
     def measure_supplies(self) -> Supplies:
-        """Sum up the usable resources of all machines.
+        """Sum up the usable resources of all schedulable machines.
 
         A free GPU without enough free processors on its machine is not usable.
         """
--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -48,7 +48,8 @@
         self, term: TermContext, on_record: Callable[[str, msgspec.Raw, KeyVersion], None]
     ) -> None:
         self.term = term
-        # The store gives no notice when its limits fall, so writes keep to the stricter ones.
+        # The store does not announce when its limits are lowered, so writes always comply with the
+        # strictest ones.
         limits = term.settings.params.state.strictest()
         self.machine_records = MachineRecordWriter(
             term.store, limits.value_kb, term.cluster, term.scheduling_needed
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -70,7 +70,7 @@
         self.machine_types: dict[str, MachineType] = {}
         """The machine types by name, each with only those of its zones that are in the scope."""
         self.released_machines: OrderedDict[MachineId, None] = OrderedDict()
-        """Machines that were certainly released: messages in their name are ignored."""
+        """Machines whose release the cloud has confirmed; their late messages are ignored."""
         self.teams = {team.name: team for team in self.settings.params.teams}
         """The teams by name, with the limits of the settings."""
         self.team_limits: TeamLimits = SettingsLimits(self.teams)
--- a/src/ryewing/leader/terminations.py
+++ b/src/ryewing/leader/terminations.py
@@ -51,7 +51,7 @@
         """Let a task save its progress before the cloud reclaims its machine (graceful eviction).
 
         A running task that should finish well within the notice is left running. A replica keeps
-        serving until the scheduler has found room for it on another machine.
+        serving until the scheduler can move it to another machine.
         """
         job = assignment.job
         if job is None or assignment.phase == TaskPhase.SAVING or job.is_service:
--- a/src/ryewing/leader/worker_reachability.py
+++ b/src/ryewing/leader/worker_reachability.py
@@ -1,4 +1,4 @@
-"""Detects that the leader is cut off from its workers (docs/design.md, safety argument 12)."""
+"""Detects that this node can't reach most workers (docs/design.md, safety argument 12)."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ryewing.units import MonotonicTime
 
 MIN_MACHINES_HEARD = 4
-"""With fewer machines that were heard, the workers count as reachable."""
+"""If fewer machines have been heard in this term, the workers count as reachable."""
 MAX_SILENT_SHARE = 0.7
-"""The leader counts as cut off if more than this share of its machines is silent."""
+"""The workers count as unreachable if more than this share of the machines is silent."""
 PROBE_ANSWER_S = 0.5
-"""How long a machine with a late heartbeat may take to answer a probe before it is silent."""
+"""How long a machine with a late heartbeat has to answer a probe before it counts as silent."""
 STALL_S = 2.0
 """A longer time between two maintenance rounds shows that this process was paused."""
 
@@ -31,11 +31,11 @@
         self._last_round_at = now
 
     def are_workers_unreachable(self, now: MonotonicTime) -> bool:
-        """Return whether most machines became silent at once, so that the fault is likely here.
+        """Return whether most machines are silent, so that the fault is likely on this node.
 
         A silent machine has missed a heartbeat and not answered a probe. Time in which this process
-        was paused does not count: leaders that had just resumed resigned because of it, and for a
-        while no node led.
+        was paused does not count: when it did, leaders resigned just after they were resumed, and
+        for a while no node led.
         """
         silent = known = 0
         for machine in self._cluster.machines.values():
