--- a/src/ryewing/election/lease_validity.py
+++ b/src/ryewing/election/lease_validity.py
@@ -53,10 +53,10 @@
         if self.renewed_at is None or sent_at > self.renewed_at:
             self.renewed_at = sent_at
 
-    def confirm_jobs(self, requested_at: MonotonicTime) -> None:
-        """Record that all changes of the jobs that were written before `requested_at` are known."""
-        if self.jobs_known_at is None or requested_at > self.jobs_known_at:
-            self.jobs_known_at = requested_at
+    def confirm_jobs(self, sent_at: MonotonicTime) -> None:
+        """Record that all changes of the jobs that were written before `sent_at` are known."""
+        if self.jobs_known_at is None or sent_at > self.jobs_known_at:
+            self.jobs_known_at = sent_at
 
     def lease_expired(self, now: MonotonicTime) -> bool:
         """Return whether the lease may have expired in the store."""
@@ -77,9 +77,9 @@
         """Return whether the leader may answer heartbeats, which renews the workers' leases.
 
         This is allowed for `hold_s` after the earlier of the two confirmations, so that no work is
-        lost in an outage of the store. The time is bounded because a node that alone has lost the
-        store, or receives no changes, does not learn of cancellations: `hold_s` plus the workers'
-        `lease_s` has to be below their `cancel_s`.
+        lost in an outage of the store. The time is bounded because a node that alone can't reach
+        the store, or receives no changes, does not learn of cancellations. Therefore `hold_s` plus
+        the workers' `lease_s` has to be below their `cancel_s`.
         """
         if self.renewed_at is None or self.jobs_known_at is None:
             return False
--- a/src/ryewing/leader/gpu_demand.py
+++ b/src/ryewing/leader/gpu_demand.py
@@ -9,30 +9,31 @@
 from ryewing.units import MonotonicTime
 
 DEMAND_HALF_LIFE_S = 60.0
-"""The time in which the remembered peak of the demand halves."""
+"""The time in which the recorded peak of the demand halves."""
 
 
 class GpuDemand:
     """Tracks the peak of the demand for GPUs, which decays exponentially.
 
-    Work with GPUs comes and goes: GPUs that were needed a moment ago are likely to be needed again.
+    The demand fluctuates, and GPUs that were needed recently are likely to be needed again.
     """
 
     def __init__(self, cluster: ClusterState, now: MonotonicTime) -> None:
-        self.gpus_wanted = 0.0
-        """The peak number of GPUs in use or waited for, halved each `DEMAND_HALF_LIFE_S`."""
+        self.peak = 0.0
+        """The peak number of GPUs in use or requested by waiting jobs, halved each
+        `DEMAND_HALF_LIFE_S`."""
         self._cluster = cluster
         self._updated_at = now
 
     def update(self, waiting: Iterable[Job], now: MonotonicTime) -> float:
-        """Record the current demand; return how many GPUs are wanted beyond those in use.
+        """Record the current demand; return the peak minus the GPUs in use.
 
         Work without GPUs must leave this many free GPUs usable.
         """
         in_use = sum(self._cluster.team_gpus.values())
-        wanted = in_use + sum(job.shortfall * job.spec.gpus for job in waiting)
+        demand = in_use + sum(job.shortfall * job.spec.gpus for job in waiting)
         elapsed_s = now - self._updated_at
         self._updated_at = now
-        decayed = self.gpus_wanted * 0.5 ** (max(0.0, elapsed_s) / DEMAND_HALF_LIFE_S)
-        self.gpus_wanted = max(wanted, decayed)
-        return self.gpus_wanted - in_use
+        decayed = self.peak * 0.5 ** (max(0.0, elapsed_s) / DEMAND_HALF_LIFE_S)
+        self.peak = max(demand, decayed)
+        return self.peak - in_use
--- a/src/ryewing/leader/machine_type_refresher.py
+++ b/src/ryewing/leader/machine_type_refresher.py
@@ -8,7 +8,7 @@
 from ryewing.units import MonotonicTime, monotonic_now
 from ryewing.wire.cloud import MachineType
 
-REFRESH_EVERY_S = 60.0
+REFRESH_INTERVAL_S = 60.0
 """The interval at which the machine types are read again, to get new prices."""
 
 
@@ -33,7 +33,7 @@
 
     def due(self, now: MonotonicTime) -> bool:
         """Return whether the machine types should be read again."""
-        return now - self._refreshed_at > REFRESH_EVERY_S
+        return now - self._refreshed_at > REFRESH_INTERVAL_S
 
     def refresh(self) -> None:
         """Read the machine types and apply them to the term; store them if their names changed.
@@ -45,8 +45,8 @@
         self._term.set_machine_types(machine_types)
         names = frozenset(machine_type.name for machine_type in machine_types)
         if names != self._stored_names:
-            # `_stored_names` is set only after a successful write, so that a failed one is retried:
-            # other nodes accept no jobs until they can read the machine types.
+            # `_stored_names` is set only after a successful write, so that a failed one is retried.
+            # Other nodes accept no jobs until they can read the machine types.
             catalogue.write(
                 self._term.store, self._term.leadership.fencing_conditions(), machine_types
             )
--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -56,9 +56,9 @@
     ) -> None:
         self.term = term
         self.reconciled = False
-        """Whether every machine has been heard or the wait has timed out (`check_reconciled`)."""
+        """Whether reconciliation is over; set by `check_reconciled`."""
         self.unplaced: list[scheduling.Unplaced] = []
-        """Tasks for which the last cycle found no room, including room that is being freed."""
+        """Tasks for which the last cycle found neither free resources nor any being freed."""
         self.cycles = 0
         """The number of cycles run in this term."""
         self.machines_examined = 0
@@ -78,10 +78,10 @@
         while True:
             self.term.scheduling_needed.wait(MAX_CHANGE_WAIT_S)
             self.term.scheduling_needed.clear()
-            began = time.perf_counter()
+            started = time.perf_counter()
             if self.term.may_start_operations() and self.check_reconciled():
                 self.run_cycle()
-            took_s = time.perf_counter() - began
+            took_s = time.perf_counter() - started
             gevent.sleep(max(MIN_CYCLE_PAUSE_S, self.pause_after_s(took_s)))
 
     def pause_after_s(self, took_s: float) -> float:
@@ -89,7 +89,7 @@
         return ((CYCLE_PAUSE_FACTOR + 1.0) / self.term.scope.share - 1.0) * took_s
 
     def check_reconciled(self) -> bool:
-        """Return whether reconciliation is over: all machines were heard, or the wait timed out.
+        """Return whether no machine is unreconciled any more, or the wait for them has timed out.
 
         No cycle may run before, because the tasks of an unreconciled machine are not known. The
         policy's `gather_s` bounds the wait.
@@ -114,7 +114,7 @@
     # -- one cycle ----------------------------------------------------------------------------
 
     def run_cycle(self) -> None:
-        """Run one cycle: place missing tasks of jobs, and stop tasks that have to make room."""
+        """Run one cycle: place missing tasks of jobs, and stop tasks to be preempted or moved."""
         if self.plan_applier.is_out_of_attempts():
             self.term.end(TermEndReason.ATTEMPTS_USED_UP)
             return
@@ -164,9 +164,9 @@
     # -- for the autoscaler and the shards ----------------------------------------------------
 
     @property
-    def gpus_wanted(self) -> float:
-        """The number of GPUs that were recently in use or needed by waiting jobs (`GpuDemand`)."""
-        return self._gpu_demand.gpus_wanted
+    def peak_gpu_demand(self) -> float:
+        """The recent peak number of GPUs in use or requested by waiting jobs (`GpuDemand`)."""
+        return self._gpu_demand.peak
 
     def backlog_drain_s(self) -> float:
         """Estimate the seconds that all machines would need for the unplaced work without GPUs."""
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -43,7 +43,7 @@
 
 JOB_SHARDS_KEPT = 20_000
 """Jobs whose shard is cached; the ones added first are dropped."""
-MACHINE_TYPES_READ_EVERY_S = 0.5
+MACHINE_TYPES_READ_INTERVAL_S = 0.5
 """The minimum interval between reads of the machine types while none are known, in seconds."""
 API_SOCKET_SHARE, PEER_SOCKET_SHARE = 0.75, 0.05
 """The shares of the sockets for the API (users, workers and health checks) and for requests of
@@ -151,9 +151,9 @@
     def healthy(self) -> bool:
         """Return True: a running process can accept requests.
 
-        Nodes stay healthy also in an outage that affects all of them. They refuse at once the
-        requests that they can't process, whereas a removal from the load balancer would only reset
-        connections, and would be reversed slowly.
+        Nodes report themselves as healthy also in an outage that affects all of them. They refuse
+        at once the requests that they can't process, whereas a removal from the load balancer would
+        only reset connections, and would be reversed slowly.
         """
         return True
 
@@ -165,7 +165,7 @@
         now = monotonic_now()
         if (
             not self._machine_types
-            and now - self._machine_types_read_at > MACHINE_TYPES_READ_EVERY_S
+            and now - self._machine_types_read_at > MACHINE_TYPES_READ_INTERVAL_S
         ):
             self._machine_types_read_at = now
             self.user_limiter.charge()
@@ -232,7 +232,7 @@
             self._job_shards.popitem(last=False)
 
     def announce_cancel(self, job: JobId, shard: ShardName | None) -> bool:
-        """Announce a cancellation in the store to the leader; False if it may not know of it."""
+        """Notify the leader of a cancellation in the store; False if it may not know of it yet."""
         return self._cancel_announcer.announce(job, shard)
 
     # -- the store --------------------------------------------------------------------------
