--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""About four thousand machines, played in one process: rules and counts of requests, no times."""
+"""A fleet of 4,000 fake machines in one process: checks rules and request counts, not times."""
 
 from __future__ import annotations
 
@@ -24,27 +24,32 @@
 from ryewing.wire.workers import Command
 
 MACHINES = 4000
-MARGIN = 1.5
-"""No fixed limit stands below so many times the machines."""
-TASKS_A_MACHINE = 4
-LOOKS = 14
-"""Looks at the fleet, a heartbeat interval apart: longer than old hold and lease."""
-TASKS = MACHINES * TASKS_A_MACHINE
+HEADROOM = 1.5
+"""Every fixed limit must be sufficient for this many times `MACHINES`."""
+TASKS_PER_MACHINE = 4
+SILENT_INTERVALS = 14
+"""Heartbeat intervals for which a zone is silent: longer than the earlier leader's hold and a
+worker lease together."""
+TASKS = MACHINES * TASKS_PER_MACHINE
 
 
 class Fleet:
-    """Stand-in workers by machine, and the tasks that each of them runs."""
+    """Fake workers by machine name, and the tasks that run on them."""
 
     def __init__(self, harness: LeaderHarness) -> None:
         self.harness = harness
         self.workers: dict[str, FakeWorker] = {}
         self.silent: set[str] = set()
-        self.placed: dict[str, str] = {}
-        """Where each task is, as the workers have it."""
-        self.started: Counter[str] = Counter()
+        self.machine_by_task: dict[str, str] = {}
+        """The machine of each task, according to the workers."""
+        self.start_counts: Counter[str] = Counter()
+        """How often each task was started."""
 
     def rent(self) -> tuple[int, int]:
-        """Rent what is wanted, and let it boot; count the requests, and writes once it is up."""
+        """Rent and boot the machines that waiting tasks need.
+
+        Return the number of rental requests, and of store writes made for the booted machines.
+        """
         harness, autoscaler = self.harness, self.harness.leader.autoscaler
         requests = len(harness.cloud.requests)
         while len(harness.leader.term.cluster.machines) < MACHINES:
@@ -68,20 +73,22 @@
                 )
 
     def all_send_heartbeats(self) -> None:
-        """Let every worker that can speak report and execute its answer."""
+        """Deliver a heartbeat of every worker that is not silent; execute the responses."""
         self.send_heartbeats(self.workers)
 
-    def planned_send_heartbeats(self) -> None:
-        """Let those report for which starts are planned."""
+    def send_heartbeats_for_planned_starts(self) -> None:
+        """Deliver heartbeats of the workers for which starts are planned."""
         machines = self.harness.leader.term.cluster.machines
         phases = {
             name: {assignment.phase for assignment in machine.assignments.values()}
             for name, machine in machines.items()
         }
-        self.send_heartbeats([name for name, found in phases.items() if TaskPhase.PLANNED in found])
+        self.send_heartbeats(
+            [name for name, phases_there in phases.items() if TaskPhase.PLANNED in phases_there]
+        )
 
     def send_heartbeats(self, names: Iterable[str]) -> None:
-        """Let some workers report, of those that can speak, and execute their answers."""
+        """Deliver heartbeats of these workers unless they are silent; execute the responses."""
         for name in names:
             worker = self.workers[name]
             if name not in self.silent:
@@ -92,65 +99,70 @@
     def _execute(self, name: str, worker: FakeWorker, token: int, commands: list[Command]) -> None:
         for command in commands:
             assert command.verb == "start"
-            assert command.task_id not in self.placed, "a task is started on a second machine"
-            self.placed[command.task_id] = name
-            self.started[command.task_id] += 1
+            assert command.task_id not in self.machine_by_task, (
+                "a task is started on a second machine"
+            )
+            self.machine_by_task[command.task_id] = name
+            self.start_counts[command.task_id] += 1
         worker.execute(token, commands)
 
-    def lease_over(self) -> None:
-        """The silent workers kill and forget their tasks."""
-        self.placed = {task: name for task, name in self.placed.items() if name not in self.silent}
+    def expire_silent_workers(self) -> None:
+        """Expire the leases of the silent workers, which then kill and forget their tasks."""
+        self.machine_by_task = {
+            task: name for task, name in self.machine_by_task.items() if name not in self.silent
+        }
         for name in self.silent:
             del self.workers[name]
         self.silent.clear()
 
 
 def large_settings() -> Settings:
-    """Give settings without limits of teams, and sockets for so many machines."""
+    """Return settings without team limits, and with enough sockets for this fleet."""
     raw = msgspec.to_builtins(settings())
     for team in raw["params"]["teams"]:
         team.update(cpus_max=0.0, gpus_max=0.0)
-    raw["params"]["resources"]["fd_limit"] = int(1.4 * MARGIN * MACHINES) + 100
+    raw["params"]["resources"]["fd_limit"] = int(1.4 * HEADROOM * MACHINES) + 100
     return msgspec.convert(raw, Settings)
 
 
 @pytest.fixture
 def fleet(harness: LeaderHarness) -> Fleet:
-    """Rent, boot and record the machines that one large array wants, in two zones."""
+    """Rent, boot and record the machines for one large array, in two zones."""
     harness.settings = large_settings()
     harness.cloud.capacity = MACHINES
     harness.new_leader(6)
     harness.accept(task_count=TASKS, cpus=8.0, estimated_s=300.0, spot=True, spread=True)
-    found = Fleet(harness)
-    requests, writes = found.rent()
+    new_fleet = Fleet(harness)
+    requests, writes = new_fleet.rent()
     assert requests <= MACHINES // RENT_MAX + 2
-    # A value holds some fifty machines; one write each would take minutes of the write rate.
+    # One value of the store holds about fifty machine records. One write per machine would occupy
+    # the write rate for minutes.
     assert writes <= MACHINES // 40
     assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
-    return found
+    return new_fleet
 
 
-def fill(fleet: Fleet) -> None:
-    """Place until every task runs; a cycle looks at a sample of the machines."""
+def place_all_tasks(fleet: Fleet) -> None:
+    """Run scheduling cycles until every task runs; each cycle examines a sample of the machines."""
     harness = fleet.harness
-    passes = 0
-    while len(fleet.placed) < TASKS:
+    cycles = 0
+    while len(fleet.machine_by_task) < TASKS:
         harness.place()
-        passes += 1
-        assert passes <= MACHINES / policy().sample + 1
+        cycles += 1
+        assert cycles <= MACHINES / policy().sample + 1
         harness.later(0.1)
-        fleet.planned_send_heartbeats()
+        fleet.send_heartbeats_for_planned_starts()
     fleet.all_send_heartbeats()
 
 
-def test_four_thousand_machines_through_a_take_over_and_a_mass_loss(fleet: Fleet) -> None:
+def test_a_large_fleet_through_a_failover_and_the_loss_of_a_zone(fleet: Fleet) -> None:
     harness = fleet.harness
-    fill(fleet)
+    place_all_tasks(fleet)
 
-    # A take-over: every machine is heard by its heartbeats, nothing is started again.
-    asked: Counter[MachineId] = Counter()
+    # Failover: the new leader hears every machine by its heartbeats and starts no task again.
+    contacted: Counter[MachineId] = Counter()
     leader = harness.new_leader(7)
-    leader.direct_messages.schedule = lambda machine: asked.update([machine.id])  # type: ignore[method-assign]
+    leader.direct_messages.schedule = lambda machine: contacted.update([machine.id])  # type: ignore[method-assign]
     job = leader.term.job_table.jobs[JobId("run-1")]
     assert len(leader.term.cluster.machines) == MACHINES
     assert not leader.scheduler.check_reconciled()
@@ -159,44 +171,46 @@
     harness.place()
     fleet.all_send_heartbeats()
     assert (job.running, job.shortfall) == (TASKS, 0)
-    assert set(fleet.started.values()) == {1}
+    assert set(fleet.start_counts.values()) == {1}
     leader.direct_messages.probe(harness.clock())
-    assert not asked
-
-    # A zone falls silent: too many at once to be released, so each is kept for as long as the
-    # earlier leader may have answered it, and its lease after that.
-    lost = {name for name, worker in fleet.workers.items() if worker.zone == "a"}
-    stopped = {task for task, name in fleet.placed.items() if name in lost}
-    assert MACHINES // 3 < len(lost) < 2 * MACHINES // 3
-    fleet.silent = set(lost)
-    for look in range(LOOKS):
+    assert not contacted
+
+    # A zone falls silent. These are too many machines to release at once, so each is kept until it
+    # can hold no task: for the earlier leader's hold, and for a worker lease after that.
+    lost_machines = {name for name, worker in fleet.workers.items() if worker.zone == "a"}
+    lost_tasks = {task for task, name in fleet.machine_by_task.items() if name in lost_machines}
+    assert MACHINES // 3 < len(lost_machines) < 2 * MACHINES // 3
+    fleet.silent = set(lost_machines)
+    for interval in range(SILENT_INTERVALS):
         harness.later(3.0)
         fleet.all_send_heartbeats()
         leader.maintenance.run_once()
         harness.place()
-        given_up = leader.autoscaler.unhealthy_machines(harness.clock())
-        assert not any(machine.may_hold_until for machine, _reason in given_up)
-        assert max(asked.values(), default=0) <= look + 1
-    fleet.lease_over()
+        releases = leader.autoscaler.unhealthy_machines(harness.clock())
+        assert not any(machine.may_hold_until for machine, _reason in releases)
+        assert max(contacted.values(), default=0) <= interval + 1
+    fleet.expire_silent_workers()
     requests = 0
-    while gone := leader.autoscaler.unhealthy_machines(harness.clock()):
-        leader.autoscaler.releaser.release(gone)
+    while unhealthy := leader.autoscaler.unhealthy_machines(harness.clock()):
+        leader.autoscaler.releaser.release(unhealthy)
         requests += 1
-    assert requests == -(-len(lost) // RELEASE_MAX)
-    assert set(map(str, harness.cloud.released)) == lost
+    assert requests == -(-len(lost_machines) // RELEASE_MAX)
+    assert set(map(str, harness.cloud.released)) == lost_machines
 
-    # Its work runs again on new machines, and nothing else is touched.
-    harness.cloud.capacity = len(lost)
+    # The tasks of the lost zone run again on new machines; no other task is started again.
+    harness.cloud.capacity = len(lost_machines)
     fleet.rent()
-    fill(fleet)
-    assert {task for task, count in fleet.started.items() if count == 2} == stopped
-    assert set(fleet.started.values()) == {1, 2}
+    place_all_tasks(fleet)
+    assert {task for task, count in fleet.start_counts.items() if count == 2} == lost_tasks
+    assert set(fleet.start_counts.values()) == {1, 2}
     assert (job.running, job.shortfall) == (TASKS, 0)
 
 
-@pytest.mark.parametrize("machines", [400, 1000, int(MARGIN * MACHINES)])
-def test_the_list_leaves_the_clouds_rate_to_rentals(harness: LeaderHarness, machines: int) -> None:
-    """Of 6,000 machines a reading takes 12 requests; each 4 s that is beyond the rate."""
+@pytest.mark.parametrize("machines", [400, 1000, int(HEADROOM * MACHINES)])
+def test_listing_machines_leaves_most_of_the_cloud_rate_to_rentals(
+    harness: LeaderHarness, machines: int
+) -> None:
+    """Listing 6,000 machines takes 12 requests; every 4 s that would use up the cloud's rate."""
     harness.cloud.listed = [
         ListedMachine(f"i-{number:06d}", "c32", "a", "running", "", False, 5.0)
         for number in range(machines)
@@ -216,7 +230,7 @@
 
 
 def test_a_term_that_has_used_up_its_attempts_ends(harness: LeaderHarness) -> None:
-    """An attempt beyond its term's would be one of the next term's, and attempts never repeat."""
+    """A higher attempt number would belong to the next term, and attempt numbers never repeat."""
     harness.ready_worker()
     harness.accept(task_count=1)
     harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - ATTEMPTS_LEFT
@@ -230,8 +244,8 @@
         attempt_of(TermNumber(5), MAX_ATTEMPTS + 1)
 
 
-def test_fixed_limits_stand_above_the_fleet() -> None:
-    fleet = int(MARGIN * MACHINES)
+def test_fixed_limits_are_sufficient_for_a_larger_fleet() -> None:
+    fleet = int(HEADROOM * MACHINES)
     images = [
         (f"registry/some-longer-image-name-{number:05d}:1.2.3", 1.0) for number in range(2000)
     ]
@@ -239,7 +253,7 @@
                 for number in range(fleet)}  # fmt: skip
     assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
     assert fleet < RELEASED_NAMES_KEPT
-    assert fleet * 2 * 32 < ATTEMPTS_LEFT  # a task for each half of a processor
+    assert fleet * 2 * 32 < ATTEMPTS_LEFT  # two tasks per processor
     assert max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * MAX_SENDS_IN_FLIGHT
     names = [f"i-{number:06d}" for number in range(fleet)]
     assert len(abbreviate_names(names)) < 12 * LOGGED_NAMES_MAX
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -1,4 +1,4 @@
-"""A term keeps to its scope: its machines, its jobs, its part of every rate."""
+"""A term handles only the machines and jobs of its scope, and uses only its share of each rate."""
 
 from __future__ import annotations
 
@@ -31,19 +31,22 @@
 
 @pytest.fixture
 def east(harness: LeaderHarness) -> LeaderHarness:
-    """A leader of the shard that has zone a, and half of the process's rates."""
+    """Return a harness whose leader has shard `east`: zone a, and half of the process's rates."""
     harness.scope = TermScope(EAST, frozenset({Zone("a")}), 0.5)
     harness.new_leader(5)
     return harness
 
 
-def test_another_shards_machine_is_neither_answered_nor_counted(east: LeaderHarness) -> None:
-    """By its heartbeat, nor where the list or a late rental of another shard brings it up."""
-    ours, theirs = east.worker("i-000001", zone="a"), east.worker("i-000002", zone="b")
-    east.exchange(ours)  # shows the worker our token
-    east.exchange(ours)
-    theirs.token = ours.token
-    assert east.leader.on_heartbeat(theirs.heartbeat()) is None
+def test_machines_of_other_shards_are_neither_answered_nor_counted(east: LeaderHarness) -> None:
+    """Neither a heartbeat nor the cloud's list adds one, even if it was rented late or failed."""
+    own_worker, foreign_worker = (
+        east.worker("i-000001", zone="a"),
+        east.worker("i-000002", zone="b"),
+    )
+    east.exchange(own_worker)  # the worker learns this term's token
+    east.exchange(own_worker)
+    foreign_worker.token = own_worker.token
+    assert east.leader.on_heartbeat(foreign_worker.heartbeat()) is None
     east.cloud.listed = [
         ListedMachine("i-000003", "c32", "a", "running"),
         ListedMachine("i-000004", "c32", "b", "failed"),
@@ -53,7 +56,7 @@
     assert not east.cloud.released
 
 
-def test_another_shards_zones_are_never_rented_in(east: LeaderHarness) -> None:
+def test_no_machine_is_rented_in_zones_of_other_shards(east: LeaderHarness) -> None:
     east.accept(task_count=1)
     east.place()
     east.leader.autoscaler.scale_out()
@@ -64,8 +67,8 @@
 
 
 @pytest.mark.parametrize("shard", ["west", None])
-def test_another_shards_jobs_are_passed_over(east: LeaderHarness, shard: str | None) -> None:
-    """As they are read, as a watch brings them, and as the next leader reads them."""
+def test_jobs_of_other_shards_are_ignored(east: LeaderHarness, shard: str | None) -> None:
+    """Both when a watch delivers a record and when the next leader loads it from the store."""
     record = JobRecord(job_spec("run-7"), 0.0, shard=shard)
     result = east.store.txn({}, [Put(live_key(JobId("run-7")), record)])
     raw = msgspec.Raw(msgspec.json.encode(record))
@@ -74,7 +77,9 @@
     assert not east.new_leader(6).term.job_table.jobs
 
 
-def test_a_sealed_term_begins_nothing_and_goes_on_answering(east: LeaderHarness) -> None:
+def test_a_sealed_term_starts_and_releases_nothing_but_answers_heartbeats(
+    east: LeaderHarness,
+) -> None:
     worker = east.ready_worker()
     east.accept(task_count=2)
     east.place()
@@ -90,8 +95,8 @@
     assert len(starts(east.exchange(worker))) == 2
 
 
-def test_a_term_is_drained_once_nothing_is_under_way(east: LeaderHarness) -> None:
-    """No start of which it isn't known whether it arrived, and no write without its answer."""
+def test_a_term_is_drained_once_no_start_and_no_write_is_in_flight(east: LeaderHarness) -> None:
+    """A start is in flight until a heartbeat settles it, and a write until its response arrives."""
     worker = east.ready_worker()
     assert east.leader.drained()
     east.begin(worker, task_count=1)
@@ -99,20 +104,20 @@
     east.exchange(worker)
     assert east.leader.drained()
     east.end(worker)
-    txn, drained = east.store.txn, []
+    txn, drained_during_write = east.store.txn, []
 
-    def watched_txn(*args: Any) -> TxnResult:
-        drained.append(east.leader.drained())
+    def recording_txn(*args: Any) -> TxnResult:
+        drained_during_write.append(east.leader.drained())
         return txn(*args)
 
-    east.store.txn = watched_txn  # type: ignore[method-assign, assignment]
+    east.store.txn = recording_txn  # type: ignore[method-assign, assignment]
     east.write()
-    assert drained
-    assert not any(drained)
+    assert drained_during_write
+    assert not any(drained_during_write)
     assert east.leader.drained()
 
 
-def test_the_parts_of_all_terms_are_within_each_rate(east: LeaderHarness) -> None:
+def test_the_terms_of_all_shards_together_stay_within_each_rate(east: LeaderHarness) -> None:
     leader, params = east.leader, east.settings.params
     autoscaler = Autoscaler(leader.term, leader.writer, leader.direct_messages, leader.scheduler)
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
@@ -126,17 +131,17 @@
             60.0 * params.resources.core_share,
         ),
     }
-    for name, (rate, whole) in rates.items():
-        assert rate == pytest.approx(0.5 * whole), name
-    took = 1.0
-    assert 2 * took / (took + leader.scheduler.rest_s(took)) == pytest.approx(
+    for name, (rate, full_rate) in rates.items():
+        assert rate == pytest.approx(0.5 * full_rate), name
+    cycle_s = 1.0
+    assert 2 * cycle_s / (cycle_s + leader.scheduler.rest_s(cycle_s)) == pytest.approx(
         1 / (CYCLE_REST_FACTOR + 1)
     )
 
 
-def test_a_job_that_fills_the_memory_of_one_term(east: LeaderHarness) -> None:
-    limit = 0.25 * 0.5 * east.settings.params.resources.mem_mb * 1e6 / 4096
-    for number in range(round(limit) + 1):
+def test_a_term_is_full_when_its_jobs_fill_its_share_of_the_memory(east: LeaderHarness) -> None:
+    jobs_max = 0.25 * 0.5 * east.settings.params.resources.mem_mb * 1e6 / 4096
+    for number in range(round(jobs_max) + 1):
         record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
         east.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
     assert east.leader.full()
@@ -147,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "types", "able"),
+    ("changes", "types", "eligible"),
     [
         ({}, TYPES, {EAST, WEST}),
         ({"zone": "a"}, TYPES, {EAST}),
@@ -159,36 +164,36 @@
         ({"spread": True, "zone": "b"}, TYPES, set()),
     ],
 )
-def test_a_job_goes_to_a_shard_that_could_ever_run_it(
-    changes: dict[str, Any], types: dict[str, MachineType], able: set[ShardName]
+def test_a_job_goes_only_to_shards_that_could_run_it(
+    changes: dict[str, Any], types: dict[str, MachineType], eligible: set[ShardName]
 ) -> None:
     division = ShardDivision(DIVISION, random.Random(1))
     spec = job_spec("run-1", **changes)
     with pytest.raises(NotReadyError):
         division.choose(spec, types, {})
     division.in_force = True
-    news = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
-    if not able:
+    loads = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
+    if not eligible:
         with pytest.raises(NoShardError):
-            division.choose(spec, types, news)
+            division.choose(spec, types, loads)
         return
-    chosen = {division.choose(spec, types, news) for _ in range(50)}
-    assert chosen == able
+    chosen = {division.choose(spec, types, loads) for _ in range(50)}
+    assert chosen == eligible
 
 
-def test_a_job_goes_where_the_least_waits_and_by_its_name_without_news() -> None:
+def test_a_job_goes_to_the_least_loaded_shard_or_by_its_id_while_a_load_is_unknown() -> None:
     division = ShardDivision(DIVISION, random.Random(1))
     division.in_force = True
     loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
     assert {division.choose(spec, TYPES, loads) for _ in range(20)} == {WEST}
-    full = {**loads, WEST: ShardLoadAnswer(True, 0.5)}
-    assert {division.choose(spec, TYPES, full) for _ in range(20)} == {EAST}
-    blind = [
+    loads_with_west_full = {**loads, WEST: ShardLoadAnswer(True, 0.5)}
+    assert {division.choose(spec, TYPES, loads_with_west_full) for _ in range(20)} == {EAST}
+    chosen_without_loads = [
         division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None}) for n in range(40)
     ]
-    assert set(blind) == {EAST, WEST}
-    assert blind == [
+    assert set(chosen_without_loads) == {EAST, WEST}
+    assert chosen_without_loads == [
         division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
         for n in range(40)
     ]
