--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""Renting and releasing machines, probing silent ones, and a leader cut from its workers."""
+"""Renting and releasing machines, probing silent ones, and a leader cut off from its workers."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
 
 def rent(harness: LeaderHarness) -> None:
-    """Run a scheduling cycle, then rent for what found no room."""
+    """Run a scheduling cycle, then rent machines for the unplaced tasks."""
     harness.place()
     harness.leader.autoscaler.scale_out()
 
 
-def test_a_successor_repeats_a_recorded_request_under_its_id(harness: LeaderHarness) -> None:
+def test_a_successor_repeats_a_recorded_rental_request_under_its_id(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
-    harness.leader.autoscaler.rentals.send = lambda request: None  # type: ignore[method-assign]  # dies before asking
+    harness.leader.autoscaler.rentals.send = lambda request: None  # type: ignore[method-assign]  # the leader ends before it sends the request
     rent(harness)
     assert len(harness.store.listing(REQUEST_PREFIX)[0]) == 1
     assert not harness.cloud.requests
     harness.new_leader(6)
     for request in list(harness.leader.autoscaler.rentals.pending.values()):
         harness.leader.autoscaler.rentals.send(request)
-    rent(harness)  # what is booting counts
+    rent(harness)  # booting machines count as capacity
     assert len(harness.cloud.requests) == 1
     harness.write()
     assert harness.store.listing(REQUEST_PREFIX)[0] == []
     assert len(harness.store.listing(MACHINE_PREFIX)[0]) == 1
 
 
-def test_ids_of_requests_differ_between_terms(harness: LeaderHarness) -> None:
+def test_ids_of_rental_requests_differ_between_terms(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
     rent(harness)
     harness.new_leader(6)
@@ -52,16 +52,16 @@
     assert len(ids) == len(set(ids)) >= 2
 
 
-def test_an_unanswered_request_is_repeated_not_renewed(harness: LeaderHarness) -> None:
+def test_an_unanswered_rental_request_is_repeated_under_the_same_id(harness: LeaderHarness) -> None:
     harness.accept(task_count=8)
 
     def no_answer(_request: Any) -> Any:
         raise CloudUnavailableError("timeout")
 
-    real, harness.cloud.rent = harness.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
+    original_rent, harness.cloud.rent = harness.cloud.rent, no_answer  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
         rent(harness)
-    harness.cloud.rent = real  # type: ignore[method-assign]
+    harness.cloud.rent = original_rent  # type: ignore[method-assign]
     [pending] = harness.leader.autoscaler.rentals.pending.values()
     harness.leader.autoscaler.rentals.send(pending)
     assert [request.id for request in harness.cloud.requests] == [pending.id]
@@ -74,11 +74,11 @@
     harness.later(3.1, renewed=False)
     harness.leader.autoscaler.scale_out()
     assert not harness.cloud.requests
-    assert len(pending) == 1  # recorded, to be asked for once the lease is confirmed
+    assert len(pending) == 1  # recorded, and sent once the lease is confirmed
 
 
-def test_a_booting_machine_keeps_a_successor_from_nothing(harness: LeaderHarness) -> None:
-    """Found on a rolling restart: each new leader waited for machines never heard."""
+def test_a_successor_does_not_wait_for_booting_machines(harness: LeaderHarness) -> None:
+    """In a rolling restart, each new leader waited for machines that had never sent a heartbeat."""
     harness.accept(task_count=8)
     rent(harness)
     harness.write()
@@ -88,7 +88,7 @@
 
 
 def test_a_failed_release_leaves_the_machine_in_use(harness: LeaderHarness) -> None:
-    """Found on a quiet day: refused for the cloud's rate, machines were left out for good."""
+    """Seen under low load: after a throttled release its machines stayed unused for good."""
     worker = harness.ready_worker()
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
@@ -102,24 +102,24 @@
 
 
 @pytest.mark.parametrize(
-    ("lists", "heard", "known"),
+    ("listings", "heard", "known"),
     [
         ([True], False, True),
-        ([True, False], False, True),  # a list may be older than the one before it
+        ([True, False], False, True),  # a list may be older than the previous one
         ([True, False, True, False], False, True),
         ([True, False, False], False, False),
         ([True, False, False], True, True),
         ([True, False, False, True], False, True),
     ],
 )
-def test_what_a_predecessor_released_is_not_waited_for(
-    harness: LeaderHarness, lists: list[bool], heard: bool, known: bool
+def test_machines_that_a_predecessor_released_are_forgotten(
+    harness: LeaderHarness, listings: list[bool], heard: bool, known: bool
 ) -> None:
-    """Lists are old: a new leader took up machines that were gone, and counted them as booting."""
+    """The cloud's lists lag: a new leader counted machines that were already gone as booting."""
     worker = harness.worker()
-    for shown in lists:
+    for is_listed in listings:
         host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
-        harness.cloud.listed = [host] if shown else []
+        harness.cloud.listed = [host] if is_listed else []
         harness.leader.autoscaler.inventory.read_page()
         if heard:
             harness.exchange(worker)
@@ -131,10 +131,10 @@
 
 
 @pytest.mark.parametrize(("machines", "silent", "released"), [(9, 2, 2), (9, 6, 0)])
-def test_silent_machines_are_released_unless_they_are_many(
+def test_silent_machines_are_released_unless_there_are_many(
     harness: LeaderHarness, machines: int, silent: int, released: int
 ) -> None:
-    """Many silent at once may mean that the fault is here: nothing is released in haste."""
+    """If many fall silent, the leader may be at fault, so the leases must have expired first."""
     workers = harness.ready_workers(machines)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
@@ -150,43 +150,43 @@
 def test_machines_of_an_earlier_term_are_released_once_their_lease_has_expired(
     harness: LeaderHarness,
 ) -> None:
-    """Found in inc-08d3: those not heard since a failover were waited for like booting ones."""
+    """In inc-08d3, machines not heard since a failover were waited for like booting ones."""
     workers = harness.ready_workers(6)
     harness.new_leader(6)
     for worker in workers[4:] * 2:
         harness.exchange(worker)
-    bound = policy().hold_s + settings().params.workers.lease_s
-    for _ in range(int(bound / 2) + 3):
+    may_hold_s = policy().hold_s + settings().params.workers.lease_s
+    for _ in range(int(may_hold_s / 2) + 3):
         harness.later(2.0)
         for worker in workers[4:]:
             harness.exchange(worker)
     harness.leader.term.cluster.expire(harness.clock())
-    chosen = harness.leader.autoscaler.unhealthy_machines(harness.clock())
-    assert sorted((machine.id, reason) for machine, reason in chosen) == [
+    releases = harness.leader.autoscaler.unhealthy_machines(harness.clock())
+    assert sorted((machine.id, reason) for machine, reason in releases) == [
         (worker.name, "silent") for worker in workers[:4]
     ]
 
 
 def test_machines_falling_silent_one_after_another_are_not_released(harness: LeaderHarness) -> None:
-    """Found on a day of our own: the first of many to fall silent looked like few."""
+    """When many fell silent one after another, the first ones were few enough to be released."""
     workers = harness.ready_workers(9)
     for worker in workers[3:]:
         harness.later(0.3)
         harness.exchange(worker)
-    harness.later(policy().silence_s - 1.0)  # the first three are silent, the others only late
+    harness.later(policy().silence_s - 1.0)  # three are silent, the others only late
     assert harness.leader.autoscaler.unhealthy_machines(harness.clock()) == []
 
 
 def record_messages(harness: LeaderHarness) -> list[MachineId]:
-    """Let direct messages queue as in production, and record to which machines they are sent."""
+    """Queue direct messages as in production; return a list that records the machines contacted."""
     del harness.leader.direct_messages.schedule
     contacted: list[MachineId] = []
     harness.leader.direct_messages.send = lambda machine: contacted.append(machine.id)  # type: ignore[method-assign]
     return contacted
 
 
-def test_probing_many_silent_machines_never_waits(harness: LeaderHarness) -> None:
-    """Found on a day of our own: a full pool of senders interrupted a loop over the machines."""
+def test_probing_many_silent_machines_does_not_block(harness: LeaderHarness) -> None:
+    """With a bounded pool of senders, spawning blocked in the middle of a loop over machines."""
     harness.ready_workers(100)
     direct_messages = harness.leader.direct_messages
     contacted = record_messages(harness)
@@ -196,11 +196,13 @@
     assert not contacted  # nothing was sent during the loop over the machines
     assert len(direct_messages.senders) == MAX_SENDS_IN_FLIGHT
     direct_messages.senders.join()
-    assert sorted(contacted) == sorted(harness.leader.term.cluster.machines)  # one each, none twice
+    assert sorted(contacted) == sorted(harness.leader.term.cluster.machines)  # once each
 
 
-def test_tasks_to_stop_do_not_wait_behind_silent_machines(harness: LeaderHarness) -> None:
-    """Each silent one takes two seconds: where a zone was lost, cancels waited for a minute."""
+def test_stopping_a_task_does_not_wait_for_probes_of_silent_machines(
+    harness: LeaderHarness,
+) -> None:
+    """A probe of a silent machine takes two seconds: after a zone loss, cancels waited a minute."""
     workers = harness.ready_workers(100)
     harness.accept(task_count=1)
     harness.place()
@@ -218,8 +220,8 @@
     assert len(contacted) == 100
 
 
-def test_neither_queue_of_messages_waits_for_the_other(harness: LeaderHarness) -> None:
-    """Stops are sent again each second: to silent machines they would have kept all senders."""
+def test_the_two_queues_of_direct_messages_take_turns(harness: LeaderHarness) -> None:
+    """Stops are resent each second; without turns, silent machines would occupy all senders."""
     harness.ready_workers(100)
     direct_messages = harness.leader.direct_messages
     contacted = record_messages(harness)
@@ -235,51 +237,51 @@
     assert [name in stopping for name in contacted[:80]] == [True, False] * 40
 
 
-@pytest.mark.parametrize(("silent", "cut"), [(2, False), (6, False), (7, True), (9, True)])
-def test_a_leader_that_hears_hardly_any_worker_resigns(
-    harness: LeaderHarness, silent: int, cut: bool
+@pytest.mark.parametrize(("silent", "cut_off"), [(2, False), (6, False), (7, True), (9, True)])
+def test_a_leader_that_hears_few_of_its_workers_counts_as_cut_off(
+    harness: LeaderHarness, silent: int, cut_off: bool
 ) -> None:
     workers = harness.ready_workers(9)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert harness.leader.maintenance.reachability.is_cut_from_workers(harness.clock()) is cut
+    assert harness.leader.maintenance.reachability.is_cut_from_workers(harness.clock()) is cut_off
 
 
-def tend(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
-    """Let time pass in which no worker is heard, and the leader look after things."""
+def run_maintenance(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
+    """Advance the clock step by step and run maintenance after each step; no worker is heard."""
     for _ in range(round(seconds / step_s)):
         harness.later(step_s)
         harness.leader.maintenance.run_once()
 
 
-def silent_fleet(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nine machines that were heard, and a leader that watches over them."""
+def start_with_nine_machines(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make nine workers ready, and run maintenance once."""
     monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
     harness.ready_workers(9)
     harness.leader.maintenance.run_once()
 
 
-def test_a_cut_leader_resigns_once_a_heartbeat_and_a_probe_were_missed(
+def test_a_cut_off_leader_resigns_after_a_missed_heartbeat_and_a_missed_probe(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Measured on days with such a cut: 7.1 s from the cut to the resignation."""
-    silent_fleet(harness, monkeypatch)
+    """Measured with such a cut: 7.1 s from the cut to the resignation."""
+    start_with_nine_machines(harness, monkeypatch)
     longest_s = PROBE_AFTER * harness.settings.params.workers.report_s + CUT_PROBE_S
-    tend(harness, longest_s)
+    run_maintenance(harness, longest_s)
     assert harness.lost == []
-    tend(harness, 0.5)
+    run_maintenance(harness, 0.5)
     assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
     assert longest_s < policy().silence_s
 
 
-def test_a_leader_that_stood_still_does_not_count_that_time(
+def test_the_time_in_which_the_leader_stalled_does_not_count_as_silence(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found in replays: itself again after 9 s, it resigned and left leadership alone for 15 s."""
-    silent_fleet(harness, monkeypatch)
-    tend(harness, 9.0, step_s=9.0)
-    tend(harness, 2.0)
+    """In replays, a leader resumed after a 9 s stall, resigned, and did not campaign for 15 s."""
+    start_with_nine_machines(harness, monkeypatch)
+    run_maintenance(harness, 9.0, step_s=9.0)
+    run_maintenance(harness, 2.0)
     assert harness.lost == []
-    tend(harness, 9.0)
+    run_maintenance(harness, 9.0)
     assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
