--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas: they never finish, run again wherever they end, and outlive leaders."""
+"""Replicas of services: they never finish, are restarted when they end, and outlive leaders."""
 
 from __future__ import annotations
 
@@ -30,69 +30,71 @@
 @pytest.mark.parametrize(
     ("changes", "status"),
     [
-        ({"team": "blue", "cpus": 4.0, "task_count": 16}, 201),  # 64 processors at most
-        ({"team": "blue", "cpus": 4.0, "task_count": 17}, 422),  # all together
-        ({"team": "blue", "cpus": 4.0, "task_count": 17, "shape": "batch"}, 201),  # one at a time
+        ({"team": "blue", "cpus": 4.0, "task_count": 16}, 201),  # the team's limit: 64 processors
+        ({"team": "blue", "cpus": 4.0, "task_count": 17}, 422),  # all replicas run at once
+        ({"team": "blue", "cpus": 4.0, "task_count": 17, "shape": "batch"}, 201),  # run in turn
         ({"team": "red", "gpus": 1.0, "task_count": 9}, 422),
         ({"team": "nobody"}, 422),
         ({"cpus": 1000.0}, 422),
         ({"task_count": 0}, 400),
         ({"estimated_s": -1.0}, 400),
-        ({"estimated_s": 60.0, "deadline_s": 90.0}, 201),  # said for nothing: a replica has no end
+        ({"estimated_s": 60.0, "deadline_s": 90.0}, 201),  # ignored: a replica has no end
     ],
 )
-def test_what_is_taken_and_what_can_never_run(changes: dict[str, Any], status: int) -> None:
+def test_which_services_are_accepted(changes: dict[str, Any], status: int) -> None:
     assert Client().submit(**{**SERVICE, **changes})[0] == status
     if status == 422:
         assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), FLAVOURS, TEAMS)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "killed"])
-def test_a_replica_that_ends_runs_again_and_its_job_is_never_done(
+def test_a_replica_that_ends_is_restarted_and_its_job_is_never_done(
     harness: LeaderHarness, cause: str
 ) -> None:
-    one, other = harness.worker("i-000001"), harness.worker("i-000002")
-    harness.ready(one, other)
-    name = serve(harness, one, other, task_count=2)
-    before = {key[1] for worker in (one, other) for key in worker.tasks}
+    first, second = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(first, second)
+    name = serve(harness, first, second, task_count=2)
+    old_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
     assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(RAN_FOR_A_WHILE_S + 1)
-    for worker in (one, other):
+    for worker in (first, second):
         if worker.tasks:
             worker.finish(cause)
             commands = harness.exchange(worker)
-            assert "clear" in verbs(commands)  # nothing has to be written for it
+            assert "clear" in verbs(commands)  # cleared without a write to the store
     harness.write()
     for _ in range(3):
         harness.place()
-        for worker in (one, other):
+        for worker in (first, second):
             harness.exchange(worker)
-    state = harness.leader.poll(name)
-    assert state is not None
-    assert (state.status, state.done, state.running) == ("running", 0, 2)
+    job_status = harness.leader.poll(name)
+    assert job_status is not None
+    assert (job_status.status, job_status.done, job_status.running) == ("running", 0, 2)
     assert harness.store.get(final_key(name)) is None
     assert not harness.finals
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
-    again = {key[1] for worker in (one, other) for key in worker.tasks}
-    assert not before & again  # a new attempt each time
+    new_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
+    assert not old_attempts & new_attempts  # each restart has a new attempt number
 
 
 def test_a_replica_that_exited_with_done_starts_elsewhere(harness: LeaderHarness) -> None:
-    """Its worker keeps the result: started there again it would exit at once."""
-    one, other = harness.worker("i-000001"), harness.worker("i-000002")
-    harness.ready(one, other)
-    name = serve(harness, one, other, task_count=1)
-    [at] = replicas(harness, name).values()
-    here, there = (one, other) if at == one.name else (other, one)
+    """Its worker keeps the result, so a replica started there again would exit at once."""
+    first, second = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(first, second)
+    name = serve(harness, first, second, task_count=1)
+    [machine_name] = replicas(harness, name).values()
+    worker_with_result, worker_without_result = (
+        (first, second) if machine_name == first.name else (second, first)
+    )
     harness.later(RAN_FOR_A_WHILE_S + 1)
-    here.finish("done")
-    harness.exchange(here)
-    harness.exchange(there)
+    worker_with_result.finish("done")
+    harness.exchange(worker_with_result)
+    harness.exchange(worker_without_result)
     harness.place()
-    assert list(replicas(harness, name).values()) == [there.name]
+    assert list(replicas(harness, name).values()) == [worker_without_result.name]
 
 
-def test_a_record_of_finishes_makes_no_service_done(harness: LeaderHarness) -> None:
+def test_a_record_of_finished_tasks_does_not_complete_a_service(harness: LeaderHarness) -> None:
     name = harness.accept(**SERVICE, task_count=2)
     harness.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
     leader = harness.new_leader(6)
@@ -111,28 +113,28 @@
     assert service.shortfall == 2
 
 
-def test_one_that_ends_at_once_everywhere_is_backed_off_and_tried_again(
+def test_a_service_that_fails_everywhere_backs_off_and_is_probed_later(
     harness: LeaderHarness,
 ) -> None:
     workers = harness.ready_workers(8)
     name = harness.accept(**SERVICE, task_count=6)
     service = harness.leader.term.job_table.jobs[name]
-    begun = 0
+    start_count = 0
     for _ in range(200):
         harness.place()
         for worker in workers:
-            begun += len(starts(harness.exchange(worker)))
+            start_count += len(starts(harness.exchange(worker)))
             worker.finish("error")
             harness.exchange(worker)
         harness.later(1.0)
     assert service.backoff_s == 60.0
-    assert begun < 60
+    assert start_count < 60
     assert not any(m.faults or m.quarantined for m in harness.leader.term.cluster.machines.values())
     harness.later(61.0)
     for worker in workers * 2:
         harness.exchange(worker)
     harness.place()
-    assert len(service.live) == 1  # one tells whether it still does
+    assert len(service.live) == 1  # one probe shows whether the service still fails
     harness.place()
     assert len(service.live) == 1
     for _ in range(2):
@@ -146,8 +148,10 @@
     assert len(service.live) == 6
 
 
-def test_a_good_service_is_not_blamed_for_bad_machines(harness: LeaderHarness) -> None:
-    """It has finished nothing, ever: judged by that, three bad machines backed it off."""
+def test_a_healthy_service_does_not_back_off_because_of_faulty_machines(
+    harness: LeaderHarness,
+) -> None:
+    """Judged by finished tasks (it has none), a service backed off after three bad machines."""
     workers = harness.ready_workers(6)
     name = serve(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
@@ -155,13 +159,13 @@
     harness.later(RAN_FOR_A_WHILE_S + 1)
     for worker in workers:
         harness.exchange(worker)
-    for bad in workers[:4]:
+    for faulty in workers[:4]:
         for _ in range(2):
-            bad.finish("error")
-            harness.exchange(bad)
+            faulty.finish("error")
+            harness.exchange(faulty)
             harness.place()
-            harness.exchange(bad)
-            harness.exchange(bad)
+            harness.exchange(faulty)
+            harness.exchange(faulty)
     assert not service.backoff_s
     cluster = harness.leader.term.cluster
     assert cluster.machines[MachineId(workers[0].name)].faults
@@ -180,39 +184,44 @@
     assert len(replicas(harness, name)) == 1
 
 
-# -- what an end that never comes does to sums ---------------------------------------------------
+# -- infinite run times in estimates -------------------------------------------------------------
 
 
-def test_replicas_come_first_in_their_rank_and_put_nothing_off() -> None:
-    """Their run time is infinite: in the sum of work it made every other job late."""
+def test_replicas_come_first_in_their_priority_and_delay_no_other_job() -> None:
+    """Their run time is infinite: added to the load, it made every other job count as late."""
     service = job("run-9", at=50.0, **SERVICE)
-    lesser = job("run-8", at=50.0, **{**SERVICE, "priority": "idle"})
+    idle_service = job("run-8", at=50.0, **{**SERVICE, "priority": "idle"})
     batches = [
         job("run-1", task_count=4),
         job("run-2", task_count=4),
         job("run-3", priority="idle"),
     ]
     batches[1].guaranteed = True
-    alone = order_of(batches, 16.0, 60.0)
-    ordered = order_of([*batches, service, lesser], 16.0, 60.0)
-    assert ordered[0] == "run-9"
-    assert ordered.index("run-8") == len(ordered) - 2
-    assert [name for name in ordered if name not in ("run-9", "run-8")] == alone
+    order_without_services = order_of(batches, 16.0, 60.0)
+    order_with_services = order_of([*batches, service, idle_service], 16.0, 60.0)
+    assert order_with_services[0] == "run-9"
+    assert order_with_services.index("run-8") == len(order_with_services) - 2
+    assert [
+        name for name in order_with_services if name not in ("run-9", "run-8")
+    ] == order_without_services
 
 
 @pytest.mark.parametrize("free", [0.0, 16.0])
-def test_an_aim_for_its_start_gives_a_replica_no_infinite_deadline(free: float) -> None:
-    aims = [Objective("wait", 0.9, "scan", 10.0), Objective("finished", 0.9, "scan", 60.0)]
+def test_an_objective_for_starts_gives_a_replica_no_infinite_deadline(free: float) -> None:
+    objectives = [Objective("wait", 0.9, "scan", 10.0), Objective("finished", 0.9, "scan", 60.0)]
     service = job("run-9", deadline_s=10.0, **SERVICE)
-    assert queueing.deadlines(service, aims) == ()
+    assert queueing.deadlines(service, objectives) == ()
     supply = queueing.Supply(16.0, free)
     jobs = [job("run-1"), service, job("run-2", **{**SERVICE, "priority": "standard"})]
-    names = [one.id for one in queueing.order(jobs, aims, supply, supply, WallTime(5.0))]
-    assert names == ["run-9", "run-2", "run-1"]
+    ordered = [
+        ordered_job.id
+        for ordered_job in queueing.order(jobs, objectives, supply, supply, WallTime(5.0))
+    ]
+    assert ordered == ["run-9", "run-2", "run-1"]
 
 
-def test_a_shared_image_does_not_make_the_need_for_it_infinite() -> None:
-    """Infinite work less infinite work is no number, and its ceiling is an error."""
+def test_an_image_shared_with_a_service_does_not_make_its_demand_infinite() -> None:
+    """Infinite work minus infinite work is NaN, and taking its ceiling raises an error."""
     world = World()
     for n in range(4):
         world.machine(f"i-{n}", zone="ab"[n % 2])
@@ -223,10 +232,10 @@
     world.put(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     found = world.plan(service, batch)
     assert sum(n for b in found.batches if b.job is service for _machine, n in b.parts) == 3
-    assert batch.shortfall == 40  # it waits for the image, by a sum that is finite
+    assert batch.shortfall == 40  # it waits for the image, by a finite estimate
 
 
-def test_a_gang_is_not_promised_room_that_a_replica_holds_for_good() -> None:
+def test_no_resources_held_by_a_replica_are_reserved_for_a_gang() -> None:
     world = World()
     machine = world.machine("i-1", CPU)
     world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
@@ -246,8 +255,8 @@
     assert not plan.stops
 
 
-def test_a_service_that_waited_long_begins_whole() -> None:
-    """Of an overdue array a tenth begins at once, and the rest comes by the order."""
+def test_an_overdue_service_is_placed_whole() -> None:
+    """Of an overdue array only a tenth is placed at once, and the rest in the usual order."""
     world = World()
     world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
@@ -269,38 +278,38 @@
     ("tasks", "spread", "expected"),
     [(40, False, 2), (33, False, 2), (32, False, 1), (4, True, 2), (3, True, 2), (1, True, 1)],
 )
-def test_every_replica_is_rented_a_place_and_spread_ones_two_zones(
+def test_machines_are_rented_for_every_replica_and_in_two_zones_for_spread_ones(
     tasks: int, spread: bool, expected: int
 ) -> None:
-    """Rented in the cheapest zone only, the machines were of no use to half of the replicas."""
-    short = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
-    found = plan_scale_out(short, [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert sum(plan.count for plan in found) == expected
-    assert len({plan.options[0][1] for plan in found}) == (2 if spread and tasks > 1 else 1)
-
-
-def test_nothing_is_rented_for_a_replica_in_a_zone_that_is_full_of_them() -> None:
-    one = job(**{**SERVICE, "task_count": 4, "spread": True})
-    one.zones[Zone("a")] = 2
-    one.live = dict.fromkeys((0, 1), MachineId("i-1"))
-    [plan] = plan_scale_out([Unplaced(one, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    """Rented in the cheapest zone only, the machines had no room for half of spread replicas."""
+    unplaced = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
+    plans = plan_scale_out(unplaced, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    assert sum(plan.count for plan in plans) == expected
+    assert len({plan.options[0][1] for plan in plans}) == (2 if spread and tasks > 1 else 1)
+
+
+def test_no_machine_is_rented_in_a_zone_that_has_its_share_of_replicas() -> None:
+    service = job(**{**SERVICE, "task_count": 4, "spread": True})
+    service.zones[Zone("a")] = 2
+    service.live = dict.fromkeys((0, 1), MachineId("i-1"))
+    [plan] = plan_scale_out([Unplaced(service, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
 
 
-# -- take-over, cancel ---------------------------------------------------------------------------
+# -- failover, cancel ----------------------------------------------------------------------------
 
 
-def test_replicas_run_on_through_a_take_over(harness: LeaderHarness) -> None:
+def test_replicas_keep_running_through_a_failover(harness: LeaderHarness) -> None:
     workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
     harness.ready(*workers)
     name = serve(harness, *workers, task_count=4, spread=True)
-    before = [set(worker.tasks) for worker in workers]
+    tasks_before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
-        state = leader.poll(name)
-        assert state is not None
-        assert state.status == "queued"
+        job_status = leader.poll(name)
+        assert job_status is not None
+        assert job_status.status == "queued"
         for worker in workers:
             assert not starts(harness.exchange(worker))
         for worker in workers:
@@ -310,33 +319,35 @@
         for worker in workers:
             commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
-        state = leader.poll(name)
-        assert state is not None
-        assert (state.status, state.running) == ("running", 4)
-    assert [set(worker.tasks) for worker in workers] == before
+        job_status = leader.poll(name)
+        assert job_status is not None
+        assert (job_status.status, job_status.running) == ("running", 4)
+    assert [set(worker.tasks) for worker in workers] == tasks_before
 
 
-def test_a_lost_machine_is_replaced_once_it_is_surely_gone(harness: LeaderHarness) -> None:
-    one, other = harness.worker("i-000001"), harness.worker("i-000002")
-    harness.ready(one, other)
-    name = serve(harness, one, other, task_count=2)
+def test_the_replica_of_a_lost_machine_is_replaced_once_the_machine_is_released(
+    harness: LeaderHarness,
+) -> None:
+    first, second = harness.worker("i-000001"), harness.worker("i-000002")
+    harness.ready(first, second)
+    name = serve(harness, first, second, task_count=2)
     lost = MachineId(next(iter(replicas(harness, name).values())))
-    rest = other if lost == one.name else one
+    remaining = second if lost == first.name else first
     for _ in range(3):
         harness.later(3.0)
-        harness.exchange(rest)
+        harness.exchange(remaining)
         harness.place()
         assert lost in replicas(harness, name).values()
     harness.leader.autoscaler.releaser.release(
         harness.leader.autoscaler.unhealthy_machines(harness.clock())
     )
     assert harness.cloud.released == [lost]
-    harness.exchange(rest)
+    harness.exchange(remaining)
     harness.place()
-    assert set(replicas(harness, name).values()) == {rest.name}
+    assert set(replicas(harness, name).values()) == {remaining.name}
 
 
-def test_a_cancelled_service_ends_everywhere(harness: LeaderHarness) -> None:
+def test_a_cancelled_service_ends_on_every_machine(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
     name = serve(harness, *workers, task_count=3)
     assert harness.leader.apply_cancel(name)
@@ -350,7 +361,7 @@
         assert not starts(harness.exchange(worker))
 
 
-def test_a_worker_is_hastened_for_a_replica_also_when_its_report_is_near(
+def test_an_early_heartbeat_is_requested_for_a_replica_even_shortly_before_the_next(
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
@@ -360,14 +371,14 @@
     harness.later(2.4)
     harness.accept("run-8")
     harness.place()
-    assert not sent  # due anyway
+    assert not sent  # the next heartbeat is due soon
     harness.accept("run-9", **SERVICE, task_count=1)
     harness.place()
     assert sent == [machine.id]
 
 
-def test_how_soon_a_worker_reports(harness: LeaderHarness) -> None:
-    """A nudge brings a heartbeat in half a second; not while a response is under way, nor twice."""
+def test_the_estimate_of_the_time_until_the_next_heartbeat(harness: LeaderHarness) -> None:
+    """Early in 0.5 s, unless a start is in flight or the token was raised shortly before."""
     worker = harness.ready_worker()
     early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
@@ -382,7 +393,9 @@
     )
 
 
-def test_a_start_refused_by_the_worker_is_no_fault_of_a_service(harness: LeaderHarness) -> None:
+def test_a_start_refused_by_the_worker_does_not_count_against_a_service(
+    harness: LeaderHarness,
+) -> None:
     worker = harness.ready_worker()
     name = serve(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
