--- a/tests/leader/test_scale.py
+++ b/tests/leader/test_scale.py
@@ -1,4 +1,4 @@
-"""The cost of things at several sizes, in counts: a step that grows with the square fails here."""
+"""Costs at several fleet sizes, as counts of operations: quadratic growth fails these tests."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class Fleet:
-    """Machines of two types, three zones and two kinds, and jobs on them."""
+    """A cluster state and job table: machines of two types, in three zones, spot and on-demand."""
 
     def __init__(self, size: int) -> None:
         self.job_table = JobTable()
@@ -67,7 +67,7 @@
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def fill(self, one: Job) -> None:
-        """Fill every machine that has no cards with a job's tasks."""
+        """Fill every machine without GPUs with a job's tasks."""
         numbers = iter(range(one.spec.task_count))
         for machine in self.cluster.machines.values():
             while not machine.machine_type.gpus and machine.cpus >= one.spec.cpus:
@@ -90,9 +90,9 @@
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("full", [False, True])
 def test_a_gang_that_fits_is_placed_in_the_first_cycle(size: int, full: bool) -> None:
-    """In a sample of all machines it hardly ever found enough of one type in one zone."""
+    """A sample of all machines rarely held enough machines of one type in one zone for a gang."""
     fleet = Fleet(size)
-    ordinary = sum(
+    suitable = sum(
         m.zone == "a" and not m.spot and m.machine_type is CPU
         for m in fleet.cluster.machines.values()
     )
@@ -103,7 +103,7 @@
         priority="urgent",
         shape="group",
         same_zone=True,
-        task_count=ordinary,
+        task_count=suitable,
         cpus=30.0,
         machine_types=["c32"],
         zone="a",
@@ -111,42 +111,42 @@
     plan = fleet.plan(gang)
     assert not plan.unplaced
     if full:
-        assert len({assignment.machine.id for assignment in plan.stops}) == ordinary
+        assert len({assignment.machine.id for assignment in plan.stops}) == suitable
     else:
-        assert sum(n for batch in plan.batches for _machine, n in batch.parts) == ordinary
-    assert plan.machines_examined <= 2 * ordinary
+        assert sum(n for batch in plan.batches for _machine, n in batch.parts) == suitable
+    assert plan.machines_examined <= 2 * suitable
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_free_and_stopped_machines_make_a_gang_whole_together(size: int) -> None:
-    """A gang that needed free machines and full ones found neither enough."""
+def test_a_gang_is_placed_on_free_and_preempted_machines_together(size: int) -> None:
+    """Neither the free nor the full machines suffice for the gang; only both together do."""
     fleet = Fleet(size)
     fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
-    ordinary = [
+    suitable = [
         m for m in fleet.cluster.machines.values()
         if m.zone == "a" and not m.spot and m.machine_type is CPU
     ]  # fmt: skip
-    for machine in ordinary[::2]:
+    for machine in suitable[::2]:
         fleet.cluster.drop_all(machine, T0)
     gang = fleet.job(
         "run-1",
         priority="urgent",
         shape="group",
         same_zone=True,
-        task_count=len(ordinary),
+        task_count=len(suitable),
         cpus=30.0,
         machine_types=["c32"],
         zone="a",
     )
     plan = fleet.plan(gang)
     assert not plan.unplaced
-    assert {assignment.machine.id for assignment in plan.stops} == {m.id for m in ordinary[1::2]}
+    assert {assignment.machine.id for assignment in plan.stops} == {m.id for m in suitable[1::2]}
 
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("waiting", [10, 40])
-def test_what_found_no_room_is_not_looked_for_again(size: int, waiting: int) -> None:
-    """A backlog of like jobs before a full fleet costs one look, not one a job and machine."""
+def test_jobs_like_one_that_found_no_room_examine_no_machines(size: int, waiting: int) -> None:
+    """In a full fleet, a backlog of similar jobs must not cost a check per job and machine."""
     fleet = Fleet(size)
     fleet.fill(fleet.job("run-9", task_count=size * 8))
     jobs = [
@@ -159,17 +159,19 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_an_array_looks_at_a_sample(size: int) -> None:
+def test_an_array_examines_only_a_sample_of_the_machines(size: int) -> None:
     fleet = Fleet(size)
     plan = fleet.plan(fleet.job("run-1", task_count=100_000, spot=True))
-    assert plan.machines_examined <= 2 * policy().sample  # machines without cards, then those with
+    assert plan.machines_examined <= 2 * policy().sample  # machines without GPUs, then with GPUs
     assert sum(n for batch in plan.batches for _machine, n in batch.parts) >= policy().sample
 
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("waiting", [5, 40])
-def test_jobs_that_wait_for_images_look_at_samples(size: int, waiting: int) -> None:
-    """Twice a cycle: at machines with the image, and at what lies idle. Never at all of them."""
+def test_jobs_that_wait_for_images_examine_only_samples_of_the_machines(
+    size: int, waiting: int
+) -> None:
+    """Two samples per job and cycle: of machines with the image, and of idle machines."""
     fleet = Fleet(size)
     for n, machine in enumerate(fleet.cluster.machines.values()):
         machine.record_image(f"img-{n % 7}", 4.0)
@@ -183,31 +185,36 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_what_a_successor_is_told_of_images_is_small(size: int) -> None:
+def test_the_image_locality_message_to_a_successor_is_small(size: int) -> None:
     fleet = Fleet(size)
     for n, machine in enumerate(fleet.cluster.machines.values()):
         for k in range(8):
             machine.record_image(f"some-longer-image-name-{(n + k) % 40:02d}", 1.0)
     encoded = msgspec.msgpack.encode(ImageLocality(1, *fleet.cluster.images()))
-    assert len(encoded) <= 2000 + 32 * size  # names once, then a byte for each image of a machine
+    assert len(encoded) <= 2000 + 32 * size  # each name once, plus a byte per image and machine
 
 
-def test_sockets_are_shared_out_by_need() -> None:
-    """A leader of 909 machines had 1,100 connections, and six in ten of its sockets for them."""
+def test_the_shares_of_the_sockets_match_the_need() -> None:
+    """A leader of 909 machines had 1,100 API connections, but only 60% of its sockets for them."""
     sockets = 1800
     workers = Workers(sockets)
     for n in range(sockets):
         workers.client_for(f"10.0.{n // 250}.{n % 250 + 1}:9000")
-    kept = len(workers.clients)
-    store = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
-    others = int(PEER_SHARE * sockets) + kept + max_sends_in_flight(sockets) + store
+    worker_connections = len(workers.clients)
+    store_connections = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
+    others = (
+        int(PEER_SHARE * sockets)
+        + worker_connections
+        + max_sends_in_flight(sockets)
+        + store_connections
+    )
     assert int(API_SHARE * sockets) >= 1.2 * 1100
     assert int(API_SHARE * sockets) + others <= sockets
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_machines_are_recorded_in_few_writes(harness: LeaderHarness, size: int) -> None:
-    """One write each took the write rate for many seconds before a first task could start."""
+    """One write per machine used up the write rate for many seconds before a first task started."""
     workers = [harness.worker(f"i-{n:06d}", spot=n % 2 == 0) for n in range(size)]
     before = harness.store.writes
     harness.ready(*workers)
@@ -219,30 +226,30 @@
 
 
 @pytest.mark.parametrize("jobs", [8, 64, 256])
-def test_finishes_of_many_jobs_share_their_writes(harness: LeaderHarness, jobs: int) -> None:
-    """A job is refilled after its finishes are written: a write each delayed every one."""
+def test_finished_tasks_of_many_jobs_share_writes(harness: LeaderHarness, jobs: int) -> None:
+    """A job gets new tasks after its finished ones are written: a write per job delayed all."""
     for n in range(jobs):
         name = JobId(f"run-{n}")
         record = JobRecord(job_spec(str(name), task_count=800), 0.0)
         result = harness.store.txn({}, [Put(live_key(name), record)])
-        found = harness.leader.term.job_table.put(record, KeyVersion(result.revision))
-        found.finish(n)
-        harness.leader.term.job_table.touch(found)
+        live_job = harness.leader.term.job_table.put(record, KeyVersion(result.revision))
+        live_job.finish(n)
+        harness.leader.term.job_table.touch(live_job)
     before = harness.store.writes
     harness.write()
     assert harness.store.writes - before <= jobs // 16 + 1
-    assert not any(one.unwritten for one in harness.leader.term.job_table)
+    assert not any(each_job.unwritten for each_job in harness.leader.term.job_table)
     harness.new_leader(6)
-    assert all(one.done_count == 1 for one in harness.leader.term.job_table)
+    assert all(each_job.done_count == 1 for each_job in harness.leader.term.job_table)
 
 
-def test_finishes_of_jobs_that_are_gone_do_not_stop_a_failover(harness: LeaderHarness) -> None:
-    """Found on a rough day: dropping them while reading ended every term at its beginning."""
+def test_finished_tasks_of_removed_jobs_do_not_stop_a_failover(harness: LeaderHarness) -> None:
+    """Seen with many faults: dropping such records while loading them ended each term at once."""
     for n in range(3):
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
-        found = harness.leader.term.job_table.put(record, KeyVersion(1))
-        found.finish(0)
-        harness.leader.term.job_table.touch(found)
+        live_job = harness.leader.term.job_table.put(record, KeyVersion(1))
+        live_job.finish(0)
+        harness.leader.term.job_table.touch(live_job)
     harness.write()
     harness.new_leader(6)  # none of the jobs is in the store
     assert not harness.leader.term.job_table.jobs
@@ -251,7 +258,7 @@
 
 
 @pytest.mark.parametrize("tasks", [4, 16, 64])
-def test_an_unchanged_heartbeat_costs_nothing_a_task(
+def test_an_unchanged_heartbeat_has_no_cost_per_task(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch, tasks: int
 ) -> None:
     worker = harness.ready_worker()
@@ -262,11 +269,11 @@
     assert len(harness.assignments()) == tasks
     parsed: list[str] = []
 
-    def counted(text: str) -> TaskId | None:
+    def counting_parse_task(text: str) -> TaskId | None:
         parsed.append(text)
         return parse_task(text)
 
-    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task", counted)
+    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task", counting_parse_task)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
@@ -278,10 +285,10 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_direct_messages_are_bounded_by_rate_not_by_machines(
+def test_direct_messages_are_bounded_by_a_rate_not_by_the_number_of_machines(
     harness: LeaderHarness, size: int
 ) -> None:
-    """After each write every machine with an ended task was sent a message of its own."""
+    """After each write, every machine with an ended task was sent a direct message."""
     workers = harness.ready_workers(size)
     harness.accept(task_count=size * 16)
     harness.place()
@@ -297,8 +304,10 @@
     assert len(sent) <= 60 * settings().params.resources.core_share
 
 
-def test_no_more_machines_count_as_gone_than_one_request_releases(harness: LeaderHarness) -> None:
-    """With more than a hundred to be given up, the rest was forgotten while it still ran tasks."""
+def test_only_as_many_machines_are_forgotten_as_one_request_releases(
+    harness: LeaderHarness,
+) -> None:
+    """Beyond the hundred that one request takes, machines were forgotten that still ran tasks."""
     harness.ready_workers(250)
     machines = list(harness.leader.term.cluster.machines.values())
     harness.leader.autoscaler.releaser.release(
@@ -309,17 +318,17 @@
     assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
 
 
-# -- records that share a page -----------------------------------------------------------------
+# -- paged records -----------------------------------------------------------------------------
 
 
-def written(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
-    """Make every wanted change; return how many."""
+def write_all_changes(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
+    """Write all changed pages to the store; return the number of changes."""
     count = 0
-    while wanted := list(pages.changed()):
-        change = pages.change(wanted[0], STATE.txn_ops, 48 * 1024)
+    while numbers := list(pages.changed()):
+        change = pages.change(numbers[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
-            assignment = store.get(key)
-            assert condition == (assignment.key_version if assignment is not None else 0)
+            entry = store.get(key)
+            assert condition == (entry.key_version if entry is not None else 0)
         for put in change.ops:
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
@@ -333,28 +342,28 @@
 
 
 @pytest.mark.parametrize("count", [1, 50, 500])
-def test_paged_records_come_back_and_go(count: int) -> None:
+def test_paged_records_are_written_loaded_and_dropped(count: int) -> None:
     pages = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     store: dict[str, Entry] = {}
     for n in range(count):
         pages.put(f"i-{n:06d}", {"flavour": "c32", "n": n})
-    changes = written(pages, store, 1)
+    changes = write_all_changes(pages, store, 1)
     assert changes <= count // 50 + 1
-    for n in range(count):  # records that grow beyond the value go to others
+    for n in range(count):  # records that outgrow their page move to another
         pages.put(f"i-{n:06d}", {"flavour": "c32", "n": n, "addr": "10.1.0.2:9000"})
-    assert changes <= written(pages, store, 2) <= 2 * changes
-    again = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
-    records, twice = again.load(store.values())
+    assert changes <= write_all_changes(pages, store, 2) <= 2 * changes
+    loaded_pages = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
+    records, duplicated = loaded_pages.load(store.values())
     names = [name for name, _record in records]
     assert len(names) == len(set(names)) == count
-    assert not twice
+    assert not duplicated
     for name in names:
-        again.drop(name)
-    written(again, store, 3)
+        loaded_pages.drop(name)
+    write_all_changes(loaded_pages, store, 3)
     assert all(bytes(entry.data) == b"{}" for entry in store.values())
 
 
-def test_a_change_made_while_a_write_is_under_way_is_written_too() -> None:
+def test_a_change_made_during_a_write_is_written_later() -> None:
     pages = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
     number = pages.put("run-1/0", "AA==")
     change = pages.change(number, 8, 1024)
@@ -364,43 +373,43 @@
     assert pages.change(number, 8, 1024).conditions == {pages.key(number): 7}
 
 
-def hear(harness: LeaderHarness, worker: FakeWorker) -> None:
-    """Hear a machine that nobody has recorded: it is taken up once it shows our token."""
+def add_unrecorded(harness: LeaderHarness, worker: FakeWorker) -> None:
+    """Let an unrecorded machine send heartbeats: it is added once it shows the term's token."""
     harness.exchange(worker)
     harness.exchange(worker)
 
 
-def test_a_write_applied_late_cannot_take_back_a_newer_one(harness: LeaderHarness) -> None:
-    """Its answer was lost, a newer one was written, then the network delivered it after all."""
+def test_a_write_delivered_late_cannot_overwrite_a_newer_one(harness: LeaderHarness) -> None:
+    """The response was lost, a newer write was made, and then the network delivered the first."""
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
-    hear(harness, first)
-    held_back: list[tuple[object, object]] = []
-    real = harness.store.txn
+    add_unrecorded(harness, first)
+    delayed: list[tuple[object, object]] = []
+    original_txn = harness.store.txn
 
-    def hold_back(conditions: object, writes: object) -> object:
-        held_back.append((conditions, list(writes)))  # type: ignore[call-overload]
+    def delay(conditions: object, writes: object) -> object:
+        delayed.append((conditions, list(writes)))  # type: ignore[call-overload]
         raise StoreUnavailableError("no answer")
 
-    harness.store.txn = hold_back  # type: ignore[assignment,method-assign]
+    harness.store.txn = delay  # type: ignore[assignment,method-assign]
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
-    harness.store.txn = real  # type: ignore[method-assign]
-    hear(harness, second)
+    harness.store.txn = original_txn  # type: ignore[method-assign]
+    add_unrecorded(harness, second)
     harness.write()
-    [(conditions, writes)] = held_back
-    assert not real(conditions, writes).ok  # type: ignore[arg-type]
+    [(conditions, writes)] = delayed
+    assert not original_txn(conditions, writes).ok  # type: ignore[arg-type]
     harness.new_leader(6)
     assert set(harness.leader.term.cluster.machines) == {"i-000001", "i-000002"}
 
 
-def test_a_write_that_was_applied_unseen_is_found_out(harness: LeaderHarness) -> None:
+def test_a_write_that_was_applied_without_a_response_is_detected(harness: LeaderHarness) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
-    hear(harness, first)
+    add_unrecorded(harness, first)
     harness.store.lose_answers = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
     harness.store.lose_answers = False
-    hear(harness, second)
+    add_unrecorded(harness, second)
     harness.write()
     assert all(m.recorded for m in harness.leader.term.cluster.machines.values())
     harness.new_leader(6)
