--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader against fakes: each argument of docs/design.md has a case that needs its guard."""
+"""A leader over fakes: a test for each argument of docs/design.md that fails without its guard."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from ryewing.wire.workers import ReportedTask
 
 
-def test_the_whole_way_of_an_array(harness: LeaderHarness) -> None:
+def test_the_life_cycle_of_an_array(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.accept()
     harness.place()
     assert len(starts(harness.exchange(worker))) == 4
     harness.exchange(worker)
-    state = harness.leader.poll(job)
-    assert state is not None
-    assert (state.status, state.running) == ("running", 4)
+    job_status = harness.leader.poll(job)
+    assert job_status is not None
+    assert (job_status.status, job_status.running) == ("running", 4)
     worker.finish()
     assert "clear" not in verbs(harness.exchange(worker))  # the finish is not written yet
     harness.write()
@@ -42,14 +42,14 @@
     assert not worker.tasks
 
 
-def test_starts_need_handshake_record_and_lease(harness: LeaderHarness) -> None:
-    """Each guard by itself: taking any one out makes a start go out too early."""
+def test_starts_require_handshake_record_and_lease(harness: LeaderHarness) -> None:
+    """Each condition alone must prevent starts: without its check, a start is sent too early."""
     worker = harness.worker()
     harness.accept()
     harness.ready(worker)
     harness.place()
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    guards: list[tuple[Callable[[], None], Callable[[], None]]] = [
+    conditions: list[tuple[Callable[[], None], Callable[[], None]]] = [
         (
             lambda: setattr(machine, "acknowledged", -1),
             lambda: setattr(machine, "acknowledged", 0),
@@ -61,14 +61,14 @@
             lambda: setattr(machine, "being_released", False),
         ),
     ]
-    for take_away, give_back in guards:
-        take_away()
+    for violate, restore in conditions:
+        violate()
         heartbeat = worker.heartbeat()
         heartbeat.token = 0 if not machine.handshaken else heartbeat.token
         answer = harness.leader.on_heartbeat(heartbeat)
         assert answer is not None
         assert not starts(answer.commands)
-        give_back()
+        restore()
     assert len(starts(harness.exchange(worker))) == 4
 
 
@@ -76,7 +76,7 @@
     ("seconds", "answered"),
     [(0.0, True), (10.0, True), (16.5, True), (17.5, False), (100.0, False)],
 )
-def test_workers_are_answered_for_the_hold_only(
+def test_workers_are_answered_only_until_the_hold_ends(
     harness: LeaderHarness, seconds: float, answered: bool
 ) -> None:
     worker = harness.ready_worker()
@@ -84,58 +84,60 @@
     assert (harness.leader.on_heartbeat(worker.heartbeat()) is not None) is answered
 
 
-def test_a_report_with_a_later_token_ends_the_term(harness: LeaderHarness) -> None:
+def test_a_heartbeat_with_a_token_of_a_later_term_ends_the_term(harness: LeaderHarness) -> None:
     worker = harness.worker()
     worker.token = fencing_token(TermNumber(6))
     assert harness.leader.on_heartbeat(worker.heartbeat()) is None
     assert harness.lost == ["overruled"]
 
 
-def test_only_a_later_report_settles_an_assumed_start(harness: LeaderHarness) -> None:
+def test_only_a_later_heartbeat_settles_a_sent_start(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
-    answer = harness.leader.on_heartbeat(worker.heartbeat())  # this answer is lost on its way
+    answer = harness.leader.on_heartbeat(worker.heartbeat())  # this response is lost
     assert answer is not None
     assert len(starts(answer.commands)) == 1
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    harness.leader.direct_messages.send(machine)  # the body of /orders does not show the task
+    harness.leader.direct_messages.send(machine)  # the answer to /orders does not show the task
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
     harness.leader.scheduler.run_cycle()
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
-    assert not starts(harness.exchange(worker))  # a later heartbeat: never executed, given up
+    assert not starts(harness.exchange(worker))  # a later heartbeat without the task: dropped
     assert harness.assignments() == {}
 
 
-def test_a_nudge_raises_the_token_and_every_later_answer_carries_it(harness: LeaderHarness) -> None:
+def test_an_early_heartbeat_request_raises_the_token_of_all_later_responses(
+    harness: LeaderHarness,
+) -> None:
     worker = harness.ready_worker()
-    asked: list[str] = []
+    contacted: list[str] = []
     direct_messages = harness.leader.direct_messages
-    direct_messages.schedule = lambda machine: asked.append(machine.id)  # type: ignore[method-assign]
+    direct_messages.schedule = lambda machine: contacted.append(machine.id)  # type: ignore[method-assign]
     harness.accept(task_count=2)
     harness.place()
-    assert asked == [worker.name]
+    assert contacted == [worker.name]
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)
     assert worker.token == fencing_token(TermNumber(5), 1)
     assert len(starts(harness.exchange(worker))) == 2  # a lower token would be dropped
     harness.accept("run-2", task_count=1)
     harness.place()
-    assert asked == [worker.name]  # a start is on its way, and half a lease is not over
+    assert contacted == [worker.name]  # a start is in flight, and half a lease has not passed
     harness.new_leader(6)
     answer = harness.leader.on_heartbeat(worker.heartbeat())
     assert answer is not None
     assert answer.token > worker.token
 
 
-def test_a_new_session_seen_in_an_orders_body_voids_an_assumed_start(
+def test_a_new_incarnation_in_an_answer_to_orders_drops_a_sent_start(
     harness: LeaderHarness,
 ) -> None:
     """The worker drops responses to heartbeats of an earlier incarnation."""
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
-    assert harness.leader.on_heartbeat(worker.heartbeat()) is not None  # lost on its way
+    assert harness.leader.on_heartbeat(worker.heartbeat()) is not None  # response lost
     worker.incarnation += 1
     harness.leader.direct_messages.send(
         harness.leader.term.cluster.machines[MachineId(worker.name)]
@@ -143,7 +145,7 @@
     assert harness.assignments() == {}
 
 
-def test_a_late_report_is_answered_without_starts(harness: LeaderHarness) -> None:
+def test_the_response_to_a_late_heartbeat_has_no_starts(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     late = worker.heartbeat()
     harness.exchange(worker)
@@ -155,7 +157,7 @@
     assert list(harness.assignments().values()) == [TaskPhase.PLANNED]
 
 
-def test_a_new_session_has_forgotten_everything(harness: LeaderHarness) -> None:
+def test_a_new_incarnation_drops_all_assignments(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.begin(worker, task_count=1)
     harness.exchange(worker)
@@ -167,7 +169,7 @@
     assert harness.assignments() == {}
 
 
-def test_attempts_are_never_repeated_after_a_takeover(harness: LeaderHarness) -> None:
+def test_attempt_numbers_are_not_repeated_after_a_failover(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.begin(worker, task_count=1)
     [(_, first)] = worker.tasks
@@ -180,7 +182,7 @@
     assert second > first
 
 
-def test_a_successor_rebuilds_from_reports(harness: LeaderHarness) -> None:
+def test_a_successor_rebuilds_its_state_from_heartbeats(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=3)
     harness.exchange(worker)
@@ -192,18 +194,18 @@
     assert worker.token == fencing_token(TermNumber(6))
     assert harness.leader.scheduler.check_reconciled()
     harness.leader.scheduler.run_cycle()
-    found = harness.leader.term.job_table.get(job)
-    assert found is not None
-    assert found.shortfall == 0
+    live_job = harness.leader.term.job_table.get(job)
+    assert live_job is not None
+    assert live_job.shortfall == 0
     assert len(harness.assignments()) == 3
 
 
 @pytest.mark.parametrize(
-    ("changes", "free_s"),
+    ("changes", "unblocked_after_s"),
     [({}, None), ({"machine_types": ["g4"]}, 0.0)],
 )
-def test_what_an_unheard_machine_may_hold_stays_blocked(
-    harness: LeaderHarness, changes: dict[str, Any], free_s: float | None
+def test_tasks_that_an_unheard_machine_may_hold_stay_blocked(
+    harness: LeaderHarness, changes: dict[str, Any], unblocked_after_s: float | None
 ) -> None:
     silent, heard = harness.worker("i-000001"), harness.worker("i-000002", machine_type="g4")
     harness.ready(silent, heard)
@@ -213,25 +215,25 @@
     harness.exchange(heard)
     harness.later(policy().gather_s)
     harness.exchange(heard)
-    new = harness.accept("run-2", task_count=1, machine_types=["g4"])
+    new_job = harness.accept("run-2", task_count=1, machine_types=["g4"])
     harness.place()
     placed = set(harness.assignments("i-000002"))
-    assert f"{new}/0" in placed  # accepted after the take-over: nobody can hold it
-    assert ("run-1/0" in placed) is (free_s is not None)
-    bound = policy().hold_s + settings().params.workers.lease_s
-    harness.later(bound - policy().gather_s - 0.5)
+    assert f"{new_job}/0" in placed  # accepted after the failover: no machine holds it
+    assert ("run-1/0" in placed) is (unblocked_after_s is not None)
+    may_hold_s = policy().hold_s + settings().params.workers.lease_s
+    harness.later(may_hold_s - policy().gather_s - 0.5)
     harness.exchange(heard)
     harness.leader.term.cluster.expire(harness.clock())
     harness.leader.scheduler.run_cycle()
-    assert ("run-1/0" in harness.assignments("i-000002")) is (free_s is not None)
+    assert ("run-1/0" in harness.assignments("i-000002")) is (unblocked_after_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())  # old hold and one lease are over
+    harness.leader.term.cluster.expire(harness.clock())  # the old hold and a lease are over
     harness.leader.scheduler.run_cycle()
     assert "run-1/0" in harness.assignments("i-000002")
 
 
-def test_a_confirmed_release_unblocks_at_once(harness: LeaderHarness) -> None:
+def test_a_confirmed_release_unblocks_tasks_at_once(harness: LeaderHarness) -> None:
     silent, heard = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(silent, heard)
     harness.accept("run-1", task_count=1)
@@ -246,24 +248,23 @@
     assert harness.cloud.released == ["i-000001"]
     harness.place()
     assert harness.assignments("i-000002") == {"run-1/0": TaskPhase.PLANNED}
-    assert (
-        harness.leader.on_heartbeat(silent.heartbeat()) is None
-    )  # a late heartbeat of a gone machine
+    # A late heartbeat of a released machine is not answered.
+    assert harness.leader.on_heartbeat(silent.heartbeat()) is None
 
 
-def test_a_late_transaction_of_an_earlier_term_dies(harness: LeaderHarness) -> None:
+def test_a_late_transaction_of_an_earlier_term_is_rejected(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=1)
-    old = harness.leader
+    old_leader = harness.leader
     harness.end(worker)
     harness.new_leader(6)
-    old.writer.write_once()
+    old_leader.writer.write_once()
     assert harness.store.get(final_key(job)) is None
     assert harness.lost == ["fenced"]
 
 
 @pytest.mark.parametrize("cancel_first", [True, False])
-def test_cancel_and_done_cannot_both_win(harness: LeaderHarness, cancel_first: bool) -> None:
+def test_a_job_is_either_cancelled_or_done(harness: LeaderHarness, cancel_first: bool) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=1)
     harness.end(worker)
@@ -271,42 +272,43 @@
     assert entry is not None
     record = msgspec.json.decode(entry.data, type=JobRecord)
     record.cancelled = True
-    cancel: tuple[Any, Any] = (
+    cancel_txn: tuple[Any, Any] = (
         {live_key(job): KeyVersion(entry.key_version)},
         [Put(live_key(job), record)],
     )
     if cancel_first:
-        assert harness.store.txn(*cancel).ok  # written by another node, not seen here yet
+        # Written by another node, and not yet seen by the leader.
+        assert harness.store.txn(*cancel_txn).ok
         harness.write()
         assert harness.finals == {job: "cancelled"}
     else:
         harness.write()
-        assert not harness.store.txn(*cancel).ok
+        assert not harness.store.txn(*cancel_txn).ok
         assert harness.finals == {job: "done"}
 
 
-def test_a_lost_answer_to_the_final_write_is_found_out(harness: LeaderHarness) -> None:
+def test_a_lost_response_to_the_final_write_is_resolved(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=1)
     harness.end(worker)
     harness.store.lose_answers = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
-    # It may have been applied: only the store can tell a user now.
+    # The write may have been applied, so only the store knows the job's status now.
     assert harness.leader.poll(job) is None
     harness.store.lose_answers = False
     harness.write()
     assert harness.finals == {job: "done"}
 
 
-def test_no_state_is_told_without_the_lease(harness: LeaderHarness) -> None:
+def test_no_job_status_is_answered_without_the_lease(harness: LeaderHarness) -> None:
     job = harness.accept()
     assert harness.leader.poll(job) is not None
     harness.later(3.1, renewed=False)
     assert harness.leader.poll(job) is None
 
 
-def test_a_cancel_halts_and_never_starts_again(harness: LeaderHarness) -> None:
+def test_a_cancelled_job_is_halted_and_not_started_again(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     job = harness.begin(worker, task_count=12)
     assert harness.leader.apply_cancel(job)
@@ -333,7 +335,9 @@
     assert verbs(harness.exchange(worker)) == ["halt"]
 
 
-def test_a_gang_starts_whole_and_is_replaced_under_one_attempt(harness: LeaderHarness) -> None:
+def test_all_members_of_a_gang_and_their_replacements_have_one_attempt_number(
+    harness: LeaderHarness,
+) -> None:
     workers = [harness.worker(f"i-{n:06d}") for n in range(1, 4)]
     harness.ready(*workers)
     job = harness.accept(task_count=2, shape="group", cpus=30.0)
@@ -355,15 +359,15 @@
     harness.place()
     for worker in workers:
         harness.exchange(worker)
-    assignment = {attempt for worker in workers for _, attempt in worker.tasks}
-    assert assignment == attempts
+    attempts_after_loss = {attempt for worker in workers for _, attempt in worker.tasks}
+    assert attempts_after_loss == attempts
     assert sum(len(worker.tasks) for worker in workers) == 2
-    found = harness.leader.term.job_table.get(job)
-    assert found is not None
-    assert found.shortfall == 0
+    live_job = harness.leader.term.job_table.get(job)
+    assert live_job is not None
+    assert live_job.shortfall == 0
 
 
-def test_a_gang_that_ran_and_lost_a_task_is_cleared_before_its_next_attempt(
+def test_a_running_gang_that_lost_a_task_is_stopped_before_its_next_attempt(
     harness: LeaderHarness,
 ) -> None:
     workers = [harness.worker(f"i-{n:06d}") for n in range(1, 4)]
@@ -372,25 +376,25 @@
     harness.place()
     for worker in workers * 2:
         harness.exchange(worker)
-    lost, left = [worker for worker in workers if worker.tasks]
-    old = {attempt for _, attempt in left.tasks}
+    lost, remaining = [worker for worker in workers if worker.tasks]
+    old_attempts = {attempt for _, attempt in remaining.tasks}
     lost.tasks.clear()
     lost.incarnation += 1
     harness.exchange(lost)
     harness.place()
     for worker in workers:
-        assert not starts(harness.exchange(worker))  # the mate must be gone first
+        assert not starts(harness.exchange(worker))  # the other task must be gone first
     for worker in workers:
         harness.exchange(worker)
     harness.place()
     for worker in workers:
         harness.exchange(worker)
-    new = {attempt for worker in workers for _, attempt in worker.tasks}
-    assert len(new) == 1
-    assert new != old
+    new_attempts = {attempt for worker in workers for _, attempt in worker.tasks}
+    assert len(new_attempts) == 1
+    assert new_attempts != old_attempts
 
 
-def test_a_notice_drains_and_refills_elsewhere(harness: LeaderHarness) -> None:
+def test_a_spot_termination_notice_moves_tasks_to_other_machines(harness: LeaderHarness) -> None:
     spot, other = harness.worker("i-000001", spot=True), harness.worker("i-000002")
     harness.ready(spot)
     harness.accept(task_count=1, spot=True, checkpoint_s=10.0, save_s=4.0, estimated_s=500.0)
@@ -408,7 +412,9 @@
     assert len(harness.assignments("i-000002")) == 1
 
 
-def test_a_job_is_refilled_only_after_its_finishes_are_written(harness: LeaderHarness) -> None:
+def test_a_job_gets_new_tasks_only_after_its_finished_ones_are_written(
+    harness: LeaderHarness,
+) -> None:
     worker = harness.ready_worker()
     harness.begin(worker, task_count=12)
     harness.exchange(worker)
@@ -426,27 +432,27 @@
     harness.end(worker)
     harness.write()
     harness.new_leader(6)
-    found = harness.leader.term.job_table.get(job)
-    assert found is not None
-    assert (found.done_count, found.shortfall) == (8, 4)
+    live_job = harness.leader.term.job_table.get(job)
+    assert live_job is not None
+    assert (live_job.done_count, live_job.shortfall) == (8, 4)
 
 
-def test_a_successor_is_told_which_machines_have_which_images(harness: LeaderHarness) -> None:
-    """Found with rolling restarts: each leader fetched anew, or waited for the few it knew warm."""
+def test_a_successor_learns_which_machines_have_which_images(harness: LeaderHarness) -> None:
+    """In rolling restarts, each leader fetched anew or waited for the few warm machines known."""
     worker = harness.ready_worker()
     harness.begin(worker, task_count=1, image="img-7", image_gb=2.0)
     harness.exchange(worker)
-    told = harness.leader.image_locality()
-    told.machines["i-000999"] = [0]  # gone meanwhile
-    told.machines[worker.name].append(5)  # a place that there is not
-    again = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=ImageLocality)
-    leader = harness.new_leader(6, again)
+    sent = harness.leader.image_locality()
+    sent.machines["i-000999"] = [0]  # a machine that is gone meanwhile
+    sent.machines[worker.name].append(5)  # an index out of range
+    received = msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=ImageLocality)
+    leader = harness.new_leader(6, received)
     assert leader.term.cluster.machines[MachineId(worker.name)].warmth("img-7") == WARM
     assert leader.term.cluster.machines[MachineId(worker.name)].warmth("img-8") == COLD
     assert MachineId("i-000999") not in leader.term.cluster.machines
 
 
-def test_one_of_two_candidates_wins(harness: LeaderHarness) -> None:
+def test_only_one_of_two_candidates_is_elected(harness: LeaderHarness) -> None:
     store: Any = harness.store
     election = read_election_record(store)
     first = campaign(store, election, ProcessIdentity(NodeName("n-0"), "b0"), 3.0, 15.0)
@@ -454,9 +460,9 @@
     assert first is not None
     assert second is None
     assert first.term == 6
-    again = read_election_record(store)
-    assert again.holder is not None
-    assert again.holder.node == "n-0"
+    election_after = read_election_record(store)
+    assert election_after.holder is not None
+    assert election_after.holder.node == "n-0"
     harness.store.expire(first.lease)
     third = campaign(
         store, read_election_record(store), ProcessIdentity(NodeName("n-1"), "b1"), 3.0, 15.0
@@ -465,7 +471,7 @@
     assert third.term == 7
 
 
-def test_machine_records_carry_what_a_successor_needs(harness: LeaderHarness) -> None:
+def test_machine_records_hold_what_a_successor_needs(harness: LeaderHarness) -> None:
     worker = harness.worker(spot=True, zone="b")
     harness.ready(worker)
     [entry] = harness.store.listing(MACHINE_PREFIX)[0]
