--- a/tests/leader/test_limits.py
+++ b/tests/leader/test_limits.py
@@ -1,4 +1,4 @@
-"""A store whose limits fall: what is written keeps to them, what is there is parted or cut."""
+"""A store whose limits fall: new writes respect them, and larger stored values are split."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("later", "expected"),
+    ("next_limits", "expected"),
     [
         (None, (100.0, 50.0, 8.0, 8)),
         ({}, (100.0, 50.0, 8.0, 8)),
@@ -42,15 +42,17 @@
         ({"txn_ops": None, "colour": "red"}, (100.0, 50.0, 8.0, 8)),
     ],
 )
-def test_the_stricter_of_now_and_next_counts(tmp_path: Any, later: Any, expected: Any) -> None:
+def test_the_stricter_of_current_and_next_limits_applies(
+    tmp_path: Any, next_limits: Any, expected: Any
+) -> None:
     file = tmp_path / "settings.json"
-    file.write_bytes(msgspec.json.encode(raw_settings(next=later)))
+    file.write_bytes(msgspec.json.encode(raw_settings(next=next_limits)))
     limits = load_settings(file).params.state.strictest()
     assert (limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops) == expected
 
 
 @pytest.mark.parametrize(
-    ("later", "field"),
+    ("next_limits", "field"),
     [
         ({"value_kb": 0}, "params.state.next.value_kb: must be above 0"),
         ({"write_rps": -1.0}, "params.state.next.write_rps: must be above 0"),
@@ -60,14 +62,16 @@
         (7, "params.state.next"),
     ],
 )
-def test_bad_next_limits_name_the_field(tmp_path: Any, later: Any, field: str) -> None:
+def test_invalid_next_limits_are_refused_with_the_name_of_the_field(
+    tmp_path: Any, next_limits: Any, field: str
+) -> None:
     file = tmp_path / "settings.json"
-    file.write_bytes(msgspec.json.encode(raw_settings(next=later)))
+    file.write_bytes(msgspec.json.encode(raw_settings(next=next_limits)))
     with pytest.raises(SettingsError, match=field):
         load_settings(file)
 
 
-def test_objectives_of_other_kinds_do_no_harm(tmp_path: Any) -> None:
+def test_objectives_of_unknown_kinds_are_ignored(tmp_path: Any) -> None:
     raw = raw_settings()
     known = len(raw["params"]["objectives"])
     raw["params"]["objectives"] += [
@@ -79,76 +83,80 @@
     assert len(load_settings(file).params.objectives) == known
 
 
-# -- values that are too large for what comes ----------------------------------------------------
+# -- stored values above the next limits ---------------------------------------------------------
 
 
-def wide_store(prefix: str, kb: float, names: int) -> tuple[FakeStore, dict[str, Any]]:
-    """A store as written under wide limits: the records, and which value holds what."""
+def store_with_wide_limits(prefix: str, kb: float, names: int) -> tuple[FakeStore, dict[str, Any]]:
+    """Return a store filled with paged records under wide limits, and these records by name."""
     store = FakeStore()
     store.limits = msgspec.structs.replace(store.limits, value_kb=kb, txn_ops=16)
-    packed = PagedRecords(prefix, kb)
+    pages = PagedRecords(prefix, kb)
     records = {f"i-{n:06d}": {"flavour": "c32", "site": "a", "n": n} for n in range(names)}
     for name, record in records.items():
-        packed.put(name, record)
-    apply(packed, store, 16)
+        pages.put(name, record)
+    write_changes(pages, store, 16)
     return store, records
 
 
-def apply(packed: PagedRecords, store: FakeStore, ops_max: int, stop_after: int = 10_000) -> int:
-    """Write what is wanted, up to so many transactions; return how many it took."""
+def write_changes(
+    pages: PagedRecords, store: FakeStore, ops_max: int, stop_after: int = 10_000
+) -> int:
+    """Write changed pages in at most `stop_after` transactions; return how many were made."""
     for done in range(stop_after):
-        number = next(packed.changed(), None)
+        number = next(pages.changed(), None)
         if number is None:
             return done
-        change = packed.change(number, ops_max, 48 * 1024)
+        change = pages.change(number, ops_max, 48 * 1024)
         result = store.txn(change.conditions, list(change.ops))
         assert result.ok
-        packed.written(change, result.revision)
+        pages.written(change, result.revision)
     return stop_after
 
 
-def as_production_reads(store: FakeStore, prefix: str) -> dict[str, list[Any]]:
-    """Every record with all that is said of it, value by value in the order of their keys."""
-    found: dict[str, list[Any]] = {}
+def read_records(store: FakeStore, prefix: str) -> dict[str, list[Any]]:
+    """Return all copies of each record by name, in the order of their keys in the store."""
+    copies_by_name: dict[str, list[Any]] = {}
     for entry in store.listing(prefix)[0]:
         for name, record in msgspec.json.decode(entry.data).items():
-            found.setdefault(name, []).append(record)
-    return found
+            copies_by_name.setdefault(name, []).append(record)
+    return copies_by_name
 
 
-@pytest.mark.parametrize("fallen", [False, True])
+@pytest.mark.parametrize("limits_fell", [False, True])
 @pytest.mark.parametrize(("kb", "ops"), [(2.0, 4), (2.0, 2), (1.0, 5)])
-def test_values_are_parted_and_no_record_is_missing_at_any_time(
-    kb: float, ops: int, fallen: bool
+def test_values_are_split_and_no_record_is_missing_at_any_time(
+    kb: float, ops: int, limits_fell: bool
 ) -> None:
-    """Also when the controller ends between any two writes, and a successor goes on from there."""
-    for end_after in itertools.count():
-        store, records = wide_store(MACHINE_PREFIX, 8.0, 120)
-        if fallen:
+    """Also if the controller crashes between two writes and a successor continues from there."""
+    for writes_before_crash in itertools.count():
+        store, records = store_with_wide_limits(MACHINE_PREFIX, 8.0, 120)
+        if limits_fell:
             store.limits = msgspec.structs.replace(store.limits, value_kb=kb, txn_ops=ops)
-        packed = PagedRecords(MACHINE_PREFIX, kb)
-        packed.load(store.listing(MACHINE_PREFIX)[0])
-        took = apply(packed, store, ops, end_after)
-        read = as_production_reads(store, MACHINE_PREFIX)
-        assert read.keys() == records.keys()
-        assert all(said == [records[name]] * len(said) for name, said in read.items())
-        again = PagedRecords(MACHINE_PREFIX, kb)
-        found, twice = again.load(store.listing(MACHINE_PREFIX)[0])
-        assert {name for name, said in read.items() if len(said) > 1} == twice
-        assert len(found) == len(records) + len(twice)
-        apply(again, store, ops)
-        assert as_production_reads(store, MACHINE_PREFIX) == {
+        pages = PagedRecords(MACHINE_PREFIX, kb)
+        pages.load(store.listing(MACHINE_PREFIX)[0])
+        writes = write_changes(pages, store, ops, writes_before_crash)
+        copies_by_name = read_records(store, MACHINE_PREFIX)
+        assert copies_by_name.keys() == records.keys()
+        assert all(
+            copies == [records[name]] * len(copies) for name, copies in copies_by_name.items()
+        )
+        successor_pages = PagedRecords(MACHINE_PREFIX, kb)
+        loaded, duplicated = successor_pages.load(store.listing(MACHINE_PREFIX)[0])
+        assert {name for name, copies in copies_by_name.items() if len(copies) > 1} == duplicated
+        assert len(loaded) == len(records) + len(duplicated)
+        write_changes(successor_pages, store, ops)
+        assert read_records(store, MACHINE_PREFIX) == {
             name: [record] for name, record in records.items()
         }
         for entry in store.listing(MACHINE_PREFIX)[0]:
             assert len(bytes(entry.data)) <= kb * 1024
         assert not store.rejected
-        if took < end_after:
+        if writes < writes_before_crash:
             break
 
 
-def test_what_is_said_twice_is_put_together(harness: LeaderHarness) -> None:
-    """A predecessor of the earlier version went on with one copy, and then with the other."""
+def test_records_found_twice_are_merged(harness: LeaderHarness) -> None:
+    """A predecessor of an earlier version updated one copy, and later the other."""
     job = harness.accept("run-1", task_count=16)
     harness.accept("run-2", task_count=16)
     harness.store.txn(
@@ -166,80 +174,80 @@
     assert machine.recorded
     assert machine.may_hold_until is not None
     harness.write()
-    kept = as_production_reads(harness.store, "d/") | as_production_reads(harness.store, "m/")
-    assert kept["run-1/0"] == ["gQA="] or kept["run-1/0"] == ["gQ=="]
-    assert [said["heard"] for said in kept["i-000001"]] == [True]
+    stored_copies = read_records(harness.store, "d/") | read_records(harness.store, "m/")
+    assert stored_copies["run-1/0"] == ["gQA="] or stored_copies["run-1/0"] == ["gQ=="]
+    assert [copy["heard"] for copy in stored_copies["i-000001"]] == [True]
 
 
-def test_what_is_made_of_two_copies_is_kept_before_one_of_them_is_dropped() -> None:
+def test_a_merged_record_is_written_before_one_of_its_copies_is_removed() -> None:
     store = FakeStore()
     store.txn({}, [Put("d/0", {"run-1/0": "gA=="}), Put("d/1", {"run-1/0": "AQ=="})])
-    packed = PagedRecords(FINISHED_PREFIX, 8.0)
-    found, twice = packed.load(store.listing(FINISHED_PREFIX)[0])
-    assert twice == {"run-1/0"}
-    assert len(found) == 2
-    packed.put("run-1/0", "gQ==")
+    pages = PagedRecords(FINISHED_PREFIX, 8.0)
+    loaded, duplicated = pages.load(store.listing(FINISHED_PREFIX)[0])
+    assert duplicated == {"run-1/0"}
+    assert len(loaded) == 2
+    pages.put("run-1/0", "gQ==")
     for number in (0, 1):
-        assert packed.change(number, 1, 1024).ops[0].key == "d/1"
-    assert [put.key for put in packed.change(0, 2, 1024).ops] == ["d/1", "d/0"]
+        assert pages.change(number, 1, 1024).ops[0].key == "d/1"
+    assert [put.key for put in pages.change(0, 2, 1024).ops] == ["d/1", "d/0"]
 
 
-def test_a_reading_that_failed_is_done_again_from_the_start() -> None:
-    """Read twice, each record was taken for said twice, and dropped."""
-    store, records = wide_store(MACHINE_PREFIX, 8.0, 40)
-    packed = PagedRecords(MACHINE_PREFIX, 1.0)
+def test_records_can_be_loaded_again_after_a_failed_load() -> None:
+    """On a second load, each record was taken for a duplicate and dropped."""
+    store, records = store_with_wide_limits(MACHINE_PREFIX, 8.0, 40)
+    pages = PagedRecords(MACHINE_PREFIX, 1.0)
     for _ in range(2):
-        found, twice = packed.load(store.listing(MACHINE_PREFIX)[0])
-        assert len(found) == len(records)
-        assert not twice
-    first = dict(packed.change(next(packed.changed()), 8, 65536).conditions)
-    packed.load([])
-    packed.put("i-1", {"n": 1})
-    assert packed.change(0, 8, 65536).conditions == {packed.key(0): 0} != first
-
-
-def test_a_first_write_that_was_applied_unseen_makes_its_value_wait() -> None:
-    """Its answer was lost; meanwhile a record in it was given to another value."""
-    packed = PagedRecords(MACHINE_PREFIX, 1.0)
+        loaded, duplicated = pages.load(store.listing(MACHINE_PREFIX)[0])
+        assert len(loaded) == len(records)
+        assert not duplicated
+    first_conditions = dict(pages.change(next(pages.changed()), 8, 65536).conditions)
+    pages.load([])
+    pages.put("i-1", {"n": 1})
+    assert pages.change(0, 8, 65536).conditions == {pages.key(0): 0} != first_conditions
+
+
+def test_a_page_whose_first_write_was_applied_without_a_response_is_written_last() -> None:
+    """The response was lost, and meanwhile a record of the page was moved to another page."""
+    pages = PagedRecords(MACHINE_PREFIX, 1.0)
     for n in range(12):
-        packed.put(f"i-{n}", {"addr": ""})
-    unseen = packed.change(0, 8, 65536)
+        pages.put(f"i-{n}", {"addr": ""})
+    unanswered = pages.change(0, 8, 65536)
     for n in range(12):
-        packed.put(f"i-{n}", {"addr": "x" * 90})
-    given = [key for key in (packed.key(n) for n in packed.changed()) if key != packed.key(0)]
-    assert given
-    assert len(packed.change(0, 8, 65536).ops) == 1
-    applied = Entry(packed.key(0), msgspec.Raw(msgspec.json.encode(unseen.ops[0].value)), 7)
-    packed.found(packed.key(0), applied)
-    change = packed.change(0, 8, 65536)
+        pages.put(f"i-{n}", {"addr": "x" * 90})
+    other_keys = [key for key in (pages.key(n) for n in pages.changed()) if key != pages.key(0)]
+    assert other_keys
+    assert len(pages.change(0, 8, 65536).ops) == 1
+    stored_entry = Entry(pages.key(0), msgspec.Raw(msgspec.json.encode(unanswered.ops[0].value)), 7)
+    pages.found(pages.key(0), stored_entry)
+    change = pages.change(0, 8, 65536)
     assert len(change.ops) > 1
-    assert change.ops[-1].key == packed.key(0)
-    assert change.conditions[packed.key(0)] == 7
+    assert change.ops[-1].key == pages.key(0)
+    assert change.conditions[pages.key(0)] == 7
 
 
-def test_a_late_copy_of_a_write_changes_nothing_after_parting() -> None:
-    store, records = wide_store(MACHINE_PREFIX, 8.0, 120)
-    packed = PagedRecords(MACHINE_PREFIX, 2.0)
-    packed.load(store.listing(MACHINE_PREFIX)[0])
+def test_a_late_copy_of_a_write_changes_nothing_after_a_split() -> None:
+    store, records = store_with_wide_limits(MACHINE_PREFIX, 8.0, 120)
+    pages = PagedRecords(MACHINE_PREFIX, 2.0)
+    pages.load(store.listing(MACHINE_PREFIX)[0])
     sent: list[tuple[dict[str, KeyVersion], list[Put]]] = []
-    while (number := next(packed.changed(), None)) is not None:
-        change = packed.change(number, 4, 48 * 1024)
+    while (number := next(pages.changed(), None)) is not None:
+        change = pages.change(number, 4, 48 * 1024)
         sent.append((dict(change.conditions), list(change.ops)))
         result = store.txn(change.conditions, list(change.ops))
-        packed.written(change, result.revision)
+        pages.written(change, result.revision)
     for name in list(records)[:60]:
-        packed.drop(name)  # whole values are emptied
-    apply(packed, store, 4)
-    before = dict(store.data)
+        pages.drop(name)  # some pages become empty
+    write_changes(pages, store, 4)
+    data_before = dict(store.data)
     for conditions, ops in sent:
         assert not store.txn(conditions, list(ops)).ok
-    assert store.data == before
+    assert store.data == data_before
 
 
-def test_a_fleet_and_its_finishes_go_on_where_the_limits_have_fallen(
+def test_a_fleet_and_its_finished_tasks_are_written_under_lower_limits(
     harness: LeaderHarness,
 ) -> None:
-    """Played: after the fall no finish was written any more, since each write was refused."""
+    """In a trial, the lower limits made the store reject every write, so no finish was recorded."""
     workers = harness.ready_workers(120)
     jobs = [harness.accept(f"run-{n}", task_count=40, cpus=1.0, memory_gb=1.0) for n in range(60)]
     harness.place()
@@ -267,15 +275,15 @@
     )
 
 
-@pytest.mark.parametrize("culprit_first", [True, False])
-def test_one_value_that_cannot_be_written_does_not_hold_up_the_others(
-    harness: LeaderHarness, culprit_first: bool
+@pytest.mark.parametrize("large_first", [True, False])
+def test_a_value_that_cannot_be_written_does_not_block_the_others(
+    harness: LeaderHarness, large_first: bool
 ) -> None:
-    """A 400 was taken for an outage, and the same transaction was tried for ever."""
+    """A status 400 was taken for an outage, and the same transaction was retried forever."""
     harness.may_reject = True
-    sizes = [8192, 4] if culprit_first else [4, 8192]
+    sizes = [8192, 4] if large_first else [4, 8192]
     large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
-    if not culprit_first:
+    if not large_first:
         large, small = small, large
     harness.narrow(value_kb=1.0)
     for name in (large, small):
@@ -285,10 +293,10 @@
         harness.leader.writer.write_once()
     assert not harness.leader.term.job_table.jobs[small].unwritten
     assert harness.leader.term.job_table.jobs[large].unwritten
-    refused = len(harness.store.rejected)
+    rejected_before = len(harness.store.rejected)
     for _ in range(5):
         harness.leader.writer.write_once()
-    assert len(harness.store.rejected) == refused  # left alone for a while
+    assert len(harness.store.rejected) == rejected_before  # not retried for a while
     harness.later(SET_ASIDE_S + 1)
     harness.narrow(value_kb=8.0)
     harness.write()
@@ -296,7 +304,7 @@
 
 
 @pytest.mark.parametrize("limits", [{"txn_ops": 3}, {"value_kb": 1.0}, {"txn_ops": 2}])
-def test_limits_that_fell_unannounced_are_found_out(harness: LeaderHarness, limits: Any) -> None:
+def test_limits_that_fell_without_notice_are_detected(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
     workers = harness.ready_workers(40)
     harness.narrow(**limits)
@@ -316,8 +324,8 @@
 # -- records of jobs ----------------------------------------------------------------------------
 
 
-def wide_job(client: Client, ref: str) -> JobRecord:
-    """A job accepted under wide limits, whose record is larger than is taken now."""
+def store_oversized_job(client: Client, ref: str) -> JobRecord:
+    """Store a job under wide limits, then lower the limits below the size of its record."""
     record = JobRecord(job_spec(ref, image="img-" + "x" * 3000), 0.0)
     client.node.store.txn({}, [Put(live_key(JobId(ref)), record)])
     client.node.store.limits = msgspec.structs.replace(
@@ -326,22 +334,22 @@
     return record
 
 
-def test_a_job_kept_under_wider_limits_stays_known_and_can_be_cancelled() -> None:
-    """Its record could be read but not written back whole; a repeat of it was 'too large'."""
+def test_a_job_stored_under_wider_limits_stays_known_and_can_be_cancelled() -> None:
+    """Its record could be read but not written back; a repeated submission was 'too large'."""
     client = Client()
-    record = wide_job(client, "run-7")
-    again = msgspec.to_builtins(record.spec)
-    assert client("POST", "/v2/runs", msgspec.json.encode(again))[0] == 200
+    record = store_oversized_job(client, "run-7")
+    resubmission = msgspec.to_builtins(record.spec)
+    assert client("POST", "/v2/runs", msgspec.json.encode(resubmission))[0] == 200
     assert client("POST", "/v2/runs/run-7/cancel") == (
         200,
         {"ref": "run-7", "status": "cancelled"},
     )
     entry = client.node.store.get(live_key(JobId("run-7")))
     assert entry is not None
-    kept = msgspec.json.decode(entry.data, type=JobRecord)
-    assert kept.cancelled
-    assert kept.spec.team == "red"
-    assert kept.spec.cpus == record.spec.cpus
+    stored = msgspec.json.decode(entry.data, type=JobRecord)
+    assert stored.cancelled
+    assert stored.spec.team == "red"
+    assert stored.spec.cpus == record.spec.cpus
     assert not client.node.store.rejected
 
 
@@ -353,14 +361,14 @@
         ({"jobclass": "j" * 1500}, 201),
     ],
 )
-def test_what_cannot_be_kept_is_refused_for_good(changes: Any, status: int) -> None:
+def test_jobs_whose_records_exceed_the_limits_are_refused(changes: Any, status: int) -> None:
     client = Client()
     client.node.store.limits = msgspec.structs.replace(client.node.store.limits, value_kb=2.0)
     assert client.submit(**changes)[0] == status
     assert not client.node.store.rejected
 
 
-def test_a_job_whose_finishes_cannot_be_kept_is_refused() -> None:
+def test_a_job_whose_finished_tasks_exceed_the_limits_is_refused() -> None:
     client = Client()
     client.node.store.limits = msgspec.structs.replace(client.node.store.limits, value_kb=1.0)
     assert client.submit(task_count=8192)[0] == 400
@@ -368,30 +376,32 @@
     assert client.submit(ref="run-2", task_count=8192, shape="daemon", cpus=0.001)[0] == 201
 
 
-def test_a_store_that_takes_less_than_announced_is_no_outage() -> None:
-    """The answer was 503, and the user came back for a minute; a cancel never came through."""
+def test_a_store_with_stricter_limits_than_announced_is_not_treated_as_an_outage() -> None:
+    """The response was 503, and the user retried for a minute; a cancel never succeeded."""
     client = Client()
-    known = JobRecord(job_spec("run-1", image="img-" + "x" * 3000), 0.0)
-    client.node.store.txn({}, [Put(live_key(JobId("run-1")), known)])
+    record = JobRecord(job_spec("run-1", image="img-" + "x" * 3000), 0.0)
+    client.node.store.txn({}, [Put(live_key(JobId("run-1")), record)])
     wide = client.node.store.limits
     client.node.store.limits = narrow = msgspec.structs.replace(wide, value_kb=2.0)
-    real = client.node.store.txn
+    original_txn = client.node.store.txn
 
-    def told_otherwise(conditions: Any, writes: Any) -> Any:
+    def txn_with_narrow_limits(conditions: Any, writes: Any) -> Any:
         client.node.store.limits = narrow
         try:
-            return real(conditions, writes)
+            return original_txn(conditions, writes)
         finally:
             client.node.store.limits = wide
 
-    client.node.store.txn = told_otherwise  # type: ignore[method-assign]
+    client.node.store.txn = txn_with_narrow_limits  # type: ignore[method-assign]
     client.node.store.limits = wide
     assert client.submit(ref="run-2", image="img-" + "x" * 3000)[0] == 400
     assert client.submit(image="img-" + "x" * 3000)[0] == 200
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 200
 
 
-def test_a_final_state_is_written_for_a_job_with_a_wide_record(harness: LeaderHarness) -> None:
+def test_a_final_state_is_written_for_a_job_with_a_record_above_the_limits(
+    harness: LeaderHarness,
+) -> None:
     worker = harness.ready_worker()
     job = harness.accept("run-1", image="img-" + "x" * 3000)
     harness.announce(value_kb=2.0, txn_ops=4)
@@ -414,41 +424,43 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "kb", "parted"), [(2, 8.0, False), (30, 8.0, False), (45, 1.2, True), (20, 2.0, True)]
+    ("count", "kb", "split"), [(2, 8.0, False), (30, 8.0, False), (45, 1.2, True), (20, 2.0, True)]
 )
-def test_types_are_in_one_value_as_long_as_the_store_takes_it(
-    count: int, kb: float, parted: bool
+def test_machine_types_are_one_value_unless_the_store_rejects_it(
+    count: int, kb: float, split: bool
 ) -> None:
     store = FakeStore()
     store.limits = msgspec.structs.replace(store.limits, value_kb=kb)
     catalogue.write(store, {}, many_types(count))  # type: ignore[arg-type]
-    assert (len(store.listing(catalogue.KEY)[0]) > 1) == parted
-    read = catalogue.read(store)  # type: ignore[arg-type]
-    assert sorted(f.name for f in read) == sorted(f.name for f in many_types(count))
+    assert (len(store.listing(catalogue.KEY)[0]) > 1) == split
+    stored = catalogue.read(store)  # type: ignore[arg-type]
+    assert sorted(machine_type.name for machine_type in stored) == sorted(
+        machine_type.name for machine_type in many_types(count)
+    )
     store.limits = msgspec.structs.replace(store.limits, value_kb=8.0)
     catalogue.write(store, {}, many_types(3))  # type: ignore[arg-type]
     assert [entry.key for entry in store.listing(catalogue.KEY)[0]] == [catalogue.KEY]
 
 
-def test_while_types_are_parted_a_reader_finds_them_all() -> None:
+def test_a_reader_finds_all_machine_types_while_they_are_split() -> None:
     store = FakeStore()
     catalogue.write(store, {}, many_types(20))  # type: ignore[arg-type]
     store.limits = msgspec.structs.replace(store.limits, value_kb=1.0)
-    real = store.txn
-    seen: list[int] = []
+    original_txn = store.txn
+    counts_read: list[int] = []
 
-    def counted(conditions: Any, writes: Any) -> Any:
-        seen.append(len(catalogue.read(store)))  # type: ignore[arg-type]
-        return real(conditions, writes)
+    def counting_txn(conditions: Any, writes: Any) -> Any:
+        counts_read.append(len(catalogue.read(store)))  # type: ignore[arg-type]
+        return original_txn(conditions, writes)
 
-    store.txn = counted  # type: ignore[method-assign]
+    store.txn = counting_txn  # type: ignore[method-assign]
     catalogue.write(store, {}, many_types(21))  # type: ignore[arg-type]
-    assert min(seen) >= 20
+    assert min(counts_read) >= 20
     assert len(catalogue.read(store)) == 21  # type: ignore[arg-type]
 
 
-def test_types_that_could_not_be_written_are_written_later(harness: LeaderHarness) -> None:
-    """They were noted as known before the write: after an outage no follower learned them."""
+def test_machine_types_that_could_not_be_written_are_written_later(harness: LeaderHarness) -> None:
+    """They were marked as stored before the write: after an outage, no follower learned them."""
     harness.store.down = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.autoscaler.machine_types.refresh()
@@ -460,10 +472,10 @@
     assert harness.store.writes == before
 
 
-def test_a_repeated_wish_does_not_say_that_its_machines_were_never_heard(
+def test_a_repeated_rental_request_does_not_mark_its_machines_as_never_heard(
     harness: LeaderHarness,
 ) -> None:
-    """A successor repeats the wish, and wrote 'not heard' over what its predecessor had written."""
+    """The successor, repeating the request, overwrote the recorded `heard` with false."""
     names = harness.cloud.rent(RentalRequest("r-5-1", "c32", "a", False, 1))
     harness.store.txn(
         {}, [Put(REQUEST_PREFIX + "r-5-1", RentalRequest("r-5-1", "c32", "a", False, 1))]
@@ -473,16 +485,16 @@
     for request in list(harness.leader.autoscaler.rentals.pending.values()):
         harness.leader.autoscaler.rentals.send(request)
     harness.write()
-    said = as_production_reads(harness.store, MACHINE_PREFIX)[names[0]]
-    assert [record["heard"] for record in said] == [True]
+    copies = read_records(harness.store, MACHINE_PREFIX)[names[0]]
+    assert [record["heard"] for record in copies] == [True]
 
 
-def test_a_rejected_request_is_a_kind_of_failure_to_whoever_cannot_help_it() -> None:
+def test_a_rejected_request_is_a_store_failure_to_callers_that_do_not_handle_it() -> None:
     assert issubclass(RejectedError, StoreUnavailableError)
 
 
 @pytest.mark.parametrize("machines", [60, 260, 603])
-def test_a_start_at_the_announced_limits_takes_writes_in_proportion(
+def test_writes_for_a_new_fleet_under_low_limits_are_proportional_to_its_size(
     harness: LeaderHarness, machines: int
 ) -> None:
     harness.announce(value_kb=2.0, txn_ops=4)
