--- a/src/ryewing/leader/recovery.py
+++ b/src/ryewing/leader/recovery.py
@@ -95,7 +95,7 @@
                 pages.drop(name)
             else:
                 job.load_chunk(chunk_name.chunk, text)
-                self._term.job_table.touch(job)
+                self._term.job_table.reindex(job)
         for name in found_twice:
             chunk_name = _parse_chunk_name(name)
             job = self._finishing_job(chunk_name)
@@ -132,7 +132,7 @@
             machine.address = record.address
             if record.heard:
                 machine.recorded = True
-                machine.may_hold_until = MonotonicTime(now + may_hold_s)
+                machine.lease_expires_by = MonotonicTime(now + may_hold_s)
         self._writer.machine_records.wanted.update(MachineId(name) for name in found_twice)
 
     def _apply_image_locality(self, image_locality: ImageLocality, now: MonotonicTime) -> None:
--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -54,7 +54,7 @@
     assert rounds_with_starts(harness, suspect, 12) == 1
     assert harness.assignments() == {}
     machine = harness.leader.term.cluster.machines[MachineId(suspect.name)]
-    assert not machine.usable()
+    assert not machine.is_schedulable()
     assert machine.unacknowledged_since is not None
     # It counts neither as capacity nor as booting: a replacement is rented.
     harness.place()
@@ -127,13 +127,13 @@
     newest = worker.heartbeat()
     harness.leader.on_heartbeat(newest)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    heard_at, held_until = machine.heard_at, machine.may_hold_until
+    heard_at, held_until = machine.heard_at, machine.lease_expires_by
     assert heard_at is not None
     assert held_until is not None
     harness.later(age_s)
     if alive:
         harness.exchange(worker)
-        heard_at, held_until = machine.heard_at, machine.may_hold_until
+        heard_at, held_until = machine.heard_at, machine.lease_expires_by
     harness.leader.term.cluster.expire(harness.clock())
     expired = not alive and age_s > LEASE_S
     duplicate = copy.deepcopy(older if copies == "older" else newest)
@@ -143,11 +143,11 @@
     assert machine.heard_at == heard_at
     if not alive and age_s > 4.5:
         assert answer is None
-        assert machine.may_hold_until == (None if expired else held_until)
+        assert machine.lease_expires_by == (None if expired else held_until)
     assert sorted(harness.assignments().values()) == (
         [] if expired else [TaskPhase.RUNNING, TaskPhase.RUNNING]
     )
-    assert machine.handshaken
+    assert machine.acknowledged_term
 
 
 def test_a_delayed_newest_heartbeat_does_not_restore_an_expired_machine(
@@ -164,7 +164,7 @@
     assert harness.leader.on_heartbeat(delayed) is None
     assert harness.assignments() == {}
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    assert machine.may_hold_until is None
+    assert machine.lease_expires_by is None
     worker.incarnation += 1  # the worker itself returns in a new incarnation
     worker.tasks.clear()
     assert harness.leader.on_heartbeat(worker.heartbeat()) is not None
@@ -193,8 +193,8 @@
     harness.new_leader(6)
     assert harness.leader.on_heartbeat(stale) is not None  # it may come from the worker itself
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    assert not machine.handshaken
-    assert not machine.usable()
+    assert not machine.acknowledged_term
+    assert not machine.is_schedulable()
     live_job = harness.leader.term.job_table.get(job)
     assert live_job is not None
     assert live_job.shortfall == 0
@@ -255,7 +255,7 @@
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
-    assert machine.handshaken
+    assert machine.acknowledged_term
     harness.leader.on_heartbeat(copy.deepcopy(old))  # a late copy from before the restart
     harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -138,7 +138,7 @@
     # One value of the store holds about fifty machine records. One write per machine would occupy
     # the write rate for minutes.
     assert writes <= MACHINES // 40
-    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
+    assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
     return new_fleet
 
 
@@ -187,7 +187,7 @@
         leader.maintenance.run_once()
         harness.place()
         releases = leader.autoscaler.unhealthy_machines(harness.clock())
-        assert not any(machine.may_hold_until for machine, _reason in releases)
+        assert not any(machine.lease_expires_by for machine, _reason in releases)
         assert max(contacted.values(), default=0) <= interval + 1
     fleet.expire_silent_workers()
     requests = 0
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -21,7 +21,7 @@
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.job_records import final_key
-from ryewing.state.machine import RAN_FOR_A_WHILE_S
+from ryewing.state.machine import MIN_STABLE_RUN_S
 from ryewing.state.resources import infeasibility_reason
 from ryewing.units import MachineId, MonotonicTime, WallTime, Zone
 from ryewing.wire.workers import ReportedTask
@@ -56,7 +56,7 @@
     name = serve(harness, first, second, task_count=2)
     old_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
     assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (first, second):
         if worker.tasks:
             worker.finish(cause)
@@ -86,7 +86,7 @@
     worker_with_result, worker_without_result = (
         (first, second) if machine_name == first.name else (second, first)
     )
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    harness.later(MIN_STABLE_RUN_S + 1)
     worker_with_result.finish("done")
     harness.exchange(worker_with_result)
     harness.exchange(worker_without_result)
@@ -129,23 +129,25 @@
         harness.later(1.0)
     assert service.backoff_s == 60.0
     assert start_count < 60
-    assert not any(m.faults or m.quarantined for m in harness.leader.term.cluster.machines.values())
+    assert not any(
+        m.failed_jobs or m.quarantined for m in harness.leader.term.cluster.machines.values()
+    )
     harness.later(61.0)
     for worker in workers * 2:
         harness.exchange(worker)
     harness.place()
-    assert len(service.live) == 1  # one probe shows whether the service still fails
+    assert len(service.assigned_tasks) == 1  # one probe shows whether the service still fails
     harness.place()
-    assert len(service.live) == 1
+    assert len(service.assigned_tasks) == 1
     for _ in range(2):
         for worker in workers:
             harness.exchange(worker)
-        harness.later(RAN_FOR_A_WHILE_S)
+        harness.later(MIN_STABLE_RUN_S)
     for worker in workers:
         harness.exchange(worker)
     harness.place()
     assert not service.backoff_s
-    assert len(service.live) == 6
+    assert len(service.assigned_tasks) == 6
 
 
 def test_a_healthy_service_does_not_back_off_because_of_faulty_machines(
@@ -155,8 +157,8 @@
     workers = harness.ready_workers(6)
     name = serve(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
-    assert len(set(service.live.values())) == 6
-    harness.later(RAN_FOR_A_WHILE_S + 1)
+    assert len(set(service.assigned_tasks.values())) == 6
+    harness.later(MIN_STABLE_RUN_S + 1)
     for worker in workers:
         harness.exchange(worker)
     for faulty in workers[:4]:
@@ -168,7 +170,7 @@
             harness.exchange(faulty)
     assert not service.backoff_s
     cluster = harness.leader.term.cluster
-    assert cluster.machines[MachineId(workers[0].name)].faults
+    assert cluster.machines[MachineId(workers[0].name)].failed_jobs
 
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
@@ -251,8 +253,8 @@
         [gang],
         [gang],
     )
-    assert plan.reserved is None
-    assert not plan.stops
+    assert plan.reservation is None
+    assert not plan.preemptions
 
 
 def test_an_overdue_service_is_placed_whole() -> None:
@@ -290,8 +292,8 @@
 
 def test_no_machine_is_rented_in_a_zone_that_has_its_share_of_replicas() -> None:
     service = job(**{**SERVICE, "task_count": 4, "spread": True})
-    service.zones[Zone("a")] = 2
-    service.live = dict.fromkeys((0, 1), MachineId("i-1"))
+    service.tasks_by_zone[Zone("a")] = 2
+    service.assigned_tasks = dict.fromkeys((0, 1), MachineId("i-1"))
     [plan] = plan_scale_out([Unplaced(service, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
@@ -407,4 +409,4 @@
     harness.later(1.5)
     harness.exchange(worker)
     harness.place()
-    assert len(service.live) == 1
+    assert len(service.assigned_tasks) == 1
--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -61,7 +61,7 @@
             machine = self.cluster.add(
                 MachineId(f"i-{n:06d}"), machine_type, Zone("abc"[n % 3]), n % 5 == 0, T0
             )
-            machine.acknowledged, machine.recorded = 0, True
+            machine.acknowledged_bump, machine.recorded = 0, True
 
     def job(self, ref: str, **changes: Any) -> Job:
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
@@ -70,7 +70,7 @@
         """Fill every machine without GPUs with a job's tasks."""
         numbers = iter(range(one.spec.task_count))
         for machine in self.cluster.machines.values():
-            while not machine.machine_type.gpus and machine.cpus >= one.spec.cpus:
+            while not machine.machine_type.gpus and machine.free_cpus >= one.spec.cpus:
                 task = TaskId(one.id, next(numbers))
                 self.cluster.assign(machine, task, Attempt(1), TaskPhase.RUNNING, T0)
 
@@ -111,7 +111,7 @@
     plan = fleet.plan(gang)
     assert not plan.unplaced
     if full:
-        assert len({assignment.machine.id for assignment in plan.stops}) == suitable
+        assert len({assignment.machine.id for assignment in plan.preemptions}) == suitable
     else:
         assert sum(n for batch in plan.batches for _machine, n in batch.parts) == suitable
     assert plan.machines_examined <= 2 * suitable
@@ -140,7 +140,9 @@
     )
     plan = fleet.plan(gang)
     assert not plan.unplaced
-    assert {assignment.machine.id for assignment in plan.stops} == {m.id for m in suitable[1::2]}
+    assert {assignment.machine.id for assignment in plan.preemptions} == {
+        m.id for m in suitable[1::2]
+    }
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -219,7 +221,7 @@
     before = harness.store.writes
     harness.ready(*workers)
     assert harness.store.writes - before <= size // 20 + 1
-    assert all(m.usable() for m in harness.leader.term.cluster.machines.values())
+    assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
     harness.new_leader(6)
     assert len(harness.leader.term.cluster.machines) == size
     assert all(m.recorded for m in harness.leader.term.cluster.machines.values())
@@ -234,7 +236,7 @@
         result = harness.store.txn({}, [Put(live_key(name), record)])
         live_job = harness.leader.term.job_table.put(record, KeyVersion(result.revision))
         live_job.finish(n)
-        harness.leader.term.job_table.touch(live_job)
+        harness.leader.term.job_table.reindex(live_job)
     before = harness.store.writes
     harness.write()
     assert harness.store.writes - before <= jobs // 16 + 1
@@ -249,7 +251,7 @@
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
         live_job = harness.leader.term.job_table.put(record, KeyVersion(1))
         live_job.finish(0)
-        harness.leader.term.job_table.touch(live_job)
+        harness.leader.term.job_table.reindex(live_job)
     harness.write()
     harness.new_leader(6)  # none of the jobs is in the store
     assert not harness.leader.term.job_table.jobs
--- a/tests/leader/test_store_limits.py
+++ b/tests/leader/test_store_limits.py
@@ -172,7 +172,7 @@
     assert leader.term.job_table.jobs[job].done_count == 2
     machine = leader.term.cluster.machines[MachineId("i-000001")]
     assert machine.recorded
-    assert machine.may_hold_until is not None
+    assert machine.lease_expires_by is not None
     harness.write()
     stored_copies = read_records(harness.store, "d/") | read_records(harness.store, "m/")
     assert stored_copies["run-1/0"] == ["gQA="] or stored_copies["run-1/0"] == ["gQ=="]
@@ -288,7 +288,7 @@
     harness.narrow(value_kb=1.0)
     for name in (large, small):
         harness.leader.term.job_table.jobs[name].finish(1)
-        harness.leader.term.job_table.touch(harness.leader.term.job_table.jobs[name])
+        harness.leader.term.job_table.reindex(harness.leader.term.job_table.jobs[name])
     for _ in range(12):
         harness.leader.writer.write_once()
     assert not harness.leader.term.job_table.jobs[small].unwritten
--- a/tests/support/placement_world.py
+++ b/tests/support/placement_world.py
@@ -54,14 +54,14 @@
         self, name: str, machine_type: MachineType = CPU, zone: str = "a", spot: bool = False
     ) -> Machine:
         machine = self.cluster.add(MachineId(name), machine_type, Zone(zone), spot, T0)
-        machine.acknowledged, machine.recorded = 0, True
+        machine.acknowledged_bump, machine.recorded = 0, True
         return machine
 
     def job(self, ref: str, **changes: Any) -> Job:
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
     def put(self, one: Job, machine: Machine, count: int) -> None:
-        for index in one.take(count):
+        for index in one.dequeue(count):
             self.cluster.assign(machine, TaskId(one.id, index), Attempt(1), TaskPhase.RUNNING, T0)
 
     def plan(
@@ -76,9 +76,11 @@
     ) -> scheduling.Plan:
         gpu_reserve = NO_RESERVE
         for one in self.job_table:
-            gpu_reserve = gpu_reserve.widened(one)
+            gpu_reserve = gpu_reserve.including(one)
         quota = TeamQuota(TEAMS, self.cluster.team_cpus, self.cluster.team_gpus, *unseen)
-        capacities = [MachineCapacity(m) for m in self.cluster.machines.values() if m.usable()]
+        capacities = [
+            MachineCapacity(m) for m in self.cluster.machines.values() if m.is_schedulable()
+        ]
         snapshot = scheduling.SchedulingSnapshot(
             capacities,
             quota,
