--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -134,7 +134,7 @@
     if alive:
         harness.exchange(worker)
         heard_at, held_until = machine.heard_at, machine.lease_expires_by
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     expired = not alive and age_s > LEASE_S
     duplicate = copy.deepcopy(older if copies == "older" else newest)
     for _ in range(3):
@@ -159,7 +159,7 @@
     harness.exchange(worker)
     delayed = worker.heartbeat()
     harness.later(LEASE_S + 1.0)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     assert harness.assignments() == {}
     assert harness.leader.on_heartbeat(delayed) is None
     assert harness.assignments() == {}
@@ -203,7 +203,7 @@
         assert harness.leader.on_heartbeat(copy.deepcopy(stale)) is None
     may_hold_s = policy().hold_s + LEASE_S
     harness.later(may_hold_s)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     assert live_job.shortfall == 1  # the tasks are blocked no longer than that
     assert harness.leader.on_heartbeat(copy.deepcopy(stale)) is None
     assert live_job.shortfall == 1
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -223,12 +223,12 @@
     may_hold_s = policy().hold_s + settings().params.workers.lease_s
     harness.later(may_hold_s - policy().gather_s - 0.5)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())
+    harness.leader.term.cluster.expire_leases(harness.clock())
     harness.leader.scheduler.run_cycle()
     assert ("run-1/0" in harness.assignments("i-000002")) is (unblocked_after_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire(harness.clock())  # the old hold and a lease are over
+    harness.leader.term.cluster.expire_leases(harness.clock())  # the old hold and a lease are over
     harness.leader.scheduler.run_cycle()
     assert "run-1/0" in harness.assignments("i-000002")
 
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -286,7 +286,7 @@
     """Rented in the cheapest zone only, the machines had no room for half of spread replicas."""
     unplaced = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
     plans = plan_scale_out(unplaced, [], FLAVOURS, CapacityBackoff(), policy(), T0)
-    assert sum(plan.count for plan in plans) == expected
+    assert sum(plan.machine_count for plan in plans) == expected
     assert len({plan.options[0][1] for plan in plans}) == (2 if spread and tasks > 1 else 1)
 
 
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -171,7 +171,7 @@
     spec = job_spec("run-1", **changes)
     with pytest.raises(NotReadyError):
         division.choose(spec, types, {})
-    division.in_force = True
+    division.is_confirmed = True
     loads = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
     if not eligible:
         with pytest.raises(NoShardError):
@@ -183,7 +183,7 @@
 
 def test_a_job_goes_to_the_least_loaded_shard_or_by_its_id_while_a_load_is_unknown() -> None:
     division = ShardDivision(DIVISION, random.Random(1))
-    division.in_force = True
+    division.is_confirmed = True
     loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
     assert {division.choose(spec, TYPES, loads) for _ in range(20)} == {WEST}
--- a/tests/test_version_0_2_2_requests.py
+++ b/tests/test_version_0_2_2_requests.py
@@ -26,7 +26,7 @@
 from ryewing.sharding.health import ControllerHealth
 from ryewing.sharding.ownership import Ownership
 from ryewing.sharding.registry import ShardRegistry, StoredOwnership
-from ryewing.sharding.settings import by_zones
+from ryewing.sharding.settings import divide_by_zones
 from ryewing.sharding.shard_store import ShardStore
 from ryewing.state import machine_type_catalogue
 from ryewing.state.job_records import FinalRecord, JobRecord
@@ -91,12 +91,14 @@
 
 
 def keep_node_key(clients: Clients) -> None:
-    ControllerHealth(clients.store, NodeName("n-0"), "0011223344aa", 3.0).keep()
+    ControllerHealth(clients.store, NodeName("n-0"), "0011223344aa", 3.0).renew_if_due()
 
 
 def take_ownership(clients: Clients) -> None:
     unowned = StoredOwnership(None, KeyVersion(0))
-    ShardRegistry(clients.store).take(ShardName("shard-1"), unowned, lambda _: Ownership("n-0", 3))
+    ShardRegistry(clients.store).apply_step(
+        ShardName("shard-1"), unowned, lambda _: Ownership("n-0", 3)
+    )
 
 
 def write_machines(clients: Clients) -> None:
@@ -165,7 +167,9 @@
         ],
     ),
     "agree_on_division": (
-        lambda clients: ShardRegistry(clients.store).agree_on(by_zones(2, ["a", "b", "c"])),
+        lambda clients: ShardRegistry(clients.store).ensure_division(
+            divide_by_zones(2, ["a", "b", "c"])
+        ),
         [
             b"GET /store/shards/division",
             b'POST /txn {"if":[{"k":"shards/division","stamp":0},{"k":"lead/term","stamp":0}],'
