--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -92,10 +92,10 @@
     worker = harness.ready_worker()
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
-    def refused(_machines: Any) -> None:
+    def throttled_release(_machines: Any) -> None:
         raise CloudUnavailableError("429")
 
-    harness.cloud.release = refused  # type: ignore[assignment,method-assign]
+    harness.cloud.release = throttled_release  # type: ignore[assignment,method-assign]
     with pytest.raises(CloudUnavailableError):
         harness.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
     assert machine.is_schedulable()
@@ -118,8 +118,8 @@
     """The cloud's lists lag: a new leader counted machines that were already gone as booting."""
     worker = harness.worker()
     for is_listed in listings:
-        host = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
-        harness.cloud.listed = [host] if is_listed else []
+        listed_machine = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
+        harness.cloud.listed = [listed_machine] if is_listed else []
         harness.leader.autoscaler.inventory.read_page()
         if heard:
             harness.exchange(worker)
@@ -168,7 +168,7 @@
 
 
 def test_machines_falling_silent_one_after_another_are_not_released(harness: LeaderHarness) -> None:
-    """When many fell silent one after another, the first ones were few enough to be released."""
+    """When many fell silent one after another, the first ones were few, and were released."""
     workers = harness.ready_workers(9)
     for worker in workers[3:]:
         harness.later(0.3)
--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -127,13 +127,13 @@
     newest = worker.heartbeat()
     harness.leader.on_heartbeat(newest)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
-    heard_at, held_until = machine.heard_at, machine.lease_expires_by
+    heard_at, expires_by = machine.heard_at, machine.lease_expires_by
     assert heard_at is not None
-    assert held_until is not None
+    assert expires_by is not None
     harness.later(age_s)
     if alive:
         harness.exchange(worker)
-        heard_at, held_until = machine.heard_at, machine.lease_expires_by
+        heard_at, expires_by = machine.heard_at, machine.lease_expires_by
     harness.leader.term.cluster.expire_leases(harness.clock())
     expired = not alive and age_s > LEASE_S
     duplicate = copy.deepcopy(older if copies == "older" else newest)
@@ -143,7 +143,7 @@
     assert machine.heard_at == heard_at
     if not alive and age_s > 4.5:
         assert answer is None
-        assert machine.lease_expires_by == (None if expired else held_until)
+        assert machine.lease_expires_by == (None if expired else expires_by)
     assert sorted(harness.assignments().values()) == (
         [] if expired else [TaskPhase.RUNNING, TaskPhase.RUNNING]
     )
@@ -178,8 +178,8 @@
     harness.leader.on_heartbeat(before)
     [phase] = harness.assignments().values()
     assert phase == TaskPhase.SENT
-    for late in (1.0, 6.0):
-        harness.later(late)
+    for delay_s in (1.0, 6.0):
+        harness.later(delay_s)
         harness.leader.on_heartbeat(copy.deepcopy(before))
         assert list(harness.assignments().values()) == [TaskPhase.SENT]
 
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -232,8 +232,8 @@
     warm = world.machine("i-9")
     warm.record_image("img-1", 40.0)
     world.put(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
-    found = world.plan(service, batch)
-    assert sum(n for b in found.batches if b.job is service for _machine, n in b.parts) == 3
+    plan = world.plan(service, batch)
+    assert sum(n for b in plan.batches if b.job is service for _machine, n in b.parts) == 3
     assert batch.shortfall == 40  # it waits for the image, by a finite estimate
 
 
@@ -262,7 +262,7 @@
     world = World()
     world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
-    found = scheduling.run_cycle(
+    plan = scheduling.run_cycle(
         scheduling.SchedulingSnapshot(
             [MachineCapacity(m) for m in world.cluster.machines.values()],
             TeamQuota(TEAMS, {}, {}),
@@ -273,7 +273,7 @@
         [service],
         [service],
     )
-    assert spread_of(found) == {"i-1": 20}
+    assert spread_of(plan) == {"i-1": 20}
 
 
 @pytest.mark.parametrize(
@@ -380,7 +380,7 @@
 
 
 def test_the_estimate_of_the_time_until_the_next_heartbeat(harness: LeaderHarness) -> None:
-    """Early in 0.5 s, unless a start is in flight or the token was raised shortly before."""
+    """Early heartbeats come in 0.5 s, but not with a start in flight or twice in half a lease."""
     worker = harness.ready_worker()
     early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -66,12 +66,12 @@
     def job(self, ref: str, **changes: Any) -> Job:
         return self.job_table.put(JobRecord(job_spec(ref, **changes), 0.0), KeyVersion(1))
 
-    def fill(self, one: Job) -> None:
+    def fill(self, job: Job) -> None:
         """Fill every machine without GPUs with a job's tasks."""
-        numbers = iter(range(one.spec.task_count))
+        numbers = iter(range(job.spec.task_count))
         for machine in self.cluster.machines.values():
-            while not machine.machine_type.gpus and machine.free_cpus >= one.spec.cpus:
-                task = TaskId(one.id, next(numbers))
+            while not machine.machine_type.gpus and machine.free_cpus >= job.spec.cpus:
+                task = TaskId(job.id, next(numbers))
                 self.cluster.assign(machine, task, Attempt(1), TaskPhase.RUNNING, T0)
 
     def plan(self, *jobs: Job) -> scheduling.Plan:
@@ -156,7 +156,7 @@
         for n in range(waiting)
     ]
     plan = fleet.plan(*jobs)
-    assert [one for one, _count in plan.unplaced] == jobs
+    assert [job for job, _count in plan.unplaced] == jobs
     assert plan.machines_examined == 0
 
 
@@ -240,9 +240,9 @@
     before = harness.store.writes
     harness.write()
     assert harness.store.writes - before <= jobs // 16 + 1
-    assert not any(each_job.unwritten for each_job in harness.leader.term.job_table)
+    assert not any(job.unwritten for job in harness.leader.term.job_table)
     harness.new_leader(6)
-    assert all(each_job.done_count == 1 for each_job in harness.leader.term.job_table)
+    assert all(job.done_count == 1 for job in harness.leader.term.job_table)
 
 
 def test_finished_tasks_of_removed_jobs_do_not_stop_a_failover(harness: LeaderHarness) -> None:
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -38,7 +38,10 @@
 
 
 def test_machines_of_other_shards_are_neither_answered_nor_counted(east: LeaderHarness) -> None:
-    """Neither a heartbeat nor the cloud's list adds one, even if it was rented late or failed."""
+    """Neither a heartbeat nor the cloud's list adds one, and none that failed is released.
+
+    A late rental of another shard can bring its machine onto the list.
+    """
     own_worker, foreign_worker = (
         east.worker("i-000001", zone="a"),
         east.worker("i-000002", zone="b"),
@@ -148,7 +151,7 @@
 
 
 TYPES = {machine_type.name: machine_type for machine_type in (CPU, GPU)}
-ONLY_B = {"c32": msgspec.structs.replace(CPU, zones=("b",)), "g4": GPU}
+C32_ONLY_IN_B = {"c32": msgspec.structs.replace(CPU, zones=("b",)), "g4": GPU}
 
 
 @pytest.mark.parametrize(
@@ -157,10 +160,10 @@
         ({}, TYPES, {EAST, WEST}),
         ({"zone": "a"}, TYPES, {EAST}),
         ({"zone": "c"}, TYPES, {WEST}),
-        ({"machine_types": ["c32"]}, ONLY_B, {WEST}),
+        ({"machine_types": ["c32"]}, C32_ONLY_IN_B, {WEST}),
         ({"spread": True}, TYPES, {WEST}),
         ({"spread": True, "task_count": 1}, TYPES, {EAST, WEST}),
-        ({"spread": True, "machine_types": ["c32"]}, ONLY_B, set()),
+        ({"spread": True, "machine_types": ["c32"]}, C32_ONLY_IN_B, set()),
         ({"spread": True, "zone": "b"}, TYPES, set()),
     ],
 )
