--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -283,7 +283,7 @@
 def test_machines_are_rented_for_every_replica_and_in_two_zones_for_spread_ones(
     tasks: int, spread: bool, expected: int
 ) -> None:
-    """Rented in the cheapest zone only, the machines had no room for half of spread replicas."""
+    """Machines rented in the cheapest zone only were of no use to half of the spread replicas."""
     unplaced = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
     plans = plan_scale_out(unplaced, [], FLAVOURS, CapacityBackoff(), policy(), T0)
     assert sum(plan.machine_count for plan in plans) == expected
--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("size", SIZES)
 def test_a_gang_is_placed_on_free_and_preempted_machines_together(size: int) -> None:
-    """Neither the free nor the full machines suffice for the gang; only both together do."""
+    """A gang that needed free and full machines together was not placed: neither kind sufficed."""
     fleet = Fleet(size)
     fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
     suitable = [
