--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -326,8 +326,8 @@
 def write_all_changes(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
     """Write all changed pages to the store; return the number of changes."""
     count = 0
-    while numbers := list(pages.changed()):
-        change = pages.change(numbers[0], STATE.txn_ops, 48 * 1024)
+    while numbers := list(pages.dirty_pages()):
+        change = pages.next_transaction(numbers[0], STATE.txn_ops, 48 * 1024)
         for key, condition in change.conditions.items():
             entry = store.get(key)
             assert condition == (entry.key_version if entry is not None else 0)
@@ -335,10 +335,10 @@
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
             store[put.key] = Entry(put.key, msgspec.Raw(data), key_version)
-        assert sum(len(bytes(store[put.key].data)) for put in change.ops) <= change.size + 2 * len(
-            change.ops
-        )
-        pages.written(change, Revision(key_version))
+        assert sum(
+            len(bytes(store[put.key].data)) for put in change.ops
+        ) <= change.size_bytes + 2 * len(change.ops)
+        pages.record_applied(change, Revision(key_version))
         count += len(change.ops)
     return count
 
@@ -368,11 +368,11 @@
 def test_a_change_made_during_a_write_is_written_later() -> None:
     pages = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
     number = pages.put("run-1/0", "AA==")
-    change = pages.change(number, 8, 1024)
+    change = pages.next_transaction(number, 8, 1024)
     pages.put("run-1/0", "gA==")
-    pages.written(change, Revision(7))
-    assert pages.lacks(number)
-    assert pages.change(number, 8, 1024).conditions == {pages.key(number): 7}
+    pages.record_applied(change, Revision(7))
+    assert pages.is_dirty(number)
+    assert pages.next_transaction(number, 8, 1024).conditions == {pages.key(number): 7}
 
 
 def add_unrecorded(harness: LeaderHarness, worker: FakeWorker) -> None:
--- a/tests/leader/test_store_limits.py
+++ b/tests/leader/test_store_limits.py
@@ -103,13 +103,13 @@
 ) -> int:
     """Write changed pages in at most `stop_after` transactions; return how many were made."""
     for done in range(stop_after):
-        number = next(pages.changed(), None)
+        number = next(pages.dirty_pages(), None)
         if number is None:
             return done
-        change = pages.change(number, ops_max, 48 * 1024)
+        change = pages.next_transaction(number, ops_max, 48 * 1024)
         result = store.txn(change.conditions, list(change.ops))
         assert result.ok
-        pages.written(change, result.revision)
+        pages.record_applied(change, result.revision)
     return stop_after
 
 
@@ -188,8 +188,8 @@
     assert len(loaded) == 2
     pages.put("run-1/0", "gQ==")
     for number in (0, 1):
-        assert pages.change(number, 1, 1024).ops[0].key == "d/1"
-    assert [put.key for put in pages.change(0, 2, 1024).ops] == ["d/1", "d/0"]
+        assert pages.next_transaction(number, 1, 1024).ops[0].key == "d/1"
+    assert [put.key for put in pages.next_transaction(0, 2, 1024).ops] == ["d/1", "d/0"]
 
 
 def test_records_can_be_loaded_again_after_a_failed_load() -> None:
@@ -200,10 +200,10 @@
         loaded, duplicated = pages.load(store.listing(MACHINE_PREFIX)[0])
         assert len(loaded) == len(records)
         assert not duplicated
-    first_conditions = dict(pages.change(next(pages.changed()), 8, 65536).conditions)
+    first_conditions = dict(pages.next_transaction(next(pages.dirty_pages()), 8, 65536).conditions)
     pages.load([])
     pages.put("i-1", {"n": 1})
-    assert pages.change(0, 8, 65536).conditions == {pages.key(0): 0} != first_conditions
+    assert pages.next_transaction(0, 8, 65536).conditions == {pages.key(0): 0} != first_conditions
 
 
 def test_a_page_whose_first_write_was_applied_without_a_response_is_written_last() -> None:
@@ -211,15 +211,15 @@
     pages = PagedRecords(MACHINE_PREFIX, 1.0)
     for n in range(12):
         pages.put(f"i-{n}", {"addr": ""})
-    unanswered = pages.change(0, 8, 65536)
+    unanswered = pages.next_transaction(0, 8, 65536)
     for n in range(12):
         pages.put(f"i-{n}", {"addr": "x" * 90})
-    other_keys = [key for key in (pages.key(n) for n in pages.changed()) if key != pages.key(0)]
+    other_keys = [key for key in (pages.key(n) for n in pages.dirty_pages()) if key != pages.key(0)]
     assert other_keys
-    assert len(pages.change(0, 8, 65536).ops) == 1
+    assert len(pages.next_transaction(0, 8, 65536).ops) == 1
     stored_entry = Entry(pages.key(0), msgspec.Raw(msgspec.json.encode(unanswered.ops[0].value)), 7)
-    pages.found(pages.key(0), stored_entry)
-    change = pages.change(0, 8, 65536)
+    pages.record_conflict(pages.key(0), stored_entry)
+    change = pages.next_transaction(0, 8, 65536)
     assert len(change.ops) > 1
     assert change.ops[-1].key == pages.key(0)
     assert change.conditions[pages.key(0)] == 7
@@ -230,11 +230,11 @@
     pages = PagedRecords(MACHINE_PREFIX, 2.0)
     pages.load(store.listing(MACHINE_PREFIX)[0])
     sent: list[tuple[dict[str, KeyVersion], list[Put]]] = []
-    while (number := next(pages.changed(), None)) is not None:
-        change = pages.change(number, 4, 48 * 1024)
+    while (number := next(pages.dirty_pages(), None)) is not None:
+        change = pages.next_transaction(number, 4, 48 * 1024)
         sent.append((dict(change.conditions), list(change.ops)))
         result = store.txn(change.conditions, list(change.ops))
-        pages.written(change, result.revision)
+        pages.record_applied(change, result.revision)
     for name in list(records)[:60]:
         pages.drop(name)  # some pages become empty
     write_changes(pages, store, 4)
