--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -323,23 +323,23 @@
 # -- paged records -----------------------------------------------------------------------------
 
 
-def write_all_changes(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
-    """Write all changed pages to the store; return the number of changes."""
+def write_dirty_pages(pages: PagedRecords, store: dict[str, Entry], key_version: int) -> int:
+    """Write all dirty pages to the store; return the number of pages written."""
     count = 0
     while numbers := list(pages.dirty_pages()):
-        change = pages.next_transaction(numbers[0], STATE.txn_ops, 48 * 1024)
-        for key, condition in change.conditions.items():
+        transaction = pages.next_transaction(numbers[0], STATE.txn_ops, 48 * 1024)
+        for key, condition in transaction.conditions.items():
             entry = store.get(key)
             assert condition == (entry.key_version if entry is not None else 0)
-        for put in change.ops:
+        for put in transaction.ops:
             data = msgspec.json.encode(put.value)
             assert len(data) <= STATE.value_kb * 1024
             store[put.key] = Entry(put.key, msgspec.Raw(data), key_version)
         assert sum(
-            len(bytes(store[put.key].data)) for put in change.ops
-        ) <= change.size_bytes + 2 * len(change.ops)
-        pages.record_applied(change, Revision(key_version))
-        count += len(change.ops)
+            len(bytes(store[put.key].data)) for put in transaction.ops
+        ) <= transaction.size_bytes + 2 * len(transaction.ops)
+        pages.record_applied(transaction, Revision(key_version))
+        count += len(transaction.ops)
     return count
 
 
@@ -349,11 +349,11 @@
     store: dict[str, Entry] = {}
     for n in range(count):
         pages.put(f"i-{n:06d}", {"flavour": "c32", "n": n})
-    changes = write_all_changes(pages, store, 1)
-    assert changes <= count // 50 + 1
+    pages_written = write_dirty_pages(pages, store, 1)
+    assert pages_written <= count // 50 + 1
     for n in range(count):  # records that outgrow their page move to another
         pages.put(f"i-{n:06d}", {"flavour": "c32", "n": n, "addr": "10.1.0.2:9000"})
-    assert changes <= write_all_changes(pages, store, 2) <= 2 * changes
+    assert pages_written <= write_dirty_pages(pages, store, 2) <= 2 * pages_written
     loaded_pages = PagedRecords(MACHINE_PREFIX, STATE.value_kb)
     records, duplicated = loaded_pages.load(store.values())
     names = [name for name, _record in records]
@@ -361,16 +361,16 @@
     assert not duplicated
     for name in names:
         loaded_pages.drop(name)
-    write_all_changes(loaded_pages, store, 3)
+    write_dirty_pages(loaded_pages, store, 3)
     assert all(bytes(entry.data) == b"{}" for entry in store.values())
 
 
 def test_a_change_made_during_a_write_is_written_later() -> None:
     pages = PagedRecords(FINISHED_PREFIX, STATE.value_kb)
     number = pages.put("run-1/0", "AA==")
-    change = pages.next_transaction(number, 8, 1024)
+    transaction = pages.next_transaction(number, 8, 1024)
     pages.put("run-1/0", "gA==")
-    pages.record_applied(change, Revision(7))
+    pages.record_applied(transaction, Revision(7))
     assert pages.is_dirty(number)
     assert pages.next_transaction(number, 8, 1024).conditions == {pages.key(number): 7}
 
--- a/tests/leader/test_store_limits.py
+++ b/tests/leader/test_store_limits.py
@@ -94,22 +94,22 @@
     records = {f"i-{n:06d}": {"flavour": "c32", "site": "a", "n": n} for n in range(names)}
     for name, record in records.items():
         pages.put(name, record)
-    write_changes(pages, store, 16)
+    write_dirty_pages(pages, store, 16)
     return store, records
 
 
-def write_changes(
+def write_dirty_pages(
     pages: PagedRecords, store: FakeStore, ops_max: int, stop_after: int = 10_000
 ) -> int:
-    """Write changed pages in at most `stop_after` transactions; return how many were made."""
+    """Write dirty pages in at most `stop_after` transactions; return how many were made."""
     for done in range(stop_after):
         number = next(pages.dirty_pages(), None)
         if number is None:
             return done
-        change = pages.next_transaction(number, ops_max, 48 * 1024)
-        result = store.txn(change.conditions, list(change.ops))
+        transaction = pages.next_transaction(number, ops_max, 48 * 1024)
+        result = store.txn(transaction.conditions, list(transaction.ops))
         assert result.ok
-        pages.record_applied(change, result.revision)
+        pages.record_applied(transaction, result.revision)
     return stop_after
 
 
@@ -134,7 +134,7 @@
             store.limits = msgspec.structs.replace(store.limits, value_kb=kb, txn_ops=ops)
         pages = PagedRecords(MACHINE_PREFIX, kb)
         pages.load(store.listing(MACHINE_PREFIX)[0])
-        writes = write_changes(pages, store, ops, writes_before_crash)
+        writes = write_dirty_pages(pages, store, ops, writes_before_crash)
         copies_by_name = read_records(store, MACHINE_PREFIX)
         assert copies_by_name.keys() == records.keys()
         assert all(
@@ -144,7 +144,7 @@
         loaded, duplicated = successor_pages.load(store.listing(MACHINE_PREFIX)[0])
         assert {name for name, copies in copies_by_name.items() if len(copies) > 1} == duplicated
         assert len(loaded) == len(records) + len(duplicated)
-        write_changes(successor_pages, store, ops)
+        write_dirty_pages(successor_pages, store, ops)
         assert read_records(store, MACHINE_PREFIX) == {
             name: [record] for name, record in records.items()
         }
@@ -219,10 +219,10 @@
     assert len(pages.next_transaction(0, 8, 65536).ops) == 1
     stored_entry = Entry(pages.key(0), msgspec.Raw(msgspec.json.encode(unanswered.ops[0].value)), 7)
     pages.record_conflict(pages.key(0), stored_entry)
-    change = pages.next_transaction(0, 8, 65536)
-    assert len(change.ops) > 1
-    assert change.ops[-1].key == pages.key(0)
-    assert change.conditions[pages.key(0)] == 7
+    transaction = pages.next_transaction(0, 8, 65536)
+    assert len(transaction.ops) > 1
+    assert transaction.ops[-1].key == pages.key(0)
+    assert transaction.conditions[pages.key(0)] == 7
 
 
 def test_a_late_copy_of_a_write_changes_nothing_after_a_split() -> None:
@@ -231,13 +231,13 @@
     pages.load(store.listing(MACHINE_PREFIX)[0])
     sent: list[tuple[dict[str, KeyVersion], list[Put]]] = []
     while (number := next(pages.dirty_pages(), None)) is not None:
-        change = pages.next_transaction(number, 4, 48 * 1024)
-        sent.append((dict(change.conditions), list(change.ops)))
-        result = store.txn(change.conditions, list(change.ops))
-        pages.record_applied(change, result.revision)
+        transaction = pages.next_transaction(number, 4, 48 * 1024)
+        sent.append((dict(transaction.conditions), list(transaction.ops)))
+        result = store.txn(transaction.conditions, list(transaction.ops))
+        pages.record_applied(transaction, result.revision)
     for name in list(records)[:60]:
         pages.drop(name)  # some pages become empty
-    write_changes(pages, store, 4)
+    write_dirty_pages(pages, store, 4)
     data_before = dict(store.data)
     for conditions, ops in sent:
         assert not store.txn(conditions, list(ops)).ok
