--- a/src/ryewing/leader/state_writer.py
+++ b/src/ryewing/leader/state_writer.py
@@ -29,7 +29,7 @@
 KEY_REMOVALS_AT_ONCE = 32
 WRITE_SHARE = 0.65
 """The part of the write rate for terms; the rest is for renewals and accepting submissions."""
-SET_ASIDE_S = 30.0
+REJECTED_WRITE_RETRY_S = 30.0
 """How long a change that the store won't take is left alone."""
 IDLE_WAIT_S = 1.0
 """How long the loop waits for something to write before it looks by itself."""
@@ -70,7 +70,7 @@
 
     def record_machine(self, machine: MachineId) -> None:
         """Want a machine's record to be written."""
-        self.machine_records.wanted.add(machine)
+        self.machine_records.pending.add(machine)
 
     def forget_machine(self, machine: MachineId) -> None:
         """Want the record of a machine that is gone to be removed."""
@@ -95,7 +95,7 @@
         while True:
             self.term.writes_needed.wait(IDLE_WAIT_S)
             self.term.writes_needed.clear()
-            if not self.term.may_start():
+            if not self.term.has_authority():
                 gevent.sleep(NO_LEASE_PAUSE_S)
                 continue
             try:
@@ -199,4 +199,4 @@
             return
         self._ops_max = self._ops_allowed
         if not chosen[0].on_refused():
-            self._set_aside[chosen[0].key] = MonotonicTime(now + SET_ASIDE_S)
+            self._set_aside[chosen[0].key] = MonotonicTime(now + REJECTED_WRITE_RETRY_S)
--- a/src/ryewing/leader/term_context.py
+++ b/src/ryewing/leader/term_context.py
@@ -69,7 +69,7 @@
         )
         self.machine_types: dict[str, MachineType] = {}
         """The machine types by name, each with those of its zones that are in the scope."""
-        self.released: OrderedDict[MachineId, None] = OrderedDict()
+        self.released_machines: OrderedDict[MachineId, None] = OrderedDict()
         """Machines that are certainly gone: nothing that comes in their name counts."""
         self.teams = {team.name: team for team in self.settings.params.teams}
         """The teams as the settings have them."""
@@ -91,16 +91,16 @@
         if not self.stopped:
             self._on_lost(reason)
 
-    def may_start(self) -> bool:
+    def has_authority(self) -> bool:
         """Return whether the lease certainly holds now, and the jobs are known.
 
         See docs/design.md, safety argument 2.
         """
         return not self.stopped and self.lease_validity.has_authority(monotonic_now())
 
-    def may_begin(self) -> bool:
+    def may_start_operations(self) -> bool:
         """Return whether tasks may be started, and machines rented or released, now."""
-        return not self.sealed and self.may_start()
+        return not self.sealed and self.has_authority()
 
     def machine_type(self, name: str) -> MachineType:
         """Return a machine type; one that isn't known has no room."""
--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -10,11 +10,11 @@
 
 from ryewing.autoscaling.releases import Release, ReleaseReason
 from ryewing.clients.cloud import CloudUnavailableError
-from ryewing.leader.direct_messages import MAX_SENDS_IN_FLIGHT, PROBE_AFTER
+from ryewing.leader.direct_messages import BASE_SENDS_IN_FLIGHT, PROBE_AFTER_INTERVALS
 from ryewing.leader.machine_records import MACHINE_PREFIX
 from ryewing.leader.rentals import REQUEST_PREFIX
 from ryewing.leader.term_end_reason import TermEndReason
-from ryewing.leader.worker_reachability import CUT_PROBE_S
+from ryewing.leader.worker_reachability import PROBE_ANSWER_S
 from ryewing.state.pending_terminations import PendingTermination
 from ryewing.units import Attempt, JobId, MachineId, TaskId
 from ryewing.wire.cloud import ListedMachine
@@ -194,7 +194,7 @@
     direct_messages.probe(harness.clock())
     direct_messages.probe(harness.clock())
     assert not contacted  # nothing was sent during the loop over the machines
-    assert len(direct_messages.senders) == MAX_SENDS_IN_FLIGHT
+    assert len(direct_messages.senders) == BASE_SENDS_IN_FLIGHT
     direct_messages.senders.join()
     assert sorted(contacted) == sorted(harness.leader.term.cluster.machines)  # once each
 
@@ -245,7 +245,9 @@
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
-    assert harness.leader.maintenance.reachability.is_cut_from_workers(harness.clock()) is cut_off
+    assert (
+        harness.leader.maintenance.reachability.are_workers_unreachable(harness.clock()) is cut_off
+    )
 
 
 def run_maintenance(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
@@ -267,11 +269,11 @@
 ) -> None:
     """Measured with such a cut: 7.1 s from the cut to the resignation."""
     start_with_nine_machines(harness, monkeypatch)
-    longest_s = PROBE_AFTER * harness.settings.params.workers.report_s + CUT_PROBE_S
+    longest_s = PROBE_AFTER_INTERVALS * harness.settings.params.workers.report_s + PROBE_ANSWER_S
     run_maintenance(harness, longest_s)
     assert harness.lost == []
     run_maintenance(harness, 0.5)
-    assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
+    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
     assert longest_s < policy().silence_s
 
 
@@ -284,4 +286,4 @@
     run_maintenance(harness, 2.0)
     assert harness.lost == []
     run_maintenance(harness, 9.0)
-    assert harness.lost[:1] == [TermEndReason.CUT_FROM_WORKERS]
+    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -228,7 +228,7 @@
         assert live_job is not None
         assert live_job.shortfall == 1
         harness.write()
-        assert not harness.leader.writer.machine_records.wanted
+        assert not harness.leader.writer.machine_records.pending
         harness.later(6.0)
     harness.exchange(worker)
     harness.exchange(worker)
@@ -301,7 +301,7 @@
     assert (answer is not None) is answers
     assert bool(answer and starts(answer.commands)) is starts_work
     # A job's status is not answered from memory when the store could contradict it.
-    assert (harness.leader.poll(job) is not None) is starts_work
+    assert (harness.leader.job_status(job) is not None) is starts_work
 
 
 def test_a_controller_that_alone_lost_the_store_probes_it_in_the_background(
@@ -386,7 +386,7 @@
         assert not harness.cloud.released
         assert not machine.being_released
     elif action == "poll":
-        assert leader.poll(job) is None
+        assert leader.job_status(job) is None
     else:
         leader.direct_messages.send(machine)
         assert not leader.direct_messages.workers.sent  # type: ignore[attr-defined]
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -29,7 +29,7 @@
     harness.place()
     assert len(starts(harness.exchange(worker))) == 4
     harness.exchange(worker)
-    job_status = harness.leader.poll(job)
+    job_status = harness.leader.job_status(job)
     assert job_status is not None
     assert (job_status.status, job_status.running) == ("running", 4)
     worker.finish()
@@ -295,7 +295,7 @@
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
     # The write may have been applied, so only the store knows the job's status now.
-    assert harness.leader.poll(job) is None
+    assert harness.leader.job_status(job) is None
     harness.store.lose_answers = False
     harness.write()
     assert harness.finals == {job: "done"}
@@ -303,9 +303,9 @@
 
 def test_no_job_status_is_answered_without_the_lease(harness: LeaderHarness) -> None:
     job = harness.accept()
-    assert harness.leader.poll(job) is not None
+    assert harness.leader.job_status(job) is not None
     harness.later(3.1, renewed=False)
-    assert harness.leader.poll(job) is None
+    assert harness.leader.job_status(job) is None
 
 
 def test_a_cancelled_job_is_halted_and_not_started_again(harness: LeaderHarness) -> None:
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -55,7 +55,7 @@
     harness.ready(first, second)
     name = serve(harness, first, second, task_count=2)
     old_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
-    assert harness.leader.poll(name) == harness.leader.term.job_table.jobs[name].status()
+    assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (first, second):
         if worker.tasks:
@@ -67,7 +67,7 @@
         harness.place()
         for worker in (first, second):
             harness.exchange(worker)
-    job_status = harness.leader.poll(name)
+    job_status = harness.leader.job_status(name)
     assert job_status is not None
     assert (job_status.status, job_status.done, job_status.running) == ("running", 0, 2)
     assert harness.store.get(final_key(name)) is None
@@ -309,7 +309,7 @@
     tasks_before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
-        job_status = leader.poll(name)
+        job_status = leader.job_status(name)
         assert job_status is not None
         assert job_status.status == "queued"
         for worker in workers:
@@ -321,7 +321,7 @@
         for worker in workers:
             commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
-        job_status = leader.poll(name)
+        job_status = leader.job_status(name)
         assert job_status is not None
         assert (job_status.status, job_status.running) == ("running", 4)
     assert [set(worker.tasks) for worker in workers] == tasks_before
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -16,7 +16,7 @@
 from ryewing.clients.store import Put, TxnResult
 from ryewing.leader.autoscaler import Autoscaler
 from ryewing.leader.division import NoShardError, NotReadyError
-from ryewing.leader.scheduler import CYCLE_REST_FACTOR
+from ryewing.leader.scheduler import CYCLE_PAUSE_FACTOR
 from ryewing.leader.scope import TermScope
 from ryewing.sharding.division import ShardDivision
 from ryewing.sharding.settings import ShardSettings, ShardSpec
@@ -66,7 +66,7 @@
     assert {request.zone for request in east.cloud.requests} == {"a"}
     assert {request.id for request in east.cloud.requests} == {"r-east-5-1"}
     west = TermScope(WEST, frozenset({Zone("b")}), 0.5)
-    assert west.request_name(TermNumber(5), 1) != east.scope.request_name(TermNumber(5), 1)
+    assert west.rental_id(TermNumber(5), 1) != east.scope.rental_id(TermNumber(5), 1)
 
 
 @pytest.mark.parametrize("shard", ["west", None])
@@ -93,7 +93,7 @@
     east.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
     east.leader.autoscaler.rentals.pending.clear()
     assert not east.cloud.released
-    assert not east.leader.term.may_begin()
+    assert not east.leader.term.may_start_operations()
     east.leader.term.sealed = False
     assert len(starts(east.exchange(worker))) == 2
 
@@ -101,23 +101,23 @@
 def test_a_term_is_drained_once_no_start_and_no_write_is_in_flight(east: LeaderHarness) -> None:
     """A start is in flight until a heartbeat settles it, and a write until its response arrives."""
     worker = east.ready_worker()
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
     east.begin(worker, task_count=1)
-    assert not east.leader.drained()
+    assert not east.leader.is_quiesced()
     east.exchange(worker)
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
     east.end(worker)
     txn, drained_during_write = east.store.txn, []
 
     def recording_txn(*args: Any) -> TxnResult:
-        drained_during_write.append(east.leader.drained())
+        drained_during_write.append(east.leader.is_quiesced())
         return txn(*args)
 
     east.store.txn = recording_txn  # type: ignore[method-assign, assignment]
     east.write()
     assert drained_during_write
     assert not any(drained_during_write)
-    assert east.leader.drained()
+    assert east.leader.is_quiesced()
 
 
 def test_the_terms_of_all_shards_together_stay_within_each_rate(east: LeaderHarness) -> None:
@@ -137,8 +137,8 @@
     for name, (rate, full_rate) in rates.items():
         assert rate == pytest.approx(0.5 * full_rate), name
     cycle_s = 1.0
-    assert 2 * cycle_s / (cycle_s + leader.scheduler.rest_s(cycle_s)) == pytest.approx(
-        1 / (CYCLE_REST_FACTOR + 1)
+    assert 2 * cycle_s / (cycle_s + leader.scheduler.pause_after_s(cycle_s)) == pytest.approx(
+        1 / (CYCLE_PAUSE_FACTOR + 1)
     )
 
 
@@ -147,7 +147,7 @@
     for number in range(round(jobs_max) + 1):
         record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
         east.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
-    assert east.leader.full()
+    assert east.leader.job_memory_full()
 
 
 TYPES = {machine_type.name: machine_type for machine_type in (CPU, GPU)}
@@ -173,14 +173,14 @@
     division = ShardDivision(DIVISION, random.Random(1))
     spec = job_spec("run-1", **changes)
     with pytest.raises(NotReadyError):
-        division.choose(spec, types, {})
+        division.choose_shard(spec, types, {})
     division.is_confirmed = True
     loads = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
     if not eligible:
         with pytest.raises(NoShardError):
-            division.choose(spec, types, loads)
+            division.choose_shard(spec, types, loads)
         return
-    chosen = {division.choose(spec, types, loads) for _ in range(50)}
+    chosen = {division.choose_shard(spec, types, loads) for _ in range(50)}
     assert chosen == eligible
 
 
@@ -189,14 +189,15 @@
     division.is_confirmed = True
     loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
-    assert {division.choose(spec, TYPES, loads) for _ in range(20)} == {WEST}
+    assert {division.choose_shard(spec, TYPES, loads) for _ in range(20)} == {WEST}
     loads_with_west_full = {**loads, WEST: ShardLoadAnswer(True, 0.5)}
-    assert {division.choose(spec, TYPES, loads_with_west_full) for _ in range(20)} == {EAST}
+    assert {division.choose_shard(spec, TYPES, loads_with_west_full) for _ in range(20)} == {EAST}
     chosen_without_loads = [
-        division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None}) for n in range(40)
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None})
+        for n in range(40)
     ]
     assert set(chosen_without_loads) == {EAST, WEST}
     assert chosen_without_loads == [
-        division.choose(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
         for n in range(40)
     ]
