--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -237,16 +237,17 @@
     assert [name in stopping for name in contacted[:80]] == [True, False] * 40
 
 
-@pytest.mark.parametrize(("silent", "cut_off"), [(2, False), (6, False), (7, True), (9, True)])
-def test_a_leader_that_hears_few_of_its_workers_counts_as_cut_off(
-    harness: LeaderHarness, silent: int, cut_off: bool
+@pytest.mark.parametrize(("silent", "unreachable"), [(2, False), (6, False), (7, True), (9, True)])
+def test_workers_count_as_unreachable_once_most_of_them_are_silent(
+    harness: LeaderHarness, silent: int, unreachable: bool
 ) -> None:
     workers = harness.ready_workers(9)
     harness.later(policy().silence_s + 1.0)
     for worker in workers[silent:]:
         harness.exchange(worker)
     assert (
-        harness.leader.maintenance.reachability.are_workers_unreachable(harness.clock()) is cut_off
+        harness.leader.maintenance.reachability.are_workers_unreachable(harness.clock())
+        is unreachable
     )
 
 
--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -98,7 +98,7 @@
     assert len(starts(east.exchange(worker))) == 2
 
 
-def test_a_term_is_drained_once_no_start_and_no_write_is_in_flight(east: LeaderHarness) -> None:
+def test_a_term_is_quiesced_once_no_start_and_no_write_is_in_flight(east: LeaderHarness) -> None:
     """A start is in flight until a heartbeat settles it, and a write until its response arrives."""
     worker = east.ready_worker()
     assert east.leader.is_quiesced()
@@ -107,16 +107,16 @@
     east.exchange(worker)
     assert east.leader.is_quiesced()
     east.end(worker)
-    txn, drained_during_write = east.store.txn, []
+    txn, quiesced_during_write = east.store.txn, []
 
     def recording_txn(*args: Any) -> TxnResult:
-        drained_during_write.append(east.leader.is_quiesced())
+        quiesced_during_write.append(east.leader.is_quiesced())
         return txn(*args)
 
     east.store.txn = recording_txn  # type: ignore[method-assign, assignment]
     east.write()
-    assert drained_during_write
-    assert not any(drained_during_write)
+    assert quiesced_during_write
+    assert not any(quiesced_during_write)
     assert east.leader.is_quiesced()
 
 
@@ -142,7 +142,7 @@
     )
 
 
-def test_a_term_is_full_when_its_jobs_fill_its_share_of_the_memory(east: LeaderHarness) -> None:
+def test_the_job_memory_is_full_when_jobs_fill_the_share_of_the_term(east: LeaderHarness) -> None:
     jobs_max = 0.25 * 0.5 * east.settings.params.resources.mem_mb * 1e6 / 4096
     for number in range(round(jobs_max) + 1):
         record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
