--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -170,7 +170,7 @@
         fleet.all_send_heartbeats()
     harness.place()
     fleet.all_send_heartbeats()
-    assert (job.running, job.shortfall) == (TASKS, 0)
+    assert (job.running_count, job.shortfall) == (TASKS, 0)
     assert set(fleet.start_counts.values()) == {1}
     leader.direct_messages.probe(harness.clock())
     assert not contacted
@@ -203,7 +203,7 @@
     place_all_tasks(fleet)
     assert {task for task, count in fleet.start_counts.items() if count == 2} == lost_tasks
     assert set(fleet.start_counts.values()) == {1, 2}
-    assert (job.running, job.shortfall) == (TASKS, 0)
+    assert (job.running_count, job.shortfall) == (TASKS, 0)
 
 
 @pytest.mark.parametrize("machines", [400, 1000, int(HEADROOM * MACHINES)])
