--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -260,7 +260,7 @@
 
 def start_with_nine_machines(harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """Make nine workers ready, and run maintenance once."""
-    monkeypatch.setattr(harness.store, "resign", lambda _lease: None, raising=False)
+    monkeypatch.setattr(harness.store, "revoke", lambda _lease: None, raising=False)
     harness.ready_workers(9)
     harness.leader.maintenance.run_once()
 
@@ -272,9 +272,9 @@
     start_with_nine_machines(harness, monkeypatch)
     longest_s = PROBE_AFTER_INTERVALS * harness.settings.params.workers.report_s + PROBE_ANSWER_S
     run_maintenance(harness, longest_s)
-    assert harness.lost == []
+    assert harness.end_reasons == []
     run_maintenance(harness, 0.5)
-    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
+    assert harness.end_reasons[:1] == [TermEndReason.WORKERS_UNREACHABLE]
     assert longest_s < policy().silence_s
 
 
@@ -285,6 +285,6 @@
     start_with_nine_machines(harness, monkeypatch)
     run_maintenance(harness, 9.0, step_s=9.0)
     run_maintenance(harness, 2.0)
-    assert harness.lost == []
+    assert harness.end_reasons == []
     run_maintenance(harness, 9.0)
-    assert harness.lost[:1] == [TermEndReason.WORKERS_UNREACHABLE]
+    assert harness.end_reasons[:1] == [TermEndReason.WORKERS_UNREACHABLE]
--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -404,7 +404,7 @@
     harness.exchange(worker)
     assert worker.token >= fencing_token(TermNumber(6))
     assert old_leader.on_heartbeat(worker.heartbeat()) is None
-    assert "overruled" in harness.lost
+    assert "overruled" in harness.end_reasons
 
 
 def test_a_controller_that_restarts_during_an_election(harness: LeaderHarness) -> None:
@@ -473,7 +473,7 @@
         harness.end(running_worker)
     harness.exchange(running_worker)
     harness.write()
-    assert harness.finals == {name: "cancelled" if cancelled else "done"}
+    assert harness.final_states == {name: "cancelled" if cancelled else "done"}
 
 
 def test_a_heartbeat_after_the_final_state_leaves_nothing_to_write(harness: LeaderHarness) -> None:
@@ -487,12 +487,12 @@
         harness.exchange(worker)
     harness.end(running_worker)
     harness.write()
-    assert harness.finals == {name: "done"}
+    assert harness.final_states == {name: "done"}
     old_worker.tasks.clear()
     harness.exchange(old_worker)
     harness.write()
     assert not harness.leader.term.job_table.dirty
-    assert not harness.lost
+    assert not harness.end_reasons
 
 
 def test_halts_come_before_clears_of_ended_tasks(harness: LeaderHarness) -> None:
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -10,7 +10,11 @@
 from support.fakes import FakeWorker, policy, settings
 from support.harness import LeaderHarness
 
-from ryewing.clients.cloud import PAGE_MAX, RELEASE_MAX, RENT_MAX
+from ryewing.clients.cloud import (
+    MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_RELEASE,
+    MAX_MACHINES_PER_RENTAL,
+)
 from ryewing.clients.machine_listing import LIST_SHARE
 from ryewing.clients.peers import FRAME_MAX, ImageLocality
 from ryewing.config.settings import Settings
@@ -19,7 +23,7 @@
 from ryewing.leader.plan_applier import MIN_ATTEMPTS_LEFT
 from ryewing.leader.scheduler import LOGGED_NAMES_MAX, abbreviate_names
 from ryewing.state.attempts import TaskPhase
-from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_of
+from ryewing.units import MAX_ATTEMPTS, JobId, MachineId, TermNumber, attempt_number
 from ryewing.wire.cloud import ListedMachine
 from ryewing.wire.workers import Command
 
@@ -134,7 +138,7 @@
     harness.accept(task_count=TASKS, cpus=8.0, estimated_s=300.0, spot=True, spread=True)
     new_fleet = Fleet(harness)
     requests, writes = new_fleet.rent()
-    assert requests <= MACHINES // RENT_MAX + 2
+    assert requests <= MACHINES // MAX_MACHINES_PER_RENTAL + 2
     # One value of the store holds about fifty machine records. One write per machine would occupy
     # the write rate for minutes.
     assert writes <= MACHINES // 40
@@ -194,7 +198,7 @@
     while unhealthy := leader.autoscaler.unhealthy_machines(harness.clock()):
         leader.autoscaler.releaser.release(unhealthy)
         requests += 1
-    assert requests == -(-len(lost_machines) // RELEASE_MAX)
+    assert requests == -(-len(lost_machines) // MAX_MACHINES_PER_RELEASE)
     assert set(map(str, harness.cloud.released)) == lost_machines
 
     # The tasks of the lost zone run again on new machines; no other task is started again.
@@ -221,12 +225,12 @@
     seconds = 60.0
     for _ in range(round(seconds / 0.5)):
         harness.clock.now += 0.5
-        if autoscaler.inventory.listing.due(harness.clock()):
+        if autoscaler.inventory.listing.try_acquire_page(harness.clock()):
             autoscaler.inventory.read_page()
             pages += 1
     assert len(harness.leader.term.cluster.machines) == machines
     assert pages <= LIST_SHARE * rps * (seconds + 1) + 1
-    assert pages >= -(-machines // PAGE_MAX)
+    assert pages >= -(-machines // MAX_MACHINES_PER_PAGE)
 
 
 def test_a_term_that_has_used_up_its_attempts_ends(harness: LeaderHarness) -> None:
@@ -236,12 +240,12 @@
     harness.leader.scheduler.plan_applier.attempts_used = MAX_ATTEMPTS - MIN_ATTEMPTS_LEFT
     harness.place()
     assert harness.assignments()
-    assert not harness.lost
+    assert not harness.end_reasons
     harness.place()
-    assert harness.lost == ["attempts-used-up"]
-    assert attempt_of(TermNumber(5), MAX_ATTEMPTS) < attempt_of(TermNumber(6), 0)
+    assert harness.end_reasons == ["attempts-used-up"]
+    assert attempt_number(TermNumber(5), MAX_ATTEMPTS) < attempt_number(TermNumber(6), 0)
     with pytest.raises(ValueError, match="another term"):
-        attempt_of(TermNumber(5), MAX_ATTEMPTS + 1)
+        attempt_number(TermNumber(5), MAX_ATTEMPTS + 1)
 
 
 def test_fixed_limits_are_sufficient_for_a_larger_fleet() -> None:
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -37,7 +37,7 @@
     harness.write()
     assert harness.store.get(live_key(job)) is None
     assert harness.store.get(final_key(job)) is not None
-    assert harness.finals == {job: "done"}
+    assert harness.final_states == {job: "done"}
     assert verbs(harness.exchange(worker)) == ["clear"] * 4
     assert not worker.tasks
 
@@ -88,7 +88,7 @@
     worker = harness.worker()
     worker.token = fencing_token(TermNumber(6))
     assert harness.leader.on_heartbeat(worker.heartbeat()) is None
-    assert harness.lost == ["overruled"]
+    assert harness.end_reasons == ["overruled"]
 
 
 def test_only_a_later_heartbeat_settles_a_sent_start(harness: LeaderHarness) -> None:
@@ -260,7 +260,7 @@
     harness.new_leader(6)
     old_leader.writer.write_once()
     assert harness.store.get(final_key(job)) is None
-    assert harness.lost == ["fenced"]
+    assert harness.end_reasons == ["fenced"]
 
 
 @pytest.mark.parametrize("cancel_first", [True, False])
@@ -280,11 +280,11 @@
         # Written by another node, and not yet seen by the leader.
         assert harness.store.txn(*cancel_txn).ok
         harness.write()
-        assert harness.finals == {job: "cancelled"}
+        assert harness.final_states == {job: "cancelled"}
     else:
         harness.write()
         assert not harness.store.txn(*cancel_txn).ok
-        assert harness.finals == {job: "done"}
+        assert harness.final_states == {job: "done"}
 
 
 def test_a_lost_response_to_the_final_write_is_resolved(harness: LeaderHarness) -> None:
@@ -298,7 +298,7 @@
     assert harness.leader.job_status(job) is None
     harness.store.lose_answers = False
     harness.write()
-    assert harness.finals == {job: "done"}
+    assert harness.final_states == {job: "done"}
 
 
 def test_no_job_status_is_answered_without_the_lease(harness: LeaderHarness) -> None:
@@ -326,7 +326,7 @@
     assert not starts(harness.exchange(worker))
     assert harness.assignments() == {}
     harness.write()
-    assert harness.finals == {job: "cancelled"}
+    assert harness.final_states == {job: "cancelled"}
 
 
 def test_a_task_of_no_live_job_is_halted(harness: LeaderHarness) -> None:
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -9,8 +9,8 @@
 from support.api_client import Client
 from support.fakes import CPU, job, job_spec, policy
 from support.harness import LeaderHarness, starts, verbs
-from support.placement_world import FLAVOURS, T0, TEAMS, World, order_of, spread_of
-from support.services import SERVICE, replicas, serve
+from support.placement_world import MACHINE_TYPES, T0, TEAMS, World, queue_order, tasks_by_machine
+from support.services import SERVICE, replicas, start_service
 
 from ryewing import scheduling
 from ryewing.autoscaling.capacity_backoff import CapacityBackoff
@@ -44,7 +44,7 @@
 def test_which_services_are_accepted(changes: dict[str, Any], status: int) -> None:
     assert Client().submit(**{**SERVICE, **changes})[0] == status
     if status == 422:
-        assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), FLAVOURS, TEAMS)
+        assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), MACHINE_TYPES, TEAMS)
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "killed"])
@@ -53,7 +53,7 @@
 ) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = serve(harness, first, second, task_count=2)
+    name = start_service(harness, first, second, task_count=2)
     old_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
     assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -71,7 +71,7 @@
     assert job_status is not None
     assert (job_status.status, job_status.done, job_status.running) == ("running", 0, 2)
     assert harness.store.get(final_key(name)) is None
-    assert not harness.finals
+    assert not harness.final_states
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     new_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
     assert not old_attempts & new_attempts  # each restart has a new attempt number
@@ -81,7 +81,7 @@
     """Its worker keeps the result, so a replica started there again would exit at once."""
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = serve(harness, first, second, task_count=1)
+    name = start_service(harness, first, second, task_count=1)
     [machine_name] = replicas(harness, name).values()
     worker_with_result, worker_without_result = (
         (first, second) if machine_name == first.name else (second, first)
@@ -101,7 +101,7 @@
     assert leader.term.job_table.jobs[name].shortfall == 2
     harness.write()
     assert harness.store.get(final_key(name)) is None
-    assert not harness.finals
+    assert not harness.final_states
 
 
 def test_a_replica_cannot_finish() -> None:
@@ -155,7 +155,7 @@
 ) -> None:
     """Judged by finished tasks (it has none), a service backed off after three bad machines."""
     workers = harness.ready_workers(6)
-    name = serve(harness, *workers, task_count=32, cpus=8.0)
+    name = start_service(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
     assert len(set(service.assigned_tasks.values())) == 6
     harness.later(MIN_STABLE_RUN_S + 1)
@@ -175,7 +175,7 @@
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = serve(harness, worker, task_count=1)
+    name = start_service(harness, worker, task_count=1)
     worker.finish("error")
     harness.exchange(worker)
     harness.place()
@@ -199,8 +199,8 @@
         job("run-3", priority="idle"),
     ]
     batches[1].guaranteed = True
-    order_without_services = order_of(batches, 16.0, 60.0)
-    order_with_services = order_of([*batches, service, idle_service], 16.0, 60.0)
+    order_without_services = queue_order(batches, 16.0, 60.0)
+    order_with_services = queue_order([*batches, service, idle_service], 16.0, 60.0)
     assert order_with_services[0] == "run-9"
     assert order_with_services.index("run-8") == len(order_with_services) - 2
     assert [
@@ -231,7 +231,7 @@
     batch = world.job("run-2", image_gb=40.0, task_count=40, estimated_s=10.0)
     warm = world.machine("i-9")
     warm.record_image("img-1", 40.0)
-    world.put(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
+    world.run_tasks(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     plan = world.plan(service, batch)
     assert sum(n for b in plan.batches if b.job is service for _machine, n in b.parts) == 3
     assert batch.shortfall == 40  # it waits for the image, by a finite estimate
@@ -240,7 +240,7 @@
 def test_no_resources_held_by_a_replica_are_reserved_for_a_gang() -> None:
     world = World()
     machine = world.machine("i-1", CPU)
-    world.put(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
+    world.run_tasks(world.job("run-9", **{**SERVICE, "cpus": 8.0, "task_count": 1}), machine, 1)
     gang = world.job("run-1", shape="group", task_count=1, cpus=32.0, priority="standard")
     plan = scheduling.run_cycle(
         scheduling.SchedulingSnapshot(
@@ -273,7 +273,7 @@
         [service],
         [service],
     )
-    assert spread_of(plan) == {"i-1": 20}
+    assert tasks_by_machine(plan) == {"i-1": 20}
 
 
 @pytest.mark.parametrize(
@@ -285,7 +285,7 @@
 ) -> None:
     """Machines rented in the cheapest zone only were of no use to half of the spread replicas."""
     unplaced = [Unplaced(job(**{**SERVICE, "task_count": tasks, "spread": spread}), tasks)]
-    plans = plan_scale_out(unplaced, [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    plans = plan_scale_out(unplaced, [], MACHINE_TYPES, CapacityBackoff(), policy(), T0)
     assert sum(plan.machine_count for plan in plans) == expected
     assert len({plan.options[0][1] for plan in plans}) == (2 if spread and tasks > 1 else 1)
 
@@ -294,7 +294,9 @@
     service = job(**{**SERVICE, "task_count": 4, "spread": True})
     service.tasks_by_zone[Zone("a")] = 2
     service.assigned_tasks = dict.fromkeys((0, 1), MachineId("i-1"))
-    [plan] = plan_scale_out([Unplaced(service, 2)], [], FLAVOURS, CapacityBackoff(), policy(), T0)
+    [plan] = plan_scale_out(
+        [Unplaced(service, 2)], [], MACHINE_TYPES, CapacityBackoff(), policy(), T0
+    )
     assert plan.options[0][1] != "a"
     assert all(option[1] != "a" for option in plan.options)
 
@@ -305,7 +307,7 @@
 def test_replicas_keep_running_through_a_failover(harness: LeaderHarness) -> None:
     workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
     harness.ready(*workers)
-    name = serve(harness, *workers, task_count=4, spread=True)
+    name = start_service(harness, *workers, task_count=4, spread=True)
     tasks_before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
@@ -332,7 +334,7 @@
 ) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = serve(harness, first, second, task_count=2)
+    name = start_service(harness, first, second, task_count=2)
     lost = MachineId(next(iter(replicas(harness, name).values())))
     remaining = second if lost == first.name else first
     for _ in range(3):
@@ -351,13 +353,13 @@
 
 def test_a_cancelled_service_ends_on_every_machine(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
-    name = serve(harness, *workers, task_count=3)
+    name = start_service(harness, *workers, task_count=3)
     assert harness.leader.apply_cancel(name)
     for worker in workers * 2:
         harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
     harness.write()
-    assert harness.finals == {name: "cancelled"}
+    assert harness.final_states == {name: "cancelled"}
     harness.place()
     for worker in workers:
         assert not starts(harness.exchange(worker))
@@ -399,7 +401,7 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    name = serve(harness, worker, task_count=1)
+    name = start_service(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -14,13 +14,13 @@
 from ryewing.api.store_access import MAX_STORE_READS_IN_FLIGHT
 from ryewing.api.submissions import MAX_SUBMISSIONS_IN_FLIGHT
 from ryewing.autoscaling.releases import Release, ReleaseReason
-from ryewing.clients.cloud import RELEASE_MAX
+from ryewing.clients.cloud import MAX_MACHINES_PER_RELEASE
 from ryewing.clients.peers import ImageLocality
 from ryewing.clients.store import Put, StoreUnavailableError
 from ryewing.clients.workers import Workers
 from ryewing.leader.direct_messages import max_sends_in_flight
 from ryewing.leader.machine_records import MACHINE_PREFIX
-from ryewing.process.node import API_SHARE, PEER_SHARE
+from ryewing.process.node import API_SOCKET_SHARE, PEER_SOCKET_SHARE
 from ryewing.scheduling.machine_capacity import MachineCapacity
 from ryewing.scheduling.team_quota import TeamQuota
 from ryewing.state.attempts import TaskPhase
@@ -40,7 +40,7 @@
     TaskId,
     TermNumber,
     Zone,
-    parse_task,
+    parse_task_id,
 )
 from ryewing.wire.store import Entry
 from ryewing.wire.workers import ReportedTask
@@ -205,13 +205,13 @@
     worker_connections = len(workers.clients)
     store_connections = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
     others = (
-        int(PEER_SHARE * sockets)
+        int(PEER_SOCKET_SHARE * sockets)
         + worker_connections
         + max_sends_in_flight(sockets)
         + store_connections
     )
-    assert int(API_SHARE * sockets) >= 1.2 * 1100
-    assert int(API_SHARE * sockets) + others <= sockets
+    assert int(API_SOCKET_SHARE * sockets) >= 1.2 * 1100
+    assert int(API_SOCKET_SHARE * sockets) + others <= sockets
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -273,9 +273,9 @@
 
     def counting_parse_task(text: str) -> TaskId | None:
         parsed.append(text)
-        return parse_task(text)
+        return parse_task_id(text)
 
-    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task", counting_parse_task)
+    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task_id", counting_parse_task)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
@@ -315,8 +315,8 @@
     harness.leader.autoscaler.releaser.release(
         [Release(machine, ReleaseReason.SILENT) for machine in machines]
     )
-    assert len(harness.cloud.released) == RELEASE_MAX
-    assert len(harness.leader.term.cluster.machines) == 250 - RELEASE_MAX
+    assert len(harness.cloud.released) == MAX_MACHINES_PER_RELEASE
+    assert len(harness.leader.term.cluster.machines) == 250 - MAX_MACHINES_PER_RELEASE
     assert not any(m.being_released for m in harness.leader.term.cluster.machines.values())
 
 
--- a/tests/leader/test_store_limits.py
+++ b/tests/leader/test_store_limits.py
@@ -256,9 +256,9 @@
     for worker in workers[:60]:
         harness.end(worker)
     harness.write()
-    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(*workers)
     for worker in workers:
         harness.end(worker)
@@ -269,7 +269,7 @@
             harness.exchange(worker)
             harness.end(worker)
     harness.write()
-    assert harness.finals == dict.fromkeys(jobs, "done")
+    assert harness.final_states == dict.fromkeys(jobs, "done")
     assert (
         max(len(value) for key, (value, *_) in harness.store.data.items() if key[1] == "/") < 2048
     )
@@ -285,7 +285,7 @@
     large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
     if not large_first:
         large, small = small, large
-    harness.narrow(value_kb=1.0)
+    harness.lower_store_limits(value_kb=1.0)
     for name in (large, small):
         harness.leader.term.job_table.jobs[name].finish(1)
         harness.leader.term.job_table.reindex(harness.leader.term.job_table.jobs[name])
@@ -298,7 +298,7 @@
         harness.leader.writer.write_once()
     assert len(harness.store.rejected) == rejected_before  # not retried for a while
     harness.later(REJECTED_WRITE_RETRY_S + 1)
-    harness.narrow(value_kb=8.0)
+    harness.lower_store_limits(value_kb=8.0)
     harness.write()
     assert not harness.leader.term.job_table.jobs[large].unwritten
 
@@ -307,7 +307,7 @@
 def test_limits_that_fell_without_notice_are_detected(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
     workers = harness.ready_workers(40)
-    harness.narrow(**limits)
+    harness.lower_store_limits(**limits)
     jobs = [harness.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
     harness.place()
     for worker in workers:
@@ -318,7 +318,7 @@
         harness.leader.writer.record_machine(MachineId(worker.name))
         harness.end(worker)
     harness.write()
-    assert harness.finals == dict.fromkeys(jobs, "done")
+    assert harness.final_states == dict.fromkeys(jobs, "done")
 
 
 # -- records of jobs ----------------------------------------------------------------------------
@@ -404,9 +404,9 @@
 ) -> None:
     worker = harness.ready_worker()
     job = harness.accept("run-1", image="img-" + "x" * 3000)
-    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(worker)
     harness.place()
     harness.exchange(worker)
@@ -497,9 +497,9 @@
 def test_writes_for_a_new_fleet_under_low_limits_are_proportional_to_its_size(
     harness: LeaderHarness, machines: int
 ) -> None:
-    harness.announce(value_kb=2.0, txn_ops=4)
+    harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.narrow(value_kb=2.0, txn_ops=4)
+    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
     workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
     before = harness.store.writes
     harness.ready(*workers)
--- a/tests/sharding/test_shard_moves.py
+++ b/tests/sharding/test_shard_moves.py
@@ -11,13 +11,13 @@
 import sys
 
 import pytest
-from support.clocks import divided_clusters
+from support.clocks import divided_cluster_factory
 from support.divided_fleet import (
     MakeCluster,
     add_machines,
     request_move,
     submit_random_jobs,
-    verdict,
+    violations_after_settling,
 )
 from support.fault_injector import FaultInjector
 from support.simulated_cluster import SimulatedCluster
@@ -53,14 +53,14 @@
 def ask_about_some_jobs(cluster: SimulatedCluster, rng: random.Random) -> None:
     """Let users ask every controller about some jobs."""
     for job in rng.sample(sorted(cluster.rules.accepted), min(3, len(cluster.rules.accepted))):
-        cluster.ask_all(job)
+        cluster.poll_and_resubmit_everywhere(job)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS_IN_CI))
 def test_no_rule_is_broken_by_moves_under_faults(divided: MakeCluster, seed: int) -> None:
     cluster = divided(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
     assert simulate_moves(cluster, seed) > 0
-    assert verdict(cluster) == [], seed
+    assert violations_after_settling(cluster) == [], seed
 
 
 def main() -> int:
@@ -69,10 +69,10 @@
     begun, seed, failures = 0, 1000, 0
     while begun < wanted:
         with pytest.MonkeyPatch.context() as monkeypatch:
-            make = divided_clusters(monkeypatch)
+            make = divided_cluster_factory(monkeypatch)
             cluster = make(2 + seed % 2, moves_allowed=seed % 4 == 0, settle_s=5.0)
             begun += simulate_moves(cluster, seed)
-            found = verdict(cluster)
+            found = violations_after_settling(cluster)
         failures += bool(found)
         print(f"seed {seed}: {begun} moves so far{'; '.join(['', *found])}", flush=True)
         seed += 1
--- a/tests/sharding/test_shard_store.py
+++ b/tests/sharding/test_shard_store.py
@@ -24,7 +24,7 @@
     lease = east.grant(3.0)
     assert east.txn({"a": KeyVersion(0)}, [Put("a", 1, lease), Put("b/c", 2)]).ok
     assert west.txn({"a": KeyVersion(0)}, [Put("a", 3)]).ok
-    assert west.txn({"a": KeyVersion(0)}, [Put("a", 4)]).failed == {"a"}
+    assert west.txn({"a": KeyVersion(0)}, [Put("a", 4)]).failed_keys == {"a"}
     assert sorted(store.data) == ["s/east/a", "s/east/b/c", "s/west/a"]
     assert [entry.key for entry in east.listing("")[0]] == ["a", "b/c"]
     assert [change.set for change in east.watch("b/", Revision(0), 1.0).log] == ["b/c"]
@@ -65,7 +65,7 @@
     harness.exchange(worker)
     harness.end(worker)
     harness.write()
-    assert harness.finals == {JobId("run-1"): "done"}
-    assert not harness.lost
+    assert harness.final_states == {JobId("run-1"): "done"}
+    assert not harness.end_reasons
     assert whole.get(live_key(job)) is None
     harness.store = whole
--- a/tests/support/cluster_verdict.py
+++ b/tests/support/cluster_verdict.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ryewing.leader.leader import Leader
-from ryewing.units import parse_task
+from ryewing.units import parse_task_id
 from ryewing.wire.jobs import JobSpec
 from support.timed_workers import CONTROLLERS, STEP_S
 
@@ -45,7 +45,7 @@
     jobs = {job.id: job for leader in leaders for job in leader.term.job_table}
     used: dict[str, float] = defaultdict(float)
     for worker in cluster.workers.values():
-        for task in (parse_task(reported) for reported, _ in worker.tasks):
+        for task in (parse_task_id(reported) for reported, _ in worker.tasks):
             if task is not None and task.job in jobs:
                 used[jobs[task.job].spec.team] += jobs[task.job].spec.gpus
     found = []
@@ -98,7 +98,7 @@
     return status
 
 
-def verdict(cluster: SimulatedCluster, patience_s: float = 0.0) -> list[str]:
+def violations_after_settling(cluster: SimulatedCluster, patience_s: float = 0.0) -> list[str]:
     """End all faults and return the rules that were broken.
 
     A job may wait beside room for no longer than `patience_s`.
