--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -271,11 +271,11 @@
     assert len(harness.assignments()) == tasks
     parsed: list[str] = []
 
-    def counting_parse_task(text: str) -> TaskId | None:
+    def counting_parse_task_id(text: str) -> TaskId | None:
         parsed.append(text)
         return parse_task_id(text)
 
-    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task_id", counting_parse_task)
+    monkeypatch.setattr("ryewing.state.heartbeat_applier.parse_task_id", counting_parse_task_id)
     for _ in range(5):
         harness.exchange(worker)
     assert not parsed
