--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -123,7 +123,7 @@
     worker = harness.ready_worker()
     older = worker.heartbeat()
     harness.leader.on_heartbeat(older)
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     newest = worker.heartbeat()
     harness.leader.on_heartbeat(newest)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
@@ -155,7 +155,7 @@
 ) -> None:
     """The last heartbeat of a lost machine arrives after the machine's lease has expired."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     harness.exchange(worker)
     delayed = worker.heartbeat()
     harness.later(LEASE_S + 1.0)
@@ -188,7 +188,7 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     stale = worker.heartbeat()
     harness.new_leader(6)
     assert harness.leader.on_heartbeat(stale) is not None  # it may come from the worker itself
@@ -215,7 +215,7 @@
     Only the worker itself can show this term's token; then the machine is added with its tasks.
     """
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     stale = worker.heartbeat()
     harness.leader.writer.machine_records.pages.drop(MachineId(worker.name))
     harness.write()
@@ -242,7 +242,7 @@
 ) -> None:
     """After a quick restart its counters start anew, so its heartbeats looked like old copies."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     for _ in range(5):
         harness.exchange(worker)
     old = worker.heartbeat()
@@ -267,7 +267,7 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=2)
+    harness.start_job(worker, task_count=2)
     harness.exchange(worker)
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
@@ -470,7 +470,7 @@
     assert live_job.shortfall == 0
     assert len(running_worker.tasks) == (0 if cancelled else 1)
     if not cancelled:
-        harness.end(running_worker)
+        harness.finish_tasks(running_worker)
     harness.exchange(running_worker)
     harness.write()
     assert harness.final_states == {name: "cancelled" if cancelled else "done"}
@@ -485,7 +485,7 @@
     running_worker.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
     for worker in (old_worker, running_worker):
         harness.exchange(worker)
-    harness.end(running_worker)
+    harness.finish_tasks(running_worker)
     harness.write()
     assert harness.final_states == {name: "done"}
     old_worker.tasks.clear()
@@ -498,7 +498,7 @@
 def test_halts_come_before_clears_of_ended_tasks(harness: LeaderHarness) -> None:
     """A response holds at most `MAX_COMMANDS` commands; halts of cancelled tasks go first."""
     worker = harness.ready_worker()
-    harness.begin(worker, "run-1", task_count=1)
+    harness.start_job(worker, "run-1", task_count=1)
     for number in range(MAX_COMMANDS + 50):
         key = f"run-9/{number}"
         worker.tasks[key, 1] = ReportedTask(key, 1, "ended", "stopped")
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -159,7 +159,7 @@
 
 def test_a_new_incarnation_drops_all_assignments(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     harness.exchange(worker)
     assert list(harness.assignments().values()) == [TaskPhase.RUNNING]
     worker.incarnation += 1
@@ -171,7 +171,7 @@
 
 def test_attempt_numbers_are_not_repeated_after_a_failover(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     [(_, first)] = worker.tasks
     harness.new_leader(6)
     worker.tasks.clear()
@@ -184,7 +184,7 @@
 
 def test_a_successor_rebuilds_its_state_from_heartbeats(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=3)
+    job = harness.start_job(worker, task_count=3)
     harness.exchange(worker)
     harness.new_leader(6)
     assert not harness.leader.scheduler.check_reconciled()  # a recorded machine has not been heard
@@ -254,9 +254,9 @@
 
 def test_a_late_transaction_of_an_earlier_term_is_rejected(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
+    job = harness.start_job(worker, task_count=1)
     old_leader = harness.leader
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.new_leader(6)
     old_leader.writer.write_once()
     assert harness.store.get(final_key(job)) is None
@@ -266,8 +266,8 @@
 @pytest.mark.parametrize("cancel_first", [True, False])
 def test_a_job_is_either_cancelled_or_done(harness: LeaderHarness, cancel_first: bool) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=1)
+    harness.finish_tasks(worker)
     entry = harness.store.get(live_key(job))
     assert entry is not None
     record = msgspec.json.decode(entry.data, type=JobRecord)
@@ -289,8 +289,8 @@
 
 def test_a_lost_response_to_the_final_write_is_resolved(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=1)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=1)
+    harness.finish_tasks(worker)
     harness.store.lose_answers = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.writer.write_once()
@@ -310,7 +310,7 @@
 
 def test_a_cancelled_job_is_halted_and_not_started_again(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=12)
+    job = harness.start_job(worker, task_count=12)
     assert harness.leader.apply_cancel(job)
     entry = harness.store.get(live_key(job))
     assert entry is not None
@@ -416,9 +416,9 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=12)
+    harness.start_job(worker, task_count=12)
     harness.exchange(worker)
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.place()
     assert harness.assignments() == {}
     harness.write()
@@ -428,8 +428,8 @@
 
 def test_finished_tasks_are_not_run_again_by_a_successor(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    job = harness.begin(worker, task_count=12)
-    harness.end(worker)
+    job = harness.start_job(worker, task_count=12)
+    harness.finish_tasks(worker)
     harness.write()
     harness.new_leader(6)
     live_job = harness.leader.term.job_table.get(job)
@@ -440,7 +440,7 @@
 def test_a_successor_learns_which_machines_have_which_images(harness: LeaderHarness) -> None:
     """In rolling restarts, each leader fetched anew or waited for the few warm machines known."""
     worker = harness.ready_worker()
-    harness.begin(worker, task_count=1, image="img-7", image_gb=2.0)
+    harness.start_job(worker, task_count=1, image="img-7", image_gb=2.0)
     harness.exchange(worker)
     sent = harness.leader.image_locality()
     sent.machines["i-000999"] = [0]  # a machine that is gone meanwhile
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -387,7 +387,7 @@
     early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     assert early_heartbeats.next_heartbeat_in_s(machine, harness.clock()) == 0.5
-    harness.begin(worker, task_count=1)
+    harness.start_job(worker, task_count=1)
     machine.token_bumped_at = None
     assert early_heartbeats.next_heartbeat_in_s(machine, harness.clock()) == 3.0
     harness.exchange(worker)
--- a/tests/leader/test_store_limits.py
+++ b/tests/leader/test_store_limits.py
@@ -254,20 +254,20 @@
     for worker in workers * 2:
         harness.exchange(worker)
     for worker in workers[:60]:
-        harness.end(worker)
+        harness.finish_tasks(worker)
     harness.write()
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
+    harness.set_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(*workers)
     for worker in workers:
-        harness.end(worker)
+        harness.finish_tasks(worker)
     for _ in range(40):
         harness.write()
         harness.place()
         for worker in workers:
             harness.exchange(worker)
-            harness.end(worker)
+            harness.finish_tasks(worker)
     harness.write()
     assert harness.final_states == dict.fromkeys(jobs, "done")
     assert (
@@ -285,7 +285,7 @@
     large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
     if not large_first:
         large, small = small, large
-    harness.lower_store_limits(value_kb=1.0)
+    harness.set_store_limits(value_kb=1.0)
     for name in (large, small):
         harness.leader.term.job_table.jobs[name].finish(1)
         harness.leader.term.job_table.reindex(harness.leader.term.job_table.jobs[name])
@@ -298,7 +298,7 @@
         harness.leader.writer.write_once()
     assert len(harness.store.rejected) == rejected_before  # not retried for a while
     harness.later(REJECTED_WRITE_RETRY_S + 1)
-    harness.lower_store_limits(value_kb=8.0)
+    harness.set_store_limits(value_kb=8.0)
     harness.write()
     assert not harness.leader.term.job_table.jobs[large].unwritten
 
@@ -307,7 +307,7 @@
 def test_limits_that_fell_without_notice_are_detected(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
     workers = harness.ready_workers(40)
-    harness.lower_store_limits(**limits)
+    harness.set_store_limits(**limits)
     jobs = [harness.accept(f"run-{n}", task_count=4, cpus=1.0, memory_gb=1.0) for n in range(30)]
     harness.place()
     for worker in workers:
@@ -316,7 +316,7 @@
         worker.machine_type = worker.machine_type
         harness.leader.term.cluster.machines[MachineId(worker.name)].address = f"10.2.0.{n}:9000"
         harness.leader.writer.record_machine(MachineId(worker.name))
-        harness.end(worker)
+        harness.finish_tasks(worker)
     harness.write()
     assert harness.final_states == dict.fromkeys(jobs, "done")
 
@@ -406,11 +406,11 @@
     job = harness.accept("run-1", image="img-" + "x" * 3000)
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
+    harness.set_store_limits(value_kb=2.0, txn_ops=4)
     harness.ready(worker)
     harness.place()
     harness.exchange(worker)
-    harness.end(worker)
+    harness.finish_tasks(worker)
     harness.write()
     assert harness.store.get(final_key(job)) is not None
     assert harness.store.get(live_key(job)) is None
@@ -499,7 +499,7 @@
 ) -> None:
     harness.announce_store_limits(value_kb=2.0, txn_ops=4)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=2.0, txn_ops=4)
+    harness.set_store_limits(value_kb=2.0, txn_ops=4)
     workers = [harness.worker(f"i-{n:06d}") for n in range(machines)]
     before = harness.store.writes
     harness.ready(*workers)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -277,7 +277,7 @@
     assert len(before[1]) == 40
     harness.announce_store_limits(value_kb=1.0, txn_ops=2)
     harness.new_leader(6)
-    harness.lower_store_limits(value_kb=1.0, txn_ops=2)
+    harness.set_store_limits(value_kb=1.0, txn_ops=2)
     steps = 0
     while harness.leader.writer.write_once():
         steps += 1
@@ -310,8 +310,8 @@
 
 def test_a_final_state_keeps_its_form(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = harness.begin(worker)
-    harness.end(worker)
+    name = harness.start_job(worker)
+    harness.finish_tasks(worker)
     harness.write()
     entry = harness.store.get(final_key(name))
     assert entry is not None
