--- a/src/ryewing/scheduling/snapshot.py
+++ b/src/ryewing/scheduling/snapshot.py
@@ -17,15 +17,8 @@
 from ryewing.wire.jobs import JobSpec
 
 
-class SchedulingSnapshot(
-    msgspec.Struct,
-    frozen=True,
-    rename={"sample_size": "sample", "avoids": "avoid", "is_fetch_rate_shared": "fetches_share"},
-):
-    """The input of a cycle, which claims resources from the capacities and the quota.
-
-    The struct is never encoded; `rename` only keeps the outer names of its fields unchanged.
-    """
+class SchedulingSnapshot(msgspec.Struct, frozen=True):
+    """The input of a cycle, which claims resources from the capacities and the quota."""
 
     capacities: Sequence[MachineCapacity]
     """The machines that may get tasks, with their free resources."""
--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -35,7 +35,7 @@
     """When the owner last changed, if that is known."""
 
 
-class NodeCapacity(msgspec.Struct, frozen=True, rename={"capacity": "room"}):
+class NodeCapacity(msgspec.Struct, frozen=True):
     """One healthy controller and its capacity, in the unit of the loads."""
 
     name: NodeName
