--- a/src/ryewing/leader/backlog.py
+++ b/src/ryewing/leader/backlog.py
@@ -25,7 +25,7 @@
 def backlog_share(machines: Iterable[Machine], unplaced: Sequence[Unplaced]) -> float:
     """Return the resources that unplaced tasks need, as a share of the schedulable machines' total.
 
-    This is the larger of the shares of processors and of GPUs.
+    This is the larger of the shares of CPUs and of GPUs.
     """
     schedulable = [machine for machine in machines if machine.is_schedulable()]
     cpus = sum(count * job.spec.cpus for job, count in unplaced)
--- a/src/ryewing/leader/early_heartbeats.py
+++ b/src/ryewing/leader/early_heartbeats.py
@@ -56,7 +56,7 @@
         """Request an early heartbeat, so that a worker's starts need not wait for the next one.
 
         This is only for machines with planned tasks, and rate-limited unless `urgent`: a message to
-        every machine after each write took most of a leader's processor time with hundreds of
+        every machine after each write took most of a leader's CPU time with hundreds of
         machines. All other commands wait for the next heartbeat response.
         """
         if machine.heard_at is None:
--- a/src/ryewing/leader/snapshot_builder.py
+++ b/src/ryewing/leader/snapshot_builder.py
@@ -26,7 +26,7 @@
 
 
 class Supplies(NamedTuple):
-    """The usable GPUs and processors of the fleet, used to order the jobs."""
+    """The usable GPUs and CPUs of the fleet, used to order the jobs."""
 
     gpus: Supply
     cpus: Supply
@@ -102,7 +102,7 @@
     def measure_supplies(self) -> Supplies:
         """Sum up the usable resources of all schedulable machines.
 
-        A free GPU without enough free processors on its machine is not usable.
+        A free GPU without enough free CPUs on its machine is not usable.
         """
         gpus, cpus = Supply(), Supply()
         cpus_per_gpu = max(self._gpu_reserve.cpus, MIN_CPUS_PER_GPU)
--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -257,7 +257,7 @@
                 for number in range(fleet)}  # fmt: skip
     assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
     assert fleet < RELEASED_MACHINES_KEPT
-    assert fleet * 2 * 32 < MIN_ATTEMPTS_LEFT  # two tasks per processor
+    assert fleet * 2 * 32 < MIN_ATTEMPTS_LEFT  # two tasks per CPU
     assert (
         max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * BASE_SENDS_IN_FLIGHT
     )
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize(
     ("changes", "status"),
     [
-        ({"team": "blue", "cpus": 4.0, "task_count": 16}, 201),  # the team's limit: 64 processors
+        ({"team": "blue", "cpus": 4.0, "task_count": 16}, 201),  # the team's limit: 64 CPUs
         ({"team": "blue", "cpus": 4.0, "task_count": 17}, 422),  # all replicas run at once
         ({"team": "blue", "cpus": 4.0, "task_count": 17, "shape": "batch"}, 201),  # run in turn
         ({"team": "red", "gpus": 1.0, "task_count": 9}, 422),
