--- a/src/ryewing/clients/machine_listing.py
+++ b/src/ryewing/clients/machine_listing.py
@@ -13,7 +13,7 @@
 from ryewing.units import MachineId, MonotonicTime, monotonic_now
 from ryewing.wire.cloud import ListedMachine
 
-LIST_EVERY_S = 4.0
+LIST_INTERVAL_S = 4.0
 """The interval between the starts of two readings of the whole list, in seconds. A reading that
 takes longer is finished first."""
 LIST_RATE_SHARE = 0.3
@@ -45,7 +45,7 @@
 
         If so, a token of the rate share has been taken, and the caller must read the page.
         """
-        if not self._after and now - self._started_at < LIST_EVERY_S:
+        if not self._after and now - self._started_at < LIST_INTERVAL_S:
             return False
         return self.bucket.try_acquire()
 
--- a/src/ryewing/clients/user_request_limiter.py
+++ b/src/ryewing/clients/user_request_limiter.py
@@ -21,7 +21,7 @@
 """The share of the burst that is reserved for submissions and cancels, which users wait for."""
 MIN_FACTOR = 0.25
 """The minimum of the factor by which the share is multiplied while the store throttles requests."""
-SHRINK_EVERY_S = 0.5
+MIN_SHRINK_INTERVAL_S = 0.5
 """Refusals within this many seconds shrink the share only once."""
 RECOVERY_PER_S = 0.1
 """How much the factor recovers in each second without refusals."""
@@ -76,7 +76,7 @@
     def shrink(self) -> None:
         """Halve the share, after the store has reported that its rate limit is exceeded."""
         now = self._clock()
-        if now - self._shrunk_at < SHRINK_EVERY_S:
+        if now - self._shrunk_at < MIN_SHRINK_INTERVAL_S:
             return
         self._recover()
         self._shrunk_at = now
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -64,7 +64,7 @@
 Handler = Any
 BOOT_S = 1.0
 REPORT_S = 1.0
-UPGRADE_EVERY_S = 8.0
+UPGRADE_INTERVAL_S = 8.0
 NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 20.0}
 
 
@@ -297,12 +297,12 @@
 ) -> None:
     """Restart the controllers one after the other by `commands`; then lower the store's limits."""
     for n, command in enumerate(commands):
-        gevent.sleep(UPGRADE_EVERY_S)
+        gevent.sleep(UPGRADE_INTERVAL_S)
         processes[n].kill()
         processes[n].wait()
         print(f"{cluster.controllers[n]}: replaced", flush=True)
         processes[n] = subprocess.Popen(command, env=os.environ.copy())
-    gevent.sleep(UPGRADE_EVERY_S)
+    gevent.sleep(UPGRADE_INTERVAL_S)
     cluster.store.limits = msgspec.structs.replace(cluster.store.limits, **NEXT_LIMITS)
     print("the store's limits are lowered", flush=True)
 
