--- a/src/ryewing/autoscaling/scale_in.py
+++ b/src/ryewing/autoscaling/scale_in.py
@@ -16,19 +16,19 @@
 from ryewing.units import MachineId, MonotonicTime
 
 GPU_HEADROOM_FACTOR = 1.2
-"""Machines with this many times the GPUs in recent demand stay uncordoned."""
+"""Machines with this many times the GPUs of the recent peak demand stay uncordoned."""
 CORDON_DRAIN_FRACTION = 0.25
 """Machines are cordoned only while the waiting tasks without GPUs would be worked off within this
 fraction of the policy's `drain_target_s`."""
 
 
 def machines_to_cordon(
-    machines: Iterable[Machine], gpu_demand: float, drain_s: float, policy: Policy
+    machines: Iterable[Machine], peak_gpu_demand: float, drain_s: float, policy: Policy
 ) -> set[MachineId]:
     """Return the machines with GPUs that should accept no more work, the most expensive ones.
 
-    `gpu_demand` is the number of GPUs that jobs use or request, `drain_s` the time in seconds in
-    which all machines would work off the waiting tasks without GPUs.
+    `peak_gpu_demand` is the recent peak number of GPUs that jobs use or request, `drain_s` the time
+    in seconds in which all machines would work off the waiting tasks without GPUs.
 
     Without cordoning, tasks without GPUs keep every machine busy, so that machines with GPUs never
     become idle: with two thirds of the GPUs in use, all of them were paid for. Nothing is cordoned
@@ -49,7 +49,7 @@
             machine.id,
         )
     )
-    gpus_to_keep = GPU_HEADROOM_FACTOR * gpu_demand
+    gpus_to_keep = GPU_HEADROOM_FACTOR * peak_gpu_demand
     to_cordon = set()
     for machine in with_gpus:
         if gpus_to_keep <= 0:
