--- a/src/ryewing/sharding/command.py
+++ b/src/ryewing/sharding/command.py
@@ -95,15 +95,15 @@
         self._follow(name, started, target)
 
     def _follow(self, name: ShardName, started: Ownership, target: NodeName) -> None:
-        began_at = monotonic_now()
+        started_at = monotonic_now()
         phase = started.phase
-        while monotonic_now() - began_at < MOVE_TIMEOUT_S:
+        while monotonic_now() - started_at < MOVE_TIMEOUT_S:
             self._sleep(POLL_INTERVAL_S)
             record = self._registry.read([name]).shards[name].record
             if record is None or record.epoch == started.epoch:
                 continue
             if record.phase is Phase.OWNED:
-                self._print_outcome(name, record, target, monotonic_now() - began_at)
+                self._print_outcome(name, record, target, monotonic_now() - started_at)
                 return
             if record.phase is not phase:
                 phase = record.phase
