--- a/src/ryewing/api/controller.py
+++ b/src/ryewing/api/controller.py
@@ -57,7 +57,7 @@
     def query_leader(self, job: JobId) -> JobStatus | None:
         """Request a job's status from its leader; None if the store must be read instead."""
 
-    def remember_shard(self, job: JobId, shard: ShardName) -> None:
+    def cache_job_shard(self, job: JobId, shard: ShardName) -> None:
         """Cache the shard that a job belongs to."""
 
     def announce_cancel(self, job: JobId, shard: ShardName | None) -> bool:
--- a/src/ryewing/api/job_queries.py
+++ b/src/ryewing/api/job_queries.py
@@ -88,7 +88,7 @@
             live = self._store.read(live_key(job))
             if live is not None:
                 record = self.require_readable(read_record(live.data, live.key))
-                self.remember_shard(job, record)
+                self.cache_job_shard(job, record)
                 return self.confirm_cancel(record) if record.cancelled else JobStatus(job, QUEUED)
             final = self._store.read(final_key(job))
         except StoreUnavailableError:
@@ -116,11 +116,11 @@
         self._controller.final_states.put(job, FinalState.CANCELLED)
         return JobStatus(job, FinalState.CANCELLED)
 
-    def remember_shard(self, job: JobId, record: JobRecord) -> None:
+    def cache_job_shard(self, job: JobId, record: JobRecord) -> None:
         """Cache the shard of a job whose record was read or written."""
         shard = shard_of(record)
         if shard is not None:
-            self._controller.remember_shard(job, shard)
+            self._controller.cache_job_shard(job, shard)
 
     def require_readable(self, record: T | None) -> T:
         """Return a record; raise RefusedError with a 503 if it is None, that is, unreadable.
--- a/src/ryewing/api/submissions.py
+++ b/src/ryewing/api/submissions.py
@@ -150,7 +150,7 @@
             log.debug("event=accept-failed job=%s error=%s", job, error)
             return unavailable(self._controller.policy, STORE_UNREACHABLE)
         if result.ok:
-            self._queries.remember_shard(job, record)
+            self._queries.cache_job_shard(job, record)
             _log_accepted(job, record.spec)
             if self._controller.final_states.get(job) is None:
                 return Response(201, JobStatus(job, QUEUED))
--- a/src/ryewing/process/node.py
+++ b/src/ryewing/process/node.py
@@ -208,7 +208,7 @@
             if not isinstance(answer, JobStatusReply) or answer.status is None:
                 continue
             if isinstance(answer.shard, str):
-                self.remember_shard(job, ShardName(answer.shard))
+                self.cache_job_shard(job, ShardName(answer.shard))
             if answer.status in FINAL_STATES:
                 self.final_states.put(job, answer.status)
             return JobStatus(job, answer.status, answer.done, answer.running)
@@ -225,7 +225,7 @@
         names = [elector.remote_leader() for elector in electors]
         return dict.fromkeys(name for name in names if name is not None)
 
-    def remember_shard(self, job: JobId, shard: ShardName) -> None:
+    def cache_job_shard(self, job: JobId, shard: ShardName) -> None:
         """Cache a job's shard, which never changes, so that only its leader is queried."""
         self._job_shards[job] = shard
         if len(self._job_shards) > JOB_SHARDS_KEPT:
