--- a/src/ryewing/sharding/shard_electors.py
+++ b/src/ryewing/sharding/shard_electors.py
@@ -44,7 +44,11 @@
         return self._electors[name].leader
 
     def is_abstaining(self, name: ShardName) -> bool:
-        """Return whether this controller has resigned and leaves a shard's lease to others."""
+        """Return whether this controller currently does not campaign for a shard's lease.
+
+        This is so for `leader_elector.ABSTAIN_S` seconds after it resigned because of a fault that
+        is likely its own.
+        """
         return self._electors[name].is_abstaining()
 
     def set_ownership(self, name: ShardName, ownership: Ownership) -> None:
