--- a/src/ryewing/leader/scheduler.py
+++ b/src/ryewing/leader/scheduler.py
@@ -34,7 +34,8 @@
 
 MIN_CYCLE_PAUSE_S = 0.2
 """The shortest pause between cycles. A shorter one would not help, because a start has to wait for
-the machine's next heartbeat, which takes half a second."""
+the machine's next heartbeat, and a worker's heartbeats are at least half a second apart
+(`early_heartbeats.MIN_HEARTBEAT_INTERVAL_S`)."""
 MAX_CHANGE_WAIT_S = 1.0
 """How long the loop waits for a change before it runs a cycle without one."""
 CYCLE_PAUSE_FACTOR = 9.0
