--- a/src/ryewing/sharding/settings.py
+++ b/src/ryewing/sharding/settings.py
@@ -54,7 +54,9 @@
         return load_shards(Path(text), settings)
     count = text.removeprefix(ZONES_PREFIX)
     if not count.isdecimal() or int(count) < 1:
-        raise SettingsError(f"{text}: give {ZONES_PREFIX} and a number of shards from 1 up")
+        raise SettingsError(
+            f"{text}: the number after {ZONES_PREFIX} must be an integer of at least 1"
+        )
     return divide_by_zones(int(count), settings.params.zones)
 
 
@@ -92,14 +94,14 @@
 def find_problems(shards: ShardSettings, settings: Settings) -> Iterator[str]:
     """Yield a message for each error in a division of the fleet."""
     if not shards.shards:
-        yield "shards: there is none"
+        yield "shards: no shards are defined"
     if not shards.settle_s >= 0:
         yield "settle_s: must not be negative"
     yield from _name_problems(shards.shards)
     nodes = known_nodes(settings)
     for spec in shards.shards:
         if not spec.zones:
-            yield f"shards.{spec.name}.zones: there is none"
+            yield f"shards.{spec.name}.zones: no zones are listed"
         if spec.pinned_to is not None and spec.pinned_to not in nodes:
             yield f"shards.{spec.name}.pinned_to: unknown controller {spec.pinned_to!r}"
     yield from _zone_problems(shards.shards, settings.params.zones)
@@ -118,7 +120,7 @@
         if not name or len(name) > MAX_NAME_LENGTH or not name.replace("-", "").isalnum():
             yield f"shards[{number}].name: letters, digits and hyphens, at most {MAX_NAME_LENGTH}"
         if name in earlier:
-            yield f"shards[{number}].name: {name!r} is there twice"
+            yield f"shards[{number}].name: {name!r} appears twice"
         earlier.add(name)
 
 
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -38,19 +38,23 @@
 @pytest.mark.parametrize(
     ("shards", "message"),
     [
-        pytest.param([], "there is none", id="no_shards"),
+        pytest.param([], "shards: no shards are defined", id="no_shards"),
         pytest.param([("a", "abc")], None, id="one_shard"),
         pytest.param([("a", "a"), ("b", "bc")], None, id="two_shards"),
         pytest.param([("a", "ab"), ("b", "bc")], "'b' is in 'a' already", id="zone_in_two_shards"),
         pytest.param([("a", "ab")], "no shard has zone 'c'", id="zone_in_no_shard"),
         pytest.param([("a", "abcd")], "unknown zone 'd'", id="unknown_zone"),
-        pytest.param([("a", "ab"), ("a", "c")], "is there twice", id="name_used_twice"),
+        pytest.param(
+            [("a", "ab"), ("a", "c")], "shards[1].name: 'a' appears twice", id="name_used_twice"
+        ),
         pytest.param([("a/b", "abc")], "letters, digits and hyphens", id="bad_name"),
         pytest.param(
             [("a", "abc", "n-9")], "unknown controller 'n-9'", id="pinned_to_unknown_controller"
         ),
         pytest.param(
-            [("a", "abc"), ("b", "")], "shards.b.zones: there is none", id="shard_without_zones"
+            [("a", "abc"), ("b", "")],
+            "shards.b.zones: no zones are listed",
+            id="shard_without_zones",
         ),
     ],
 )
