--- a/tests/leader/test_scope.py
+++ b/tests/leader/test_scope.py
@@ -25,103 +25,116 @@
 from ryewing.units import JobId, KeyVersion, ShardName, TermNumber, Zone
 from ryewing.wire.cloud import ListedMachine, MachineType
 
-EAST, WEST = ShardName("east"), ShardName("west")
-DIVISION = ShardSettings((ShardSpec("east", ("a",)), ShardSpec("west", ("b", "c"))))
+SHARD_1, SHARD_2 = ShardName("shard-1"), ShardName("shard-2")
+DIVISION = ShardSettings((ShardSpec("shard-1", ("a",)), ShardSpec("shard-2", ("b", "c"))))
 
 
 @pytest.fixture
-def east(harness: LeaderHarness) -> LeaderHarness:
-    """Return a harness whose leader has shard `east`: zone a, and half of the process's rates."""
-    harness.scope = TermScope(EAST, frozenset({Zone("a")}), 0.5)
+def shard_harness(harness: LeaderHarness) -> LeaderHarness:
+    """Return a harness whose leader has `SHARD_1`: zone a, and half of the process's rates."""
+    harness.scope = TermScope(SHARD_1, frozenset({Zone("a")}), 0.5)
     harness.new_leader(5)
     return harness
 
 
-def test_machines_of_other_shards_are_neither_answered_nor_counted(east: LeaderHarness) -> None:
-    """Neither a heartbeat nor the cloud's list adds one, and none that failed is released.
+def test_machines_of_other_shards_are_neither_answered_nor_counted(
+    shard_harness: LeaderHarness,
+) -> None:
+    """Neither a heartbeat nor the cloud's list adds them, and they are not released if they failed.
 
-    A late rental of another shard can bring its machine onto the list.
+    The list may contain such a machine after a delayed rental of another shard.
     """
     own_worker, foreign_worker = (
-        east.worker("i-000001", zone="a"),
-        east.worker("i-000002", zone="b"),
+        shard_harness.worker("i-000001", zone="a"),
+        shard_harness.worker("i-000002", zone="b"),
     )
-    east.exchange(own_worker)  # the worker learns this term's token
-    east.exchange(own_worker)
+    shard_harness.exchange(own_worker)  # the worker receives this term's token
+    shard_harness.exchange(own_worker)
     foreign_worker.token = own_worker.token
-    assert east.leader.on_heartbeat(foreign_worker.heartbeat()) is None
-    east.cloud.listed = [
+    assert shard_harness.leader.on_heartbeat(foreign_worker.heartbeat()) is None
+    shard_harness.cloud.listed = [
         ListedMachine("i-000003", "c32", "a", "running"),
         ListedMachine("i-000004", "c32", "b", "failed"),
     ]
-    east.leader.autoscaler.inventory.read_page()
-    assert sorted(east.leader.term.cluster.machines) == ["i-000001", "i-000003"]
-    assert not east.cloud.released
-
-
-def test_no_machine_is_rented_in_zones_of_other_shards(east: LeaderHarness) -> None:
-    east.accept(task_count=1)
-    east.place()
-    east.leader.autoscaler.scale_out()
-    assert {request.zone for request in east.cloud.requests} == {"a"}
-    assert {request.id for request in east.cloud.requests} == {"r-east-5-1"}
-    west = TermScope(WEST, frozenset({Zone("b")}), 0.5)
-    assert west.rental_id(TermNumber(5), 1) != east.scope.rental_id(TermNumber(5), 1)
+    shard_harness.leader.autoscaler.inventory.read_page()
+    assert sorted(shard_harness.leader.term.cluster.machines) == ["i-000001", "i-000003"]
+    assert not shard_harness.cloud.released
+
+
+def test_no_machine_is_rented_in_zones_of_other_shards(shard_harness: LeaderHarness) -> None:
+    shard_harness.accept(task_count=1)
+    shard_harness.place()
+    shard_harness.leader.autoscaler.scale_out()
+    assert {request.zone for request in shard_harness.cloud.requests} == {"a"}
+    assert {request.id for request in shard_harness.cloud.requests} == {"r-shard-1-5-1"}
+    other_scope = TermScope(SHARD_2, frozenset({Zone("b")}), 0.5)
+    assert other_scope.rental_id(TermNumber(5), 1) != shard_harness.scope.rental_id(
+        TermNumber(5), 1
+    )
 
 
-@pytest.mark.parametrize("shard", ["west", None])
-def test_jobs_of_other_shards_are_ignored(east: LeaderHarness, shard: str | None) -> None:
-    """Both when a watch delivers a record and when the next leader loads it from the store."""
+@pytest.mark.parametrize("shard", ["shard-2", None])
+def test_jobs_of_other_shards_are_ignored(shard_harness: LeaderHarness, shard: str | None) -> None:
+    """The watch ignores their records, and so does the next leader when it loads the store."""
     record = JobRecord(job_spec("run-7"), 0.0, shard=shard)
-    result = east.store.txn({}, [Put(live_key(JobId("run-7")), record)])
+    result = shard_harness.store.txn({}, [Put(live_key(JobId("run-7")), record)])
     raw = msgspec.Raw(msgspec.json.encode(record))
-    east.leader.job_watcher.apply_record("j/run-7", raw, KeyVersion(result.revision))
-    assert not east.leader.term.job_table.jobs
-    assert not east.new_leader(6).term.job_table.jobs
+    shard_harness.leader.job_watcher.apply_record("j/run-7", raw, KeyVersion(result.revision))
+    assert not shard_harness.leader.term.job_table.jobs
+    assert not shard_harness.new_leader(6).term.job_table.jobs
 
 
 def test_a_sealed_term_starts_and_releases_nothing_but_answers_heartbeats(
-    east: LeaderHarness,
+    shard_harness: LeaderHarness,
 ) -> None:
-    worker = east.ready_worker()
-    east.accept(task_count=2)
-    east.place()
-    east.leader.term.sealed = True
-    assert starts(east.exchange(worker)) == []
-    assert east.leader.on_heartbeat(worker.heartbeat()) is not None
-    machine = east.leader.term.cluster.machines[next(iter(east.leader.term.cluster.machines))]
-    east.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
-    east.leader.autoscaler.rentals.pending.clear()
-    assert not east.cloud.released
-    assert not east.leader.term.may_start_operations()
-    east.leader.term.sealed = False
-    assert len(starts(east.exchange(worker))) == 2
-
-
-def test_a_term_is_quiesced_once_no_start_and_no_write_is_in_flight(east: LeaderHarness) -> None:
-    """A start is in flight until a heartbeat settles it, and a write until its response arrives."""
-    worker = east.ready_worker()
-    assert east.leader.is_quiesced()
-    east.start_job(worker, task_count=1)
-    assert not east.leader.is_quiesced()
-    east.exchange(worker)
-    assert east.leader.is_quiesced()
-    east.finish_tasks(worker)
-    txn, quiesced_during_write = east.store.txn, []
+    worker = shard_harness.ready_worker()
+    shard_harness.accept(task_count=2)
+    shard_harness.place()
+    shard_harness.leader.term.sealed = True
+    assert starts(shard_harness.exchange(worker)) == []
+    assert shard_harness.leader.on_heartbeat(worker.heartbeat()) is not None
+    machine = shard_harness.leader.term.cluster.machines[
+        next(iter(shard_harness.leader.term.cluster.machines))
+    ]
+    shard_harness.leader.autoscaler.releaser.release([Release(machine, ReleaseReason.IDLE)])
+    shard_harness.leader.autoscaler.rentals.pending.clear()
+    assert not shard_harness.cloud.released
+    assert not shard_harness.leader.term.may_start_operations()
+    shard_harness.leader.term.sealed = False
+    assert len(starts(shard_harness.exchange(worker))) == 2
+
+
+def test_a_term_is_quiesced_once_no_start_and_no_write_is_in_flight(
+    shard_harness: LeaderHarness,
+) -> None:
+    """A start is in flight until a heartbeat shows whether it arrived.
+
+    A write is in flight until its response arrives.
+    """
+    worker = shard_harness.ready_worker()
+    assert shard_harness.leader.is_quiesced()
+    shard_harness.start_job(worker, task_count=1)
+    assert not shard_harness.leader.is_quiesced()
+    shard_harness.exchange(worker)
+    assert shard_harness.leader.is_quiesced()
+    shard_harness.finish_tasks(worker)
+    txn, quiesced_during_write = shard_harness.store.txn, []
 
     def recording_txn(*args: Any) -> TxnResult:
-        quiesced_during_write.append(east.leader.is_quiesced())
+        quiesced_during_write.append(shard_harness.leader.is_quiesced())
         return txn(*args)
 
-    east.store.txn = recording_txn  # type: ignore[method-assign, assignment]
-    east.write()
+    shard_harness.store.txn = recording_txn  # type: ignore[method-assign, assignment]
+    shard_harness.write()
     assert quiesced_during_write
     assert not any(quiesced_during_write)
-    assert east.leader.is_quiesced()
+    assert shard_harness.leader.is_quiesced()
 
 
-def test_the_terms_of_all_shards_together_stay_within_each_rate(east: LeaderHarness) -> None:
-    leader, params = east.leader, east.settings.params
+def test_the_terms_of_all_shards_together_stay_within_each_rate(
+    shard_harness: LeaderHarness,
+) -> None:
+    leader, params = shard_harness.leader, shard_harness.settings.params
     autoscaler = Autoscaler(leader.term, leader.writer, leader.direct_messages, leader.scheduler)
     shares = [scope.share for scope in ShardDivision(DIVISION).scopes()]
     assert sum(shares) == pytest.approx(1.0)
@@ -145,12 +158,16 @@
     )
 
 
-def test_the_job_memory_is_full_when_jobs_fill_the_share_of_the_term(east: LeaderHarness) -> None:
-    jobs_max = 0.25 * 0.5 * east.settings.params.resources.mem_mb * 1e6 / 4096
+def test_the_job_memory_is_full_when_jobs_fill_the_share_of_the_term(
+    shard_harness: LeaderHarness,
+) -> None:
+    jobs_max = 0.25 * 0.5 * shard_harness.settings.params.resources.mem_mb * 1e6 / 4096
     for number in range(round(jobs_max) + 1):
-        record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="east")
-        east.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(record, KeyVersion(1))
-    assert east.leader.job_memory_full()
+        record = JobRecord(job_spec(f"run-{number}"), 0.0, shard="shard-1")
+        shard_harness.leader.term.job_table.jobs[JobId(f"run-{number}")] = Job(
+            record, KeyVersion(1)
+        )
+    assert shard_harness.leader.job_memory_full()
 
 
 TYPES = {machine_type.name: machine_type for machine_type in (CPU, GPU)}
@@ -160,12 +177,12 @@
 @pytest.mark.parametrize(
     ("changes", "types", "eligible"),
     [
-        ({}, TYPES, {EAST, WEST}),
-        ({"zone": "a"}, TYPES, {EAST}),
-        ({"zone": "c"}, TYPES, {WEST}),
-        ({"machine_types": ["c32"]}, C32_ONLY_IN_B, {WEST}),
-        ({"spread": True}, TYPES, {WEST}),
-        ({"spread": True, "task_count": 1}, TYPES, {EAST, WEST}),
+        ({}, TYPES, {SHARD_1, SHARD_2}),
+        ({"zone": "a"}, TYPES, {SHARD_1}),
+        ({"zone": "c"}, TYPES, {SHARD_2}),
+        ({"machine_types": ["c32"]}, C32_ONLY_IN_B, {SHARD_2}),
+        ({"spread": True}, TYPES, {SHARD_2}),
+        ({"spread": True, "task_count": 1}, TYPES, {SHARD_1, SHARD_2}),
         ({"spread": True, "machine_types": ["c32"]}, C32_ONLY_IN_B, set()),
         ({"spread": True, "zone": "b"}, TYPES, set()),
     ],
@@ -178,7 +195,7 @@
     with pytest.raises(NotReadyError):
         division.choose_shard(spec, types, {})
     division.is_confirmed = True
-    loads = {name: ShardLoadAnswer(False, 0.0) for name in (EAST, WEST)}
+    loads = {name: ShardLoadAnswer(False, 0.0) for name in (SHARD_1, SHARD_2)}
     if not eligible:
         with pytest.raises(NoShardError):
             division.choose_shard(spec, types, loads)
@@ -187,20 +204,22 @@
     assert chosen == eligible
 
 
-def test_a_job_goes_to_the_least_loaded_shard_or_by_its_id_while_a_load_is_unknown() -> None:
+def test_the_least_loaded_shard_is_chosen_or_one_by_job_id_while_a_load_is_unknown() -> None:
     division = ShardDivision(DIVISION, random.Random(1))
     division.is_confirmed = True
-    loads = {EAST: ShardLoadAnswer(False, 3.0), WEST: ShardLoadAnswer(False, 0.5)}
+    loads = {SHARD_1: ShardLoadAnswer(False, 3.0), SHARD_2: ShardLoadAnswer(False, 0.5)}
     spec = job_spec("run-1")
-    assert {division.choose_shard(spec, TYPES, loads) for _ in range(20)} == {WEST}
-    loads_with_west_full = {**loads, WEST: ShardLoadAnswer(True, 0.5)}
-    assert {division.choose_shard(spec, TYPES, loads_with_west_full) for _ in range(20)} == {EAST}
+    assert {division.choose_shard(spec, TYPES, loads) for _ in range(20)} == {SHARD_2}
+    loads_with_shard_2_full = {**loads, SHARD_2: ShardLoadAnswer(True, 0.5)}
+    assert {division.choose_shard(spec, TYPES, loads_with_shard_2_full) for _ in range(20)} == {
+        SHARD_1
+    }
     chosen_without_loads = [
-        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: None})
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {SHARD_1: None, SHARD_2: None})
         for n in range(40)
     ]
-    assert set(chosen_without_loads) == {EAST, WEST}
+    assert set(chosen_without_loads) == {SHARD_1, SHARD_2}
     assert chosen_without_loads == [
-        division.choose_shard(job_spec(f"run-{n}"), TYPES, {EAST: None, WEST: loads[WEST]})
+        division.choose_shard(job_spec(f"run-{n}"), TYPES, {SHARD_1: None, SHARD_2: loads[SHARD_2]})
         for n in range(40)
     ]
