--- a/tests/leader/test_autoscaler.py
+++ b/tests/leader/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""Renting and releasing machines, probing silent ones, and a leader cut off from its workers."""
+"""Renting and releasing machines, probing silent ones, and a leader without its workers."""
 
 from __future__ import annotations
 
@@ -88,7 +88,10 @@
 
 
 def test_a_failed_release_leaves_the_machine_in_use(harness: LeaderHarness) -> None:
-    """Seen under low load: after a throttled release its machines stayed unused for good."""
+    """After a throttled release, its machines stayed marked as being released.
+
+    The term then never used them again. This was seen under low load.
+    """
     worker = harness.ready_worker()
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
 
@@ -115,7 +118,7 @@
 def test_machines_that_a_predecessor_released_are_forgotten(
     harness: LeaderHarness, listings: list[bool], heard: bool, known: bool
 ) -> None:
-    """The cloud's lists lag: a new leader counted machines that were already gone as booting."""
+    """Because the cloud's list is old, a new leader counted released machines as booting."""
     worker = harness.worker()
     for is_listed in listings:
         listed_machine = ListedMachine(worker.name, "c32", "a", "running", "", False, 5.0)
@@ -150,13 +153,13 @@
 def test_machines_of_an_earlier_term_are_released_once_their_lease_has_expired(
     harness: LeaderHarness,
 ) -> None:
-    """In inc-08d3, machines not heard since a failover were waited for like booting ones."""
+    """In inc-08d3, a leader waited for machines unheard since a failover as for booting ones."""
     workers = harness.ready_workers(6)
     harness.new_leader(6)
     for worker in workers[4:] * 2:
         harness.exchange(worker)
-    may_hold_s = policy().hold_s + settings().params.workers.lease_s
-    for _ in range(int(may_hold_s / 2) + 3):
+    leases_expire_after_s = policy().hold_s + settings().params.workers.lease_s
+    for _ in range(int(leases_expire_after_s / 2) + 3):
         harness.later(2.0)
         for worker in workers[4:]:
             harness.exchange(worker)
@@ -168,7 +171,7 @@
 
 
 def test_machines_falling_silent_one_after_another_are_not_released(harness: LeaderHarness) -> None:
-    """When many fell silent one after another, the first ones were few, and were released."""
+    """If many fall silent, they reach the timeout one by one; the first few were released."""
     workers = harness.ready_workers(9)
     for worker in workers[3:]:
         harness.later(0.3)
@@ -202,7 +205,7 @@
 def test_stopping_a_task_does_not_wait_for_probes_of_silent_machines(
     harness: LeaderHarness,
 ) -> None:
-    """A probe of a silent machine takes two seconds: after a zone loss, cancels waited a minute."""
+    """A probe of a silent machine takes two seconds, so cancels took a minute after a zone loss."""
     workers = harness.ready_workers(100)
     harness.accept(task_count=1)
     harness.place()
@@ -220,8 +223,8 @@
     assert len(contacted) == 100
 
 
-def test_the_two_queues_of_direct_messages_take_turns(harness: LeaderHarness) -> None:
-    """Stops are resent each second; without turns, silent machines would occupy all senders."""
+def test_the_two_queues_of_direct_messages_alternate(harness: LeaderHarness) -> None:
+    """Otherwise halts that are resent every second to silent machines would occupy all senders."""
     harness.ready_workers(100)
     direct_messages = harness.leader.direct_messages
     contacted = record_messages(harness)
@@ -252,7 +255,7 @@
 
 
 def run_maintenance(harness: LeaderHarness, seconds: float, step_s: float = 0.25) -> None:
-    """Advance the clock step by step and run maintenance after each step; no worker is heard."""
+    """Advance the clock step by step and run maintenance after each step, without heartbeats."""
     for _ in range(round(seconds / step_s)):
         harness.later(step_s)
         harness.leader.maintenance.run_once()
@@ -265,10 +268,10 @@
     harness.leader.maintenance.run_once()
 
 
-def test_a_cut_off_leader_resigns_after_a_missed_heartbeat_and_a_missed_probe(
+def test_a_leader_that_reaches_no_worker_resigns_after_a_missed_heartbeat_and_probe(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Measured with such a cut: 7.1 s from the cut to the resignation."""
+    """Measured: 7.1 s from the loss of the connections to the resignation."""
     start_with_nine_machines(harness, monkeypatch)
     longest_s = PROBE_AFTER_INTERVALS * harness.settings.params.workers.report_s + PROBE_ANSWER_S
     run_maintenance(harness, longest_s)
@@ -281,7 +284,7 @@
 def test_the_time_in_which_the_leader_stalled_does_not_count_as_silence(
     harness: LeaderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In replays, a leader resumed after a 9 s stall, resigned, and did not campaign for 15 s."""
+    """In replays, a leader resigned after a 9 s stall, and did not campaign for 15 s."""
     start_with_nine_machines(harness, monkeypatch)
     run_maintenance(harness, 9.0, step_s=9.0)
     run_maintenance(harness, 2.0)
--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -1,6 +1,6 @@
 """Faults seen in large deployments: lost responses, stale copies of messages, restarts, stalls.
 
-Each test fails if the safeguard that it names is removed.
+Each test fails if the safeguard that it covers is removed.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def rounds_with_starts(harness: LeaderHarness, worker: FakeWorker, rounds: int) -> int:
-    """Return in how many rounds a machine that receives no responses was sent starts."""
+    """Run rounds in which each response is lost; return in how many of them starts were sent."""
     count = 0
     for _ in range(rounds):
         harness.later(REPORT_S)
@@ -48,7 +48,7 @@
 def test_a_machine_that_does_not_acknowledge_its_token_gets_no_more_work(
     harness: LeaderHarness,
 ) -> None:
-    """Heartbeats arrived, responses were lost: after every heartbeat it was given tasks again."""
+    """A machine whose responses were lost was given tasks again after every heartbeat."""
     suspect = harness.ready_worker()
     harness.accept(task_count=4)
     assert rounds_with_starts(harness, suspect, 12) == 1
@@ -67,7 +67,7 @@
     assert len(starts(harness.exchange(suspect))) == 4
 
 
-def test_a_new_incarnation_of_a_worker_that_was_answered_makes_it_suspect(
+def test_a_worker_in_a_new_incarnation_gets_no_work_until_it_acknowledges_a_raised_token(
     harness: LeaderHarness,
 ) -> None:
     suspect = harness.ready_worker()
@@ -119,7 +119,7 @@
 def test_stale_heartbeat_copies_change_nothing_at_the_same_leader(
     harness: LeaderHarness, age_s: float, alive: bool, copies: str
 ) -> None:
-    """Late copies must renew no lease, settle no start and restore no expired task."""
+    """Late copies must renew no lease, resolve no sent start and restore no expired task."""
     worker = harness.ready_worker()
     older = worker.heartbeat()
     harness.leader.on_heartbeat(older)
@@ -170,7 +170,7 @@
     assert harness.leader.on_heartbeat(worker.heartbeat()) is not None
 
 
-def test_heartbeat_copies_do_not_settle_a_sent_start(harness: LeaderHarness) -> None:
+def test_heartbeat_copies_do_not_resolve_a_sent_start(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
@@ -201,16 +201,16 @@
     for _ in range(4):
         harness.later(6.0)
         assert harness.leader.on_heartbeat(copy.deepcopy(stale)) is None
-    may_hold_s = policy().hold_s + LEASE_S
-    harness.later(may_hold_s)
+    leases_expire_after_s = policy().hold_s + LEASE_S
+    harness.later(leases_expire_after_s)
     harness.leader.term.cluster.expire_leases(harness.clock())
-    assert live_job.shortfall == 1  # the tasks are blocked no longer than that
+    assert live_job.shortfall == 1  # the lease has expired, so the task can be placed again
     assert harness.leader.on_heartbeat(copy.deepcopy(stale)) is None
     assert live_job.shortfall == 1
 
 
 def test_heartbeat_copies_of_an_unknown_machine_are_ignored(harness: LeaderHarness) -> None:
-    """An unrecorded machine can't hold the tasks reported in them, so nothing waits for its lease.
+    """An unrecorded machine can't hold the reported tasks, so no job waits for its lease to expire.
 
     Only the worker itself can show this term's token; then the machine is added with its tasks.
     """
@@ -240,7 +240,7 @@
 def test_a_restarted_worker_is_detected_by_its_answer_to_a_direct_message(
     harness: LeaderHarness,
 ) -> None:
-    """After a quick restart its counters start anew, so its heartbeats looked like old copies."""
+    """A quick restart resets a worker's counters, so its heartbeats looked like old copies."""
     worker = harness.ready_worker()
     harness.start_job(worker, task_count=2)
     for _ in range(5):
@@ -251,7 +251,7 @@
     worker.tasks.clear()
     harness.later(0.3)
     harness.leader.on_heartbeat(worker.heartbeat())
-    assert len(harness.assignments()) == 2  # these heartbeats are not accepted yet
+    assert len(harness.assignments()) == 2  # the heartbeat was treated as an old copy
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)
     assert harness.assignments() == {}
@@ -285,29 +285,32 @@
 
 
 @pytest.mark.parametrize(
-    ("cut_s", "starts_work", "answers"),
+    ("isolated_s", "starts_work", "answers"),
     [(1.0, True, True), (3.5, False, True), (16.0, False, True), (18.0, False, False)],
 )
-def test_a_leader_that_reaches_only_workers_stops_in_two_steps(
-    harness: LeaderHarness, cut_s: float, starts_work: bool, answers: bool
+def test_a_leader_that_reaches_only_workers_stops_starts_first_and_responses_later(
+    harness: LeaderHarness, isolated_s: float, starts_work: bool, answers: bool
 ) -> None:
-    """Without store and peers: no starts after its lease, and no responses after the hold."""
+    """Starts end when the leader's lease expires, and responses when the hold ends."""
     worker = harness.ready_worker()
     job = harness.accept(task_count=1)
     harness.place()
-    harness.later(cut_s, renewed=False)
+    harness.later(isolated_s, renewed=False)
     heartbeat = worker.heartbeat()
     answer = harness.leader.on_heartbeat(heartbeat)
     assert (answer is not None) is answers
     assert bool(answer and starts(answer.commands)) is starts_work
-    # A job's status is not answered from memory when the store could contradict it.
+    # Without the lease, the status in memory may differ from the one in the store.
     assert (harness.leader.job_status(job) is not None) is starts_work
 
 
-def test_a_controller_that_alone_lost_the_store_probes_it_in_the_background(
+def test_an_isolated_controller_probes_the_store_in_the_background(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seen with partitioned controllers: every two seconds one submission waited for a second."""
+    """A submission that probes the store itself is delayed.
+
+    With partitioned controllers, one submission waited for a second every two seconds.
+    """
     spawned: list[Callable[[], None]] = []
     monkeypatch.setattr("ryewing.clients.store.peer_fallback.gevent.spawn", spawned.append)
     monkeypatch.setattr("ryewing.clients.store.peer_fallback.gevent.sleep", lambda _seconds: None)
@@ -320,7 +323,7 @@
     ) -> Reply:
         direct_results.append(remaining_results.pop(0))
         if not direct_results[-1]:
-            raise StoreUnavailableError("cut")
+            raise StoreUnavailableError("unreachable")
         return Reply(404, b"{}")
 
     monkeypatch.setattr(store, "request_direct", scripted_request)
@@ -329,16 +332,16 @@
         assert store.get("f/run-1") is None
     assert direct_results == [False]
     assert len(spawned) == 1
-    spawned[0]()  # in the background, until the store answers
+    spawned[0]()  # the greenlet, which probes until the store answers
     assert direct_results == [False] * 4 + [True]
     store.get("f/run-1")
     assert direct_results[-2:] == [True, True]
 
 
-def test_a_store_that_is_slow_for_all_gets_the_full_deadline(
+def test_requests_get_the_full_deadline_if_the_store_is_slow_for_all_nodes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seen with responses that took 0.65 s: no submission was accepted for 50 s."""
+    """With responses after 0.65 s, above the short deadline, no job was accepted for 50 s."""
     store = Store(("127.0.0.1", 1), settings().params.state)
 
     def slow_request(
@@ -349,7 +352,7 @@
         return Reply(404, b"{}")
 
     monkeypatch.setattr(store, "request_direct", slow_request)
-    store.relay = lambda _method, _path, _body: None  # peers don't wait longer either
+    store.relay = lambda _method, _path, _body: None  # no peer gets a response in time either
     with pytest.raises(StoreUnavailableError):
         store.get("f/run-1")
     assert [store.get("f/run-1") for _ in range(5)] == [None] * 5
@@ -367,7 +370,7 @@
     machine = leader.term.cluster.machines[MachineId(worker.name)]
     if action == "halt":
         harness.exchange(worker)
-        leader.job_watcher.apply_cancel(job)  # a stop for each task, to be sent by direct message
+        leader.job_watcher.apply_cancel(job)  # a halt for each task, to be sent by direct message
     harness.later(policy().hold_s + 1.0 if action == "halt" else 5.0, renewed=False)
     if action == "start":
         answer = leader.on_heartbeat(worker.heartbeat())
@@ -407,8 +410,10 @@
     assert "overruled" in harness.end_reasons
 
 
-def test_a_controller_that_restarts_during_an_election(harness: LeaderHarness) -> None:
-    """Late copies of its earlier campaign and of the winning one must change nothing."""
+def test_late_campaign_copies_change_nothing_after_a_restart_during_an_election(
+    harness: LeaderHarness,
+) -> None:
+    """The copies are of the campaign before the restart and of the winning one after it."""
     store: Any = harness.store
     sent: list[tuple[Any, Any]] = []
     original_txn = store.txn
@@ -436,11 +441,10 @@
 
 @pytest.mark.parametrize("old_first", [True, False])
 @pytest.mark.parametrize("cancelled", [True, False])
-def test_a_task_reported_by_two_machines_is_gone_once_both_report_it_gone(
+def test_a_task_reported_by_two_machines_ends_once_neither_machine_has_it(
     harness: LeaderHarness, old_first: bool, cancelled: bool
 ) -> None:
-    """One of the two heartbeats is stale: it was delayed until a new term began. Only later
-    heartbeats show which."""
+    """One of the two heartbeats was delayed until a new term began; only later ones show which."""
     old_worker, running_worker = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(old_worker, running_worker)
     name = harness.accept(task_count=1)
@@ -477,7 +481,7 @@
 
 
 def test_a_heartbeat_after_the_final_state_leaves_nothing_to_write(harness: LeaderHarness) -> None:
-    """The term ended when the other of the two machines was found empty after the job was gone."""
+    """The term ended when the second machine stopped reporting the task after the job had ended."""
     old_worker, running_worker = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(old_worker, running_worker)
     name = harness.accept(task_count=1)
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -1,4 +1,7 @@
-"""A leader over fakes: a test for each argument of docs/design.md that fails without its guard."""
+"""A leader with fakes: tests the safeguard of each safety argument of docs/design.md.
+
+Each test fails if its safeguard is removed.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
 
 
 def test_starts_require_handshake_record_and_lease(harness: LeaderHarness) -> None:
-    """Each condition alone must prevent starts: without its check, a start is sent too early."""
+    """No start is sent while any one of the conditions is not met."""
     worker = harness.worker()
     harness.accept()
     harness.ready(worker)
@@ -91,7 +94,7 @@
     assert harness.end_reasons == ["overruled"]
 
 
-def test_only_a_later_heartbeat_settles_a_sent_start(harness: LeaderHarness) -> None:
+def test_only_a_later_heartbeat_resolves_a_sent_start(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     harness.accept(task_count=1)
     harness.place()
@@ -103,7 +106,8 @@
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
     harness.leader.scheduler.run_cycle()
     assert list(harness.assignments().values()) == [TaskPhase.SENT]
-    assert not starts(harness.exchange(worker))  # a later heartbeat without the task: dropped
+    # A later heartbeat without the task shows that the start was lost.
+    assert not starts(harness.exchange(worker))
     assert harness.assignments() == {}
 
 
@@ -120,7 +124,8 @@
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
     harness.leader.direct_messages.send(machine)
     assert worker.token == fencing_token(TermNumber(5), 1)
-    assert len(starts(harness.exchange(worker))) == 2  # a lower token would be dropped
+    # The worker would drop a response with a lower token.
+    assert len(starts(harness.exchange(worker))) == 2
     harness.accept("run-2", task_count=1)
     harness.place()
     assert contacted == [worker.name]  # a start is in flight, and half a lease has not passed
@@ -220,15 +225,16 @@
     placed = set(harness.assignments("i-000002"))
     assert f"{new_job}/0" in placed  # accepted after the failover: no machine holds it
     assert ("run-1/0" in placed) is (unblocked_after_s is not None)
-    may_hold_s = policy().hold_s + settings().params.workers.lease_s
-    harness.later(may_hold_s - policy().gather_s - 0.5)
+    leases_expire_after_s = policy().hold_s + settings().params.workers.lease_s
+    harness.later(leases_expire_after_s - policy().gather_s - 0.5)
     harness.exchange(heard)
     harness.leader.term.cluster.expire_leases(harness.clock())
     harness.leader.scheduler.run_cycle()
     assert ("run-1/0" in harness.assignments("i-000002")) is (unblocked_after_s is not None)
     harness.later(3.0)
     harness.exchange(heard)
-    harness.leader.term.cluster.expire_leases(harness.clock())  # the old hold and a lease are over
+    # The earlier leader's hold and a worker lease have ended.
+    harness.leader.term.cluster.expire_leases(harness.clock())
     harness.leader.scheduler.run_cycle()
     assert "run-1/0" in harness.assignments("i-000002")
 
@@ -329,7 +335,7 @@
     assert harness.final_states == {job: "cancelled"}
 
 
-def test_a_task_of_no_live_job_is_halted(harness: LeaderHarness) -> None:
+def test_a_reported_task_of_an_unknown_job_is_halted(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
     worker.tasks[("run-77/0", 3)] = ReportedTask("run-77/0", 3, "running")
     assert verbs(harness.exchange(worker)) == ["halt"]
@@ -383,7 +389,7 @@
     harness.exchange(lost)
     harness.place()
     for worker in workers:
-        assert not starts(harness.exchange(worker))  # the other task must be gone first
+        assert not starts(harness.exchange(worker))  # the remaining task must end first
     for worker in workers:
         harness.exchange(worker)
     harness.place()
@@ -395,18 +401,18 @@
 
 
 def test_a_spot_termination_notice_moves_tasks_to_other_machines(harness: LeaderHarness) -> None:
-    spot, other = harness.worker("i-000001", spot=True), harness.worker("i-000002")
-    harness.ready(spot)
+    spot_worker, other_worker = harness.worker("i-000001", spot=True), harness.worker("i-000002")
+    harness.ready(spot_worker)
     harness.accept(task_count=1, spot=True, checkpoint_s=10.0, save_s=4.0, estimated_s=500.0)
     harness.place()
-    harness.exchange(spot)
-    harness.exchange(spot)
-    spot.notice_s = 10.0
-    [halt] = harness.exchange(spot)
+    harness.exchange(spot_worker)
+    harness.exchange(spot_worker)
+    spot_worker.notice_s = 10.0
+    [halt] = harness.exchange(spot_worker)
     assert halt.verb == "halt"
     assert halt.grace_s == 4.0
-    harness.ready(other)
-    harness.exchange(spot)
+    harness.ready(other_worker)
+    harness.exchange(spot_worker)
     harness.place()
     assert harness.assignments("i-000001") == {}
     assert len(harness.assignments("i-000002")) == 1
@@ -438,12 +444,15 @@
 
 
 def test_a_successor_learns_which_machines_have_which_images(harness: LeaderHarness) -> None:
-    """In rolling restarts, each leader fetched anew or waited for the few warm machines known."""
+    """In rolling restarts, each new leader knew only a few of the warm machines.
+
+    It fetched images again, or waited for those few machines.
+    """
     worker = harness.ready_worker()
     harness.start_job(worker, task_count=1, image="img-7", image_gb=2.0)
     harness.exchange(worker)
     sent = harness.leader.image_locality()
-    sent.machines["i-000999"] = [0]  # a machine that is gone meanwhile
+    sent.machines["i-000999"] = [0]  # a machine that no longer exists
     sent.machines[worker.name].append(5)  # an index out of range
     received = msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=ImageLocality)
     leader = harness.new_leader(6, received)
