--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -83,12 +83,12 @@
     def send_heartbeats_for_planned_starts(self) -> None:
         """Deliver heartbeats of the workers for which starts are planned."""
         machines = self.harness.leader.term.cluster.machines
-        phases = {
+        phases_by_machine = {
             name: {assignment.phase for assignment in machine.assignments.values()}
             for name, machine in machines.items()
         }
         self.send_heartbeats(
-            [name for name, phases_there in phases.items() if TaskPhase.PLANNED in phases_there]
+            [name for name, phases in phases_by_machine.items() if TaskPhase.PLANNED in phases]
         )
 
     def send_heartbeats(self, names: Iterable[str]) -> None:
@@ -139,8 +139,8 @@
     new_fleet = Fleet(harness)
     requests, writes = new_fleet.rent()
     assert requests <= MACHINES // MAX_MACHINES_PER_RENTAL + 2
-    # One value of the store holds about fifty machine records. One write per machine would occupy
-    # the write rate for minutes.
+    # One value of the store holds about fifty machine records. One write per machine would use
+    # up the write rate for minutes.
     assert writes <= MACHINES // 40
     assert all(m.is_schedulable() for m in harness.leader.term.cluster.machines.values())
     return new_fleet
@@ -159,7 +159,7 @@
     fleet.all_send_heartbeats()
 
 
-def test_a_large_fleet_through_a_failover_and_the_loss_of_a_zone(fleet: Fleet) -> None:
+def test_a_large_fleet_recovers_from_a_failover_and_the_loss_of_a_zone(fleet: Fleet) -> None:
     harness = fleet.harness
     place_all_tasks(fleet)
 
@@ -180,7 +180,7 @@
     assert not contacted
 
     # A zone falls silent. These are too many machines to release at once, so each is kept until it
-    # can hold no task: for the earlier leader's hold, and for a worker lease after that.
+    # can no longer hold a task: until the earlier leader's hold and then a worker lease have ended.
     lost_machines = {name for name, worker in fleet.workers.items() if worker.zone == "a"}
     lost_tasks = {task for task, name in fleet.machine_by_task.items() if name in lost_machines}
     assert MACHINES // 3 < len(lost_machines) < 2 * MACHINES // 3
@@ -233,7 +233,7 @@
     assert pages >= -(-machines // MAX_MACHINES_PER_PAGE)
 
 
-def test_a_term_that_has_used_up_its_attempts_ends(harness: LeaderHarness) -> None:
+def test_a_term_that_has_used_up_its_attempt_numbers_ends(harness: LeaderHarness) -> None:
     """A higher attempt number would belong to the next term, and attempt numbers never repeat."""
     harness.ready_worker()
     harness.accept(task_count=1)
@@ -249,18 +249,18 @@
 
 
 def test_fixed_limits_are_sufficient_for_a_larger_fleet() -> None:
-    fleet = int(HEADROOM * MACHINES)
+    machine_count = int(HEADROOM * MACHINES)
     images = [
         (f"registry/some-longer-image-name-{number:05d}:1.2.3", 1.0) for number in range(2000)
     ]
-    machines = {f"i-{number:06d}": list(range(number % 1900, number % 1900 + 40))
-                for number in range(fleet)}  # fmt: skip
-    assert len(msgspec.msgpack.encode(ImageLocality(1, images, machines))) < FRAME_MAX / 2
-    assert fleet < RELEASED_MACHINES_KEPT
-    assert fleet * 2 * 32 < MIN_ATTEMPTS_LEFT  # two tasks per processor
+    images_by_machine = {f"i-{number:06d}": list(range(number % 1900, number % 1900 + 40))
+                         for number in range(machine_count)}  # fmt: skip
+    assert len(msgspec.msgpack.encode(ImageLocality(1, images, images_by_machine))) < FRAME_MAX / 2
+    assert machine_count < RELEASED_MACHINES_KEPT
+    assert machine_count * 2 * 32 < MIN_ATTEMPTS_LEFT  # two tasks per CPU
     assert (
         max_sends_in_flight(large_settings().params.resources.fd_limit) > 5 * BASE_SENDS_IN_FLIGHT
     )
-    names = [f"i-{number:06d}" for number in range(fleet)]
+    names = [f"i-{number:06d}" for number in range(machine_count)]
     assert len(abbreviate_names(names)) < 12 * LOGGED_NAMES_MAX
     assert abbreviate_names(names[:2]) == "i-000000,i-000001"
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize(
     ("changes", "status"),
     [
-        ({"team": "blue", "cpus": 4.0, "task_count": 16}, 201),  # the team's limit: 64 processors
+        ({"team": "blue", "cpus": 4.0, "task_count": 16}, 201),  # the team's limit: 64 CPUs
         ({"team": "blue", "cpus": 4.0, "task_count": 17}, 422),  # all replicas run at once
         ({"team": "blue", "cpus": 4.0, "task_count": 17, "shape": "batch"}, 201),  # run in turn
         ({"team": "red", "gpus": 1.0, "task_count": 9}, 422),
@@ -41,7 +41,9 @@
         ({"estimated_s": 60.0, "deadline_s": 90.0}, 201),  # ignored: a replica has no end
     ],
 )
-def test_which_services_are_accepted(changes: dict[str, Any], status: int) -> None:
+def test_services_are_accepted_only_if_valid_and_feasible(
+    changes: dict[str, Any], status: int
+) -> None:
     assert Client().submit(**{**SERVICE, **changes})[0] == status
     if status == 422:
         assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), MACHINE_TYPES, TEAMS)
@@ -153,7 +155,7 @@
 def test_a_healthy_service_does_not_back_off_because_of_faulty_machines(
     harness: LeaderHarness,
 ) -> None:
-    """Judged by finished tasks (it has none), a service backed off after three bad machines."""
+    """A service has no finished tasks; judged by them, it backed off after 3 faulty machines."""
     workers = harness.ready_workers(6)
     name = start_service(harness, *workers, task_count=32, cpus=8.0)
     service = harness.leader.term.job_table.jobs[name]
@@ -190,7 +192,7 @@
 
 
 def test_replicas_come_first_in_their_priority_and_delay_no_other_job() -> None:
-    """Their run time is infinite: added to the load, it made every other job count as late."""
+    """The infinite run time of replicas, added to the load, made every other job count as late."""
     service = job("run-9", at=50.0, **SERVICE)
     idle_service = job("run-8", at=50.0, **{**SERVICE, "priority": "idle"})
     batches = [
@@ -209,7 +211,7 @@
 
 
 @pytest.mark.parametrize("free", [0.0, 16.0])
-def test_an_objective_for_starts_gives_a_replica_no_infinite_deadline(free: float) -> None:
+def test_a_service_gets_no_deadline_from_its_objectives(free: float) -> None:
     objectives = [Objective("wait", 0.9, "scan", 10.0), Objective("finished", 0.9, "scan", 60.0)]
     service = job("run-9", deadline_s=10.0, **SERVICE)
     assert queueing.deadlines(service, objectives) == ()
@@ -234,7 +236,7 @@
     world.run_tasks(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     plan = world.plan(service, batch)
     assert sum(n for b in plan.batches if b.job is service for _machine, n in b.parts) == 3
-    assert batch.shortfall == 40  # it waits for the image, by a finite estimate
+    assert batch.shortfall == 40  # it waits for the image, according to a finite estimate
 
 
 def test_no_resources_held_by_a_replica_are_reserved_for_a_gang() -> None:
@@ -258,7 +260,7 @@
 
 
 def test_an_overdue_service_is_placed_whole() -> None:
-    """Of an overdue array only a tenth is placed at once, and the rest in the usual order."""
+    """Of an overdue array, in contrast, only a tenth is placed before all other jobs."""
     world = World()
     world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
@@ -381,8 +383,13 @@
     assert sent == [machine.id]
 
 
-def test_the_estimate_of_the_time_until_the_next_heartbeat(harness: LeaderHarness) -> None:
-    """Early heartbeats come in 0.5 s, but not with a start in flight or twice in half a lease."""
+def test_the_next_heartbeat_is_estimated_early_only_if_it_can_be_requested(
+    harness: LeaderHarness,
+) -> None:
+    """An early heartbeat arrives 0.5 s after the last one.
+
+    None can be requested while a start is in flight, or twice within half a lease.
+    """
     worker = harness.ready_worker()
     early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("full", [False, True])
 def test_a_gang_that_fits_is_placed_in_the_first_cycle(size: int, full: bool) -> None:
-    """A sample of all machines rarely held enough machines of one type in one zone for a gang."""
+    """A sample of all machines rarely had enough machines of one type in one zone for a gang."""
     fleet = Fleet(size)
     suitable = sum(
         m.zone == "a" and not m.spot and m.machine_type is CPU
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("size", SIZES)
 def test_a_gang_is_placed_on_free_and_preempted_machines_together(size: int) -> None:
-    """A gang that needed free and full machines together was not placed: neither kind sufficed."""
+    """Such a gang was not placed, because neither kind of machine alone was sufficient."""
     fleet = Fleet(size)
     fleet.fill(fleet.job("run-9", priority="idle", task_count=size * 8))
     suitable = [
@@ -147,8 +147,10 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("waiting", [10, 40])
-def test_jobs_like_one_that_found_no_room_examine_no_machines(size: int, waiting: int) -> None:
-    """In a full fleet, a backlog of similar jobs must not cost a check per job and machine."""
+def test_a_backlog_of_similar_jobs_in_a_full_fleet_examines_no_machines(
+    size: int, waiting: int
+) -> None:
+    """The backlog must not cost a check per job and machine."""
     fleet = Fleet(size)
     fleet.fill(fleet.job("run-9", task_count=size * 8))
     jobs = [
@@ -196,7 +198,7 @@
     assert len(encoded) <= 2000 + 32 * size  # each name once, plus a byte per image and machine
 
 
-def test_the_shares_of_the_sockets_match_the_need() -> None:
+def test_the_socket_shares_are_sufficient_for_all_connections() -> None:
     """A leader of 909 machines had 1,100 API connections, but only 60% of its sockets for them."""
     sockets = 1800
     workers = Workers(sockets)
@@ -204,14 +206,14 @@
         workers.client_for(f"10.0.{n // 250}.{n % 250 + 1}:9000")
     worker_connections = len(workers.clients)
     store_connections = 6 + 2 + MAX_SUBMISSIONS_IN_FLIGHT + MAX_STORE_READS_IN_FLIGHT
-    others = (
+    other_connections = (
         int(PEER_SOCKET_SHARE * sockets)
         + worker_connections
         + max_sends_in_flight(sockets)
         + store_connections
     )
     assert int(API_SOCKET_SHARE * sockets) >= 1.2 * 1100
-    assert int(API_SOCKET_SHARE * sockets) + others <= sockets
+    assert int(API_SOCKET_SHARE * sockets) + other_connections <= sockets
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -229,7 +231,7 @@
 
 @pytest.mark.parametrize("jobs", [8, 64, 256])
 def test_finished_tasks_of_many_jobs_share_writes(harness: LeaderHarness, jobs: int) -> None:
-    """A job gets new tasks after its finished ones are written: a write per job delayed all."""
+    """A job gets new tasks once its finished ones are written; a write per job delayed all jobs."""
     for n in range(jobs):
         name = JobId(f"run-{n}")
         record = JobRecord(job_spec(str(name), task_count=800), 0.0)
@@ -246,7 +248,7 @@
 
 
 def test_finished_tasks_of_removed_jobs_do_not_stop_a_failover(harness: LeaderHarness) -> None:
-    """Seen with many faults: dropping such records while loading them ended each term at once."""
+    """With many faults, dropping such records while loading them ended each term at once."""
     for n in range(3):
         record = JobRecord(job_spec(f"run-{n}"), 0.0)
         live_job = harness.leader.term.job_table.put(record, KeyVersion(1))
@@ -306,10 +308,10 @@
     assert len(sent) <= 60 * settings().params.resources.core_share
 
 
-def test_only_as_many_machines_are_forgotten_as_one_request_releases(
+def test_machines_beyond_the_limit_of_a_release_request_are_not_forgotten(
     harness: LeaderHarness,
 ) -> None:
-    """Beyond the hundred that one request takes, machines were forgotten that still ran tasks."""
+    """A request releases 100 machines; the others were forgotten too, but still ran tasks."""
     harness.ready_workers(250)
     machines = list(harness.leader.term.cluster.machines.values())
     harness.leader.autoscaler.releaser.release(
--- a/tests/leader/test_store_limits.py
+++ b/tests/leader/test_store_limits.py
@@ -1,4 +1,4 @@
-"""A store whose limits fall: new writes respect them, and larger stored values are split."""
+"""A store that lowers its limits: new writes respect them, and larger stored values are split."""
 
 from __future__ import annotations
 
@@ -122,15 +122,15 @@
     return copies_by_name
 
 
-@pytest.mark.parametrize("limits_fell", [False, True])
+@pytest.mark.parametrize("limits_lowered", [False, True])
 @pytest.mark.parametrize(("kb", "ops"), [(2.0, 4), (2.0, 2), (1.0, 5)])
 def test_values_are_split_and_no_record_is_missing_at_any_time(
-    kb: float, ops: int, limits_fell: bool
+    kb: float, ops: int, limits_lowered: bool
 ) -> None:
-    """Also if the controller crashes between two writes and a successor continues from there."""
+    """Even a crash between two writes, after which a successor continues, loses no record."""
     for writes_before_crash in itertools.count():
         store, records = store_with_wide_limits(MACHINE_PREFIX, 8.0, 120)
-        if limits_fell:
+        if limits_lowered:
             store.limits = msgspec.structs.replace(store.limits, value_kb=kb, txn_ops=ops)
         pages = PagedRecords(MACHINE_PREFIX, kb)
         pages.load(store.listing(MACHINE_PREFIX)[0])
@@ -155,7 +155,7 @@
             break
 
 
-def test_records_found_twice_are_merged(harness: LeaderHarness) -> None:
+def test_records_stored_twice_are_merged(harness: LeaderHarness) -> None:
     """A predecessor of an earlier version updated one copy, and later the other."""
     job = harness.accept("run-1", task_count=16)
     harness.accept("run-2", task_count=16)
@@ -193,7 +193,7 @@
 
 
 def test_records_can_be_loaded_again_after_a_failed_load() -> None:
-    """On a second load, each record was taken for a duplicate and dropped."""
+    """A second load treated each record as a duplicate and dropped it."""
     store, records = store_with_wide_limits(MACHINE_PREFIX, 8.0, 40)
     pages = PagedRecords(MACHINE_PREFIX, 1.0)
     for _ in range(2):
@@ -279,7 +279,7 @@
 def test_a_value_that_cannot_be_written_does_not_block_the_others(
     harness: LeaderHarness, large_first: bool
 ) -> None:
-    """A status 400 was taken for an outage, and the same transaction was retried forever."""
+    """A status 400 was treated as an outage, so the same transaction was retried endlessly."""
     harness.may_reject = True
     sizes = [8192, 4] if large_first else [4, 8192]
     large, small = (harness.accept(f"run-{n}", task_count=tasks) for n, tasks in enumerate(sizes))
@@ -296,7 +296,8 @@
     rejected_before = len(harness.store.rejected)
     for _ in range(5):
         harness.leader.writer.write_once()
-    assert len(harness.store.rejected) == rejected_before  # not retried for a while
+    # The rejected write is not retried before `REJECTED_WRITE_RETRY_S`.
+    assert len(harness.store.rejected) == rejected_before
     harness.later(REJECTED_WRITE_RETRY_S + 1)
     harness.set_store_limits(value_kb=8.0)
     harness.write()
@@ -304,7 +305,7 @@
 
 
 @pytest.mark.parametrize("limits", [{"txn_ops": 3}, {"value_kb": 1.0}, {"txn_ops": 2}])
-def test_limits_that_fell_without_notice_are_detected(harness: LeaderHarness, limits: Any) -> None:
+def test_limits_lowered_without_notice_are_detected(harness: LeaderHarness, limits: Any) -> None:
     harness.may_reject = True
     workers = harness.ready_workers(40)
     harness.set_store_limits(**limits)
@@ -335,7 +336,7 @@
 
 
 def test_a_job_stored_under_wider_limits_stays_known_and_can_be_cancelled() -> None:
-    """Its record could be read but not written back; a repeated submission was 'too large'."""
+    """The record could be read, not written; a repeated submission was refused as too large."""
     client = Client()
     record = store_oversized_job(client, "run-7")
     resubmission = msgspec.to_builtins(record.spec)
@@ -361,7 +362,7 @@
         ({"jobclass": "j" * 1500}, 201),
     ],
 )
-def test_jobs_whose_records_exceed_the_limits_are_refused(changes: Any, status: int) -> None:
+def test_only_jobs_whose_records_exceed_the_limits_are_refused(changes: Any, status: int) -> None:
     client = Client()
     client.node.store.limits = msgspec.structs.replace(client.node.store.limits, value_kb=2.0)
     assert client.submit(**changes)[0] == status
@@ -377,23 +378,23 @@
 
 
 def test_a_store_with_stricter_limits_than_announced_is_not_treated_as_an_outage() -> None:
-    """The response was 503, and the user retried for a minute; a cancel never succeeded."""
+    """Submissions got a 503 and were retried for a minute, and a cancel never succeeded."""
     client = Client()
     record = JobRecord(job_spec("run-1", image="img-" + "x" * 3000), 0.0)
     client.node.store.txn({}, [Put(live_key(JobId("run-1")), record)])
-    wide = client.node.store.limits
-    client.node.store.limits = narrow = msgspec.structs.replace(wide, value_kb=2.0)
+    wide_limits = client.node.store.limits
+    client.node.store.limits = narrow_limits = msgspec.structs.replace(wide_limits, value_kb=2.0)
     original_txn = client.node.store.txn
 
     def txn_with_narrow_limits(conditions: Any, writes: Any) -> Any:
-        client.node.store.limits = narrow
+        client.node.store.limits = narrow_limits
         try:
             return original_txn(conditions, writes)
         finally:
-            client.node.store.limits = wide
+            client.node.store.limits = wide_limits
 
     client.node.store.txn = txn_with_narrow_limits  # type: ignore[method-assign]
-    client.node.store.limits = wide
+    client.node.store.limits = wide_limits
     assert client.submit(ref="run-2", image="img-" + "x" * 3000)[0] == 400
     assert client.submit(image="img-" + "x" * 3000)[0] == 200
     assert client("POST", "/v2/runs/run-1/cancel")[0] == 200
@@ -442,7 +443,7 @@
     assert [entry.key for entry in store.listing(catalogue.KEY)[0]] == [catalogue.KEY]
 
 
-def test_a_reader_finds_all_machine_types_while_they_are_split() -> None:
+def test_all_machine_types_can_be_read_while_they_are_split() -> None:
     store = FakeStore()
     catalogue.write(store, {}, many_types(20))  # type: ignore[arg-type]
     store.limits = msgspec.structs.replace(store.limits, value_kb=1.0)
@@ -460,7 +461,7 @@
 
 
 def test_machine_types_that_could_not_be_written_are_written_later(harness: LeaderHarness) -> None:
-    """They were marked as stored before the write: after an outage, no follower learned them."""
+    """Types were marked as stored before the write, so followers lacked them after an outage."""
     harness.store.down = True
     with pytest.raises(StoreUnavailableError):
         harness.leader.autoscaler.machine_type_refresher.refresh()
