--- a/tests/leader/test_fault_tolerance.py
+++ b/tests/leader/test_fault_tolerance.py
@@ -447,19 +447,19 @@
     """One of the two heartbeats was delayed until a new term began; only later ones show which."""
     old_worker, running_worker = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(old_worker, running_worker)
-    name = harness.accept(task_count=1)
+    job = harness.accept(task_count=1)
     delayed = old_worker.heartbeat()
-    delayed.tasks = [ReportedTask(f"{name}/0", 3, "running")]
-    running_worker.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
+    delayed.tasks = [ReportedTask(f"{job}/0", 3, "running")]
+    running_worker.tasks[f"{job}/0", 9] = ReportedTask(f"{job}/0", 9, "running")
     harness.new_leader(6)
     heartbeats = [delayed, running_worker.heartbeat()]
     for heartbeat in heartbeats if old_first else reversed(heartbeats):
         assert harness.leader.on_heartbeat(heartbeat) is not None
-    live_job = harness.leader.term.job_table.get(name)
+    live_job = harness.leader.term.job_table.get(job)
     assert live_job is not None
     assert live_job.shortfall == 0
     if cancelled:
-        harness.leader.apply_cancel(name)
+        harness.leader.apply_cancel(job)
         harness.leader.direct_messages.send(
             harness.leader.term.cluster.machines[MachineId(running_worker.name)]
         )
@@ -477,21 +477,21 @@
         harness.finish_tasks(running_worker)
     harness.exchange(running_worker)
     harness.write()
-    assert harness.final_states == {name: "cancelled" if cancelled else "done"}
+    assert harness.final_states == {job: "cancelled" if cancelled else "done"}
 
 
 def test_a_heartbeat_after_the_final_state_leaves_nothing_to_write(harness: LeaderHarness) -> None:
     """The term ended when the second machine stopped reporting the task after the job had ended."""
     old_worker, running_worker = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(old_worker, running_worker)
-    name = harness.accept(task_count=1)
-    old_worker.tasks[f"{name}/0", 3] = ReportedTask(f"{name}/0", 3, "running")
-    running_worker.tasks[f"{name}/0", 9] = ReportedTask(f"{name}/0", 9, "running")
+    job = harness.accept(task_count=1)
+    old_worker.tasks[f"{job}/0", 3] = ReportedTask(f"{job}/0", 3, "running")
+    running_worker.tasks[f"{job}/0", 9] = ReportedTask(f"{job}/0", 9, "running")
     for worker in (old_worker, running_worker):
         harness.exchange(worker)
     harness.finish_tasks(running_worker)
     harness.write()
-    assert harness.final_states == {name: "done"}
+    assert harness.final_states == {job: "done"}
     old_worker.tasks.clear()
     harness.exchange(old_worker)
     harness.write()
--- a/tests/leader/test_leader.py
+++ b/tests/leader/test_leader.py
@@ -443,7 +443,7 @@
     assert (live_job.done_count, live_job.shortfall) == (8, 4)
 
 
-def test_a_successor_learns_which_machines_have_which_images(harness: LeaderHarness) -> None:
+def test_a_successor_receives_the_image_locality_of_its_predecessor(harness: LeaderHarness) -> None:
     """In rolling restarts, each new leader knew only a few of the warm machines.
 
     It fetched images again, or waited for those few machines.
--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -55,9 +55,9 @@
 ) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = start_service(harness, first, second, task_count=2)
+    job_id = start_service(harness, first, second, task_count=2)
     old_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
-    assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
+    assert harness.leader.job_status(job_id) == harness.leader.term.job_table.jobs[job_id].status()
     harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (first, second):
         if worker.tasks:
@@ -69,10 +69,10 @@
         harness.place()
         for worker in (first, second):
             harness.exchange(worker)
-    job_status = harness.leader.job_status(name)
+    job_status = harness.leader.job_status(job_id)
     assert job_status is not None
     assert (job_status.status, job_status.done, job_status.running) == ("running", 0, 2)
-    assert harness.store.get(final_key(name)) is None
+    assert harness.store.get(final_key(job_id)) is None
     assert not harness.final_states
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     new_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
@@ -83,8 +83,8 @@
     """Its worker keeps the result, so a replica started there again would exit at once."""
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = start_service(harness, first, second, task_count=1)
-    [machine_name] = replicas(harness, name).values()
+    job_id = start_service(harness, first, second, task_count=1)
+    [machine_name] = replicas(harness, job_id).values()
     worker_with_result, worker_without_result = (
         (first, second) if machine_name == first.name else (second, first)
     )
@@ -93,16 +93,16 @@
     harness.exchange(worker_with_result)
     harness.exchange(worker_without_result)
     harness.place()
-    assert list(replicas(harness, name).values()) == [worker_without_result.name]
+    assert list(replicas(harness, job_id).values()) == [worker_without_result.name]
 
 
 def test_a_record_of_finished_tasks_does_not_complete_a_service(harness: LeaderHarness) -> None:
-    name = harness.accept(**SERVICE, task_count=2)
-    harness.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
+    job_id = harness.accept(**SERVICE, task_count=2)
+    harness.store.txn({}, [Put("d/0", {f"{job_id}/0": "Aw=="})])
     leader = harness.new_leader(6)
-    assert leader.term.job_table.jobs[name].shortfall == 2
+    assert leader.term.job_table.jobs[job_id].shortfall == 2
     harness.write()
-    assert harness.store.get(final_key(name)) is None
+    assert harness.store.get(final_key(job_id)) is None
     assert not harness.final_states
 
 
@@ -119,8 +119,8 @@
     harness: LeaderHarness,
 ) -> None:
     workers = harness.ready_workers(8)
-    name = harness.accept(**SERVICE, task_count=6)
-    service = harness.leader.term.job_table.jobs[name]
+    job_id = harness.accept(**SERVICE, task_count=6)
+    service = harness.leader.term.job_table.jobs[job_id]
     start_count = 0
     for _ in range(200):
         harness.place()
@@ -157,8 +157,8 @@
 ) -> None:
     """A service has no finished tasks; judged by them, it backed off after 3 faulty machines."""
     workers = harness.ready_workers(6)
-    name = start_service(harness, *workers, task_count=32, cpus=8.0)
-    service = harness.leader.term.job_table.jobs[name]
+    job_id = start_service(harness, *workers, task_count=32, cpus=8.0)
+    service = harness.leader.term.job_table.jobs[job_id]
     assert len(set(service.assigned_tasks.values())) == 6
     harness.later(MIN_STABLE_RUN_S + 1)
     for worker in workers:
@@ -177,15 +177,15 @@
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = start_service(harness, worker, task_count=1)
+    job_id = start_service(harness, worker, task_count=1)
     worker.finish("error")
     harness.exchange(worker)
     harness.place()
-    assert not replicas(harness, name)
+    assert not replicas(harness, job_id)
     harness.later(130.0)
     harness.exchange(worker)
     harness.place()
-    assert len(replicas(harness, name)) == 1
+    assert len(replicas(harness, job_id)) == 1
 
 
 # -- infinite run times in estimates -------------------------------------------------------------
@@ -206,7 +206,7 @@
     assert order_with_services[0] == "run-9"
     assert order_with_services.index("run-8") == len(order_with_services) - 2
     assert [
-        name for name in order_with_services if name not in ("run-9", "run-8")
+        job_id for job_id in order_with_services if job_id not in ("run-9", "run-8")
     ] == order_without_services
 
 
@@ -309,11 +309,11 @@
 def test_replicas_keep_running_through_a_failover(harness: LeaderHarness) -> None:
     workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
     harness.ready(*workers)
-    name = start_service(harness, *workers, task_count=4, spread=True)
+    job_id = start_service(harness, *workers, task_count=4, spread=True)
     tasks_before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
-        job_status = leader.job_status(name)
+        job_status = leader.job_status(job_id)
         assert job_status is not None
         assert job_status.status == "queued"
         for worker in workers:
@@ -325,7 +325,7 @@
         for worker in workers:
             commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
-        job_status = leader.job_status(name)
+        job_status = leader.job_status(job_id)
         assert job_status is not None
         assert (job_status.status, job_status.running) == ("running", 4)
     assert [set(worker.tasks) for worker in workers] == tasks_before
@@ -336,32 +336,32 @@
 ) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = start_service(harness, first, second, task_count=2)
-    lost = MachineId(next(iter(replicas(harness, name).values())))
+    job_id = start_service(harness, first, second, task_count=2)
+    lost = MachineId(next(iter(replicas(harness, job_id).values())))
     remaining = second if lost == first.name else first
     for _ in range(3):
         harness.later(3.0)
         harness.exchange(remaining)
         harness.place()
-        assert lost in replicas(harness, name).values()
+        assert lost in replicas(harness, job_id).values()
     harness.leader.autoscaler.releaser.release(
         harness.leader.autoscaler.unhealthy_machines(harness.clock())
     )
     assert harness.cloud.released == [lost]
     harness.exchange(remaining)
     harness.place()
-    assert set(replicas(harness, name).values()) == {remaining.name}
+    assert set(replicas(harness, job_id).values()) == {remaining.name}
 
 
 def test_a_cancelled_service_ends_on_every_machine(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
-    name = start_service(harness, *workers, task_count=3)
-    assert harness.leader.apply_cancel(name)
+    job_id = start_service(harness, *workers, task_count=3)
+    assert harness.leader.apply_cancel(job_id)
     for worker in workers * 2:
         harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
     harness.write()
-    assert harness.final_states == {name: "cancelled"}
+    assert harness.final_states == {job_id: "cancelled"}
     harness.place()
     for worker in workers:
         assert not starts(harness.exchange(worker))
@@ -408,11 +408,11 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    name = start_service(harness, worker, task_count=1)
+    job_id = start_service(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
-    service = harness.leader.term.job_table.jobs[name]
+    service = harness.leader.term.job_table.jobs[job_id]
     assert not service.backoff_s
     assert not service.failed_on
     harness.later(1.5)
--- a/tests/leader/test_scalability.py
+++ b/tests/leader/test_scalability.py
@@ -233,9 +233,9 @@
 def test_finished_tasks_of_many_jobs_share_writes(harness: LeaderHarness, jobs: int) -> None:
     """A job gets new tasks once its finished ones are written; a write per job delayed all jobs."""
     for n in range(jobs):
-        name = JobId(f"run-{n}")
-        record = JobRecord(job_spec(str(name), task_count=800), 0.0)
-        result = harness.store.txn({}, [Put(live_key(name), record)])
+        job_id = JobId(f"run-{n}")
+        record = JobRecord(job_spec(str(job_id), task_count=800), 0.0)
+        result = harness.store.txn({}, [Put(live_key(job_id), record)])
         live_job = harness.leader.term.job_table.put(record, KeyVersion(result.revision))
         live_job.finish(n)
         harness.leader.term.job_table.reindex(live_job)
