--- a/tests/leader/test_replicas.py
+++ b/tests/leader/test_replicas.py
@@ -41,7 +41,9 @@
         ({"estimated_s": 60.0, "deadline_s": 90.0}, 201),  # ignored: a replica has no end
     ],
 )
-def test_which_services_are_accepted(changes: dict[str, Any], status: int) -> None:
+def test_services_are_accepted_only_if_valid_and_feasible(
+    changes: dict[str, Any], status: int
+) -> None:
     assert Client().submit(**{**SERVICE, **changes})[0] == status
     if status == 422:
         assert infeasibility_reason(job_spec(**{**SERVICE, **changes}), MACHINE_TYPES, TEAMS)
@@ -53,9 +55,9 @@
 ) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = start_service(harness, first, second, task_count=2)
+    job_id = start_service(harness, first, second, task_count=2)
     old_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
-    assert harness.leader.job_status(name) == harness.leader.term.job_table.jobs[name].status()
+    assert harness.leader.job_status(job_id) == harness.leader.term.job_table.jobs[job_id].status()
     harness.later(MIN_STABLE_RUN_S + 1)
     for worker in (first, second):
         if worker.tasks:
@@ -67,10 +69,10 @@
         harness.place()
         for worker in (first, second):
             harness.exchange(worker)
-    job_status = harness.leader.job_status(name)
+    job_status = harness.leader.job_status(job_id)
     assert job_status is not None
     assert (job_status.status, job_status.done, job_status.running) == ("running", 0, 2)
-    assert harness.store.get(final_key(name)) is None
+    assert harness.store.get(final_key(job_id)) is None
     assert not harness.final_states
     assert not any(bytes(entry.data) != b"{}" for entry in harness.store.listing("d/")[0])
     new_attempts = {key[1] for worker in (first, second) for key in worker.tasks}
@@ -81,8 +83,8 @@
     """Its worker keeps the result, so a replica started there again would exit at once."""
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = start_service(harness, first, second, task_count=1)
-    [machine_name] = replicas(harness, name).values()
+    job_id = start_service(harness, first, second, task_count=1)
+    [machine_name] = replicas(harness, job_id).values()
     worker_with_result, worker_without_result = (
         (first, second) if machine_name == first.name else (second, first)
     )
@@ -91,16 +93,16 @@
     harness.exchange(worker_with_result)
     harness.exchange(worker_without_result)
     harness.place()
-    assert list(replicas(harness, name).values()) == [worker_without_result.name]
+    assert list(replicas(harness, job_id).values()) == [worker_without_result.name]
 
 
 def test_a_record_of_finished_tasks_does_not_complete_a_service(harness: LeaderHarness) -> None:
-    name = harness.accept(**SERVICE, task_count=2)
-    harness.store.txn({}, [Put("d/0", {f"{name}/0": "Aw=="})])
+    job_id = harness.accept(**SERVICE, task_count=2)
+    harness.store.txn({}, [Put("d/0", {f"{job_id}/0": "Aw=="})])
     leader = harness.new_leader(6)
-    assert leader.term.job_table.jobs[name].shortfall == 2
+    assert leader.term.job_table.jobs[job_id].shortfall == 2
     harness.write()
-    assert harness.store.get(final_key(name)) is None
+    assert harness.store.get(final_key(job_id)) is None
     assert not harness.final_states
 
 
@@ -117,8 +119,8 @@
     harness: LeaderHarness,
 ) -> None:
     workers = harness.ready_workers(8)
-    name = harness.accept(**SERVICE, task_count=6)
-    service = harness.leader.term.job_table.jobs[name]
+    job_id = harness.accept(**SERVICE, task_count=6)
+    service = harness.leader.term.job_table.jobs[job_id]
     start_count = 0
     for _ in range(200):
         harness.place()
@@ -153,10 +155,10 @@
 def test_a_healthy_service_does_not_back_off_because_of_faulty_machines(
     harness: LeaderHarness,
 ) -> None:
-    """Judged by finished tasks (it has none), a service backed off after three bad machines."""
+    """A service has no finished tasks; judged by them, it backed off after 3 faulty machines."""
     workers = harness.ready_workers(6)
-    name = start_service(harness, *workers, task_count=32, cpus=8.0)
-    service = harness.leader.term.job_table.jobs[name]
+    job_id = start_service(harness, *workers, task_count=32, cpus=8.0)
+    service = harness.leader.term.job_table.jobs[job_id]
     assert len(set(service.assigned_tasks.values())) == 6
     harness.later(MIN_STABLE_RUN_S + 1)
     for worker in workers:
@@ -175,22 +177,22 @@
 
 def test_a_machine_that_failed_a_replica_once_is_used_again_later(harness: LeaderHarness) -> None:
     worker = harness.ready_worker()
-    name = start_service(harness, worker, task_count=1)
+    job_id = start_service(harness, worker, task_count=1)
     worker.finish("error")
     harness.exchange(worker)
     harness.place()
-    assert not replicas(harness, name)
+    assert not replicas(harness, job_id)
     harness.later(130.0)
     harness.exchange(worker)
     harness.place()
-    assert len(replicas(harness, name)) == 1
+    assert len(replicas(harness, job_id)) == 1
 
 
 # -- infinite run times in estimates -------------------------------------------------------------
 
 
 def test_replicas_come_first_in_their_priority_and_delay_no_other_job() -> None:
-    """Their run time is infinite: added to the load, it made every other job count as late."""
+    """The infinite run time of replicas, added to the load, made every other job count as late."""
     service = job("run-9", at=50.0, **SERVICE)
     idle_service = job("run-8", at=50.0, **{**SERVICE, "priority": "idle"})
     batches = [
@@ -204,12 +206,12 @@
     assert order_with_services[0] == "run-9"
     assert order_with_services.index("run-8") == len(order_with_services) - 2
     assert [
-        name for name in order_with_services if name not in ("run-9", "run-8")
+        job_id for job_id in order_with_services if job_id not in ("run-9", "run-8")
     ] == order_without_services
 
 
 @pytest.mark.parametrize("free", [0.0, 16.0])
-def test_an_objective_for_starts_gives_a_replica_no_infinite_deadline(free: float) -> None:
+def test_a_service_gets_no_deadline_from_its_objectives(free: float) -> None:
     objectives = [Objective("wait", 0.9, "scan", 10.0), Objective("finished", 0.9, "scan", 60.0)]
     service = job("run-9", deadline_s=10.0, **SERVICE)
     assert queueing.deadlines(service, objectives) == ()
@@ -234,7 +236,7 @@
     world.run_tasks(world.job("run-8", **{**SERVICE, "cpus": 32.0}, task_count=1), warm, 1)
     plan = world.plan(service, batch)
     assert sum(n for b in plan.batches if b.job is service for _machine, n in b.parts) == 3
-    assert batch.shortfall == 40  # it waits for the image, by a finite estimate
+    assert batch.shortfall == 40  # it waits for the image, according to a finite estimate
 
 
 def test_no_resources_held_by_a_replica_are_reserved_for_a_gang() -> None:
@@ -258,7 +260,7 @@
 
 
 def test_an_overdue_service_is_placed_whole() -> None:
-    """Of an overdue array only a tenth is placed at once, and the rest in the usual order."""
+    """Of an overdue array, in contrast, only a tenth is placed before all other jobs."""
     world = World()
     world.machine("i-1").record_image("img-1", 2.0)
     service = world.job("run-1", **SERVICE, task_count=20)
@@ -307,11 +309,11 @@
 def test_replicas_keep_running_through_a_failover(harness: LeaderHarness) -> None:
     workers = [harness.worker(f"i-{n:06d}", zone="ab"[n % 2]) for n in range(4)]
     harness.ready(*workers)
-    name = start_service(harness, *workers, task_count=4, spread=True)
+    job_id = start_service(harness, *workers, task_count=4, spread=True)
     tasks_before = [set(worker.tasks) for worker in workers]
     for term in (6, 7):
         leader = harness.new_leader(term)
-        job_status = leader.job_status(name)
+        job_status = leader.job_status(job_id)
         assert job_status is not None
         assert job_status.status == "queued"
         for worker in workers:
@@ -323,7 +325,7 @@
         for worker in workers:
             commands = harness.exchange(worker)
             assert not {"start", "halt"} & set(verbs(commands))
-        job_status = leader.job_status(name)
+        job_status = leader.job_status(job_id)
         assert job_status is not None
         assert (job_status.status, job_status.running) == ("running", 4)
     assert [set(worker.tasks) for worker in workers] == tasks_before
@@ -334,32 +336,32 @@
 ) -> None:
     first, second = harness.worker("i-000001"), harness.worker("i-000002")
     harness.ready(first, second)
-    name = start_service(harness, first, second, task_count=2)
-    lost = MachineId(next(iter(replicas(harness, name).values())))
+    job_id = start_service(harness, first, second, task_count=2)
+    lost = MachineId(next(iter(replicas(harness, job_id).values())))
     remaining = second if lost == first.name else first
     for _ in range(3):
         harness.later(3.0)
         harness.exchange(remaining)
         harness.place()
-        assert lost in replicas(harness, name).values()
+        assert lost in replicas(harness, job_id).values()
     harness.leader.autoscaler.releaser.release(
         harness.leader.autoscaler.unhealthy_machines(harness.clock())
     )
     assert harness.cloud.released == [lost]
     harness.exchange(remaining)
     harness.place()
-    assert set(replicas(harness, name).values()) == {remaining.name}
+    assert set(replicas(harness, job_id).values()) == {remaining.name}
 
 
 def test_a_cancelled_service_ends_on_every_machine(harness: LeaderHarness) -> None:
     workers = harness.ready_workers(3)
-    name = start_service(harness, *workers, task_count=3)
-    assert harness.leader.apply_cancel(name)
+    job_id = start_service(harness, *workers, task_count=3)
+    assert harness.leader.apply_cancel(job_id)
     for worker in workers * 2:
         harness.exchange(worker)
     assert not any(p.status == "running" for worker in workers for p in worker.tasks.values())
     harness.write()
-    assert harness.final_states == {name: "cancelled"}
+    assert harness.final_states == {job_id: "cancelled"}
     harness.place()
     for worker in workers:
         assert not starts(harness.exchange(worker))
@@ -381,8 +383,13 @@
     assert sent == [machine.id]
 
 
-def test_the_estimate_of_the_time_until_the_next_heartbeat(harness: LeaderHarness) -> None:
-    """Early heartbeats come in 0.5 s, but not with a start in flight or twice in half a lease."""
+def test_the_next_heartbeat_is_estimated_early_only_if_it_can_be_requested(
+    harness: LeaderHarness,
+) -> None:
+    """An early heartbeat arrives 0.5 s after the last one.
+
+    None can be requested while a start is in flight, or twice within half a lease.
+    """
     worker = harness.ready_worker()
     early_heartbeats = harness.leader.early_heartbeats
     machine = harness.leader.term.cluster.machines[MachineId(worker.name)]
@@ -401,11 +408,11 @@
     harness: LeaderHarness,
 ) -> None:
     worker = harness.ready_worker()
-    name = start_service(harness, worker, task_count=1)
+    job_id = start_service(harness, worker, task_count=1)
     key = next(iter(worker.tasks))
     worker.tasks[key] = ReportedTask(*key, "ended", "unknown")
     harness.exchange(worker)
-    service = harness.leader.term.job_table.jobs[name]
+    service = harness.leader.term.job_table.jobs[job_id]
     assert not service.backoff_s
     assert not service.failed_on
     harness.later(1.5)
