--- a/tests/leader/test_large_fleet.py
+++ b/tests/leader/test_large_fleet.py
@@ -254,7 +254,7 @@
         (f"registry/some-longer-image-name-{number:05d}:1.2.3", 1.0) for number in range(2000)
     ]
     images_by_machine = {f"i-{number:06d}": list(range(number % 1900, number % 1900 + 40))
-                for number in range(machine_count)}  # fmt: skip
+                         for number in range(machine_count)}  # fmt: skip
     assert len(msgspec.msgpack.encode(ImageLocality(1, images, images_by_machine))) < FRAME_MAX / 2
     assert machine_count < RELEASED_MACHINES_KEPT
     assert machine_count * 2 * 32 < MIN_ATTEMPTS_LEFT  # two tasks per CPU
