--- a/tests/support/timed_store.py
+++ b/tests/support/timed_store.py
@@ -124,7 +124,7 @@
             try:
                 self._store.txn(conditions, writes)
             except LeaseLostError:
-                pass  # the lease has expired; the sender no longer waits for the store's response
+                pass  # the lease has expired: the store answers 400, and the sender waits no longer
 
     def grant(self, ttl_s: float) -> int:
         self.check_available()
