--- a/src/ryewing/sharding/load.py
+++ b/src/ryewing/sharding/load.py
@@ -28,7 +28,8 @@
     name: ShardName
     load: float
     owner: NodeName | None = None
-    """The current owner, or the next one if the shard is moving; None if the owner is unhealthy."""
+    """The current owner, or the next one if the shard is moving; None if no healthy controller owns
+    the shard."""
     pinned_to: NodeName | None = None
     """The only controller that may own the shard while that controller is healthy."""
     moved_at: MonotonicTime | None = None
